--- a/crates/bh-control/src/core/answer_call.rs
+++ b/crates/bh-control/src/core/answer_call.rs
@@ -2,8 +2,8 @@
 
 use super::core_node::CoreNode;
 use super::departures::log_departures;
-use super::heartbeats::hear;
-use super::learnt::Learnt;
+use super::detection::Detection;
+use super::heartbeats::handle_heartbeat;
 use super::records::propose;
 use crate::calls::Answer;
 use crate::calls::Call;
@@ -58,7 +58,7 @@
             Err(answer) => answer,
             Ok(()) => read(core, &place),
         },
-        Call::Heartbeat(heartbeat) => hear(core, heartbeat).await,
+        Call::Heartbeat(heartbeat) => handle_heartbeat(core, heartbeat).await,
         Call::Leave { worker } => leave(core, &worker).await,
         Call::SetRules(Ok(rules)) => change(core, Command::SetRules(rules)).await,
         Call::SetRules(Err(problem)) => Answer::Refused(Refusal::BadRules(problem)),
@@ -116,7 +116,7 @@
         (worker, gone)
     };
     if let Some(gone) = gone {
-        log_departures(core, term, &gone, Learnt::Leave);
+        log_departures(core, term, &gone, Detection::Leave);
         return change(core, gone).await;
     }
     log::info!(worker = worker.to_string(), term; "worker ends with runs");
--- a/crates/bh-control/src/core/core_node.rs
+++ b/crates/bh-control/src/core/core_node.rs
@@ -4,8 +4,8 @@
 use super::carriers::Carrier;
 use super::carry_delay::CarryDelay;
 use super::leadership::Leadership;
-use super::sign::Sign;
-use super::unheard::Unheard;
+use super::received_heartbeat::ReceivedHeartbeat;
+use super::undelivered_heartbeats::UndeliveredHeartbeats;
 use super::worker_calls::WorkerCalls;
 use crate::config::LocalConfig;
 use crate::dialect::Dialect;
@@ -51,9 +51,9 @@
     /// How long orders that it carries were on their way.
     pub carry_delay: RefCell<CarryDelay>,
     /// Heartbeats that came while nobody led.
-    pub unheard: RefCell<Unheard>,
+    pub undelivered_heartbeats: RefCell<UndeliveredHeartbeats>,
     /// Heartbeats that the leader has not heard of yet, by worker.
-    pub signs: RefCell<BTreeMap<Incarnation, Sign>>,
+    pub heartbeats_to_relay: RefCell<BTreeMap<Incarnation, ReceivedHeartbeat>>,
     /// Cancelled when the process is told to stop.
     pub draining: CancellationToken,
     /// Counters and times.
--- a/crates/bh-control/src/core/departures.rs
+++ b/crates/bh-control/src/core/departures.rs
@@ -1,7 +1,7 @@
 //! What is told of workers that are gone, and of what ran on them.
 
 use super::core_node::CoreNode;
-use super::learnt::Learnt;
+use super::detection::Detection;
 use bh_protocol::Incarnation;
 use bh_workload::job::JobId;
 use bh_workload::state::Command;
@@ -15,12 +15,17 @@
 
 /// One line for each worker that `command` says to be gone, and for each run that is lost with it or may be the cause. The ends of runs on
 /// a worker that left are not recorded one by one, so without these lines nothing would tell why their tasks begin anew.
-pub(super) fn log_departures(core: &Rc<CoreNode>, term: u64, command: &Command, learnt: Learnt) {
+pub(super) fn log_departures(
+    core: &Rc<CoreNode>,
+    term: u64,
+    command: &Command,
+    detection: Detection,
+) {
     match command {
         Command::Workers(changes) => {
             for change in changes {
                 if let WorkerChange::Gone(worker) = change {
-                    log_departure(core, term, worker, learnt);
+                    log_departure(core, term, worker, detection);
                     log_lost_runs(core, term, worker);
                 }
             }
@@ -30,21 +35,21 @@
             ..
         } => {
             core.metrics.count("workers_crashed", 1);
-            log_departure(core, term, worker, learnt);
+            log_departure(core, term, worker, detection);
             log_suspects(core, term, worker, suspects);
         }
         _ => {}
     }
 }
 
-fn log_departure(core: &Rc<CoreNode>, term: u64, id: &Incarnation, learnt: Learnt) {
+fn log_departure(core: &Rc<CoreNode>, term: u64, id: &Incarnation, detection: Detection) {
     let workload = core.group.machine.read();
     let Some(worker) = workload.worker(id) else {
         return;
     };
     let (runs, draining) = (worker.runs.len(), worker.draining);
     core.metrics.count("workers_gone", 1);
-    log::info!(worker = id.to_string(), term, learnt:? = learnt, draining, runs; "worker gone");
+    log::info!(worker = id.to_string(), term, learnt:? = detection, draining, runs; "worker gone");
 }
 
 fn log_lost_runs(core: &Rc<CoreNode>, term: u64, id: &Incarnation) {
--- a/crates/bh-control/src/core/learnt.rs
+++ b/crates/bh-control/src/core/detection.rs
@@ -2,7 +2,7 @@
 
 /// The message, or the want of one, behind an end.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Learnt {
+pub(super) enum Detection {
     /// The worker listed the end.
     Listed,
     /// The worker had confirmed the start or a stop, and neither runs nor lists the run.
--- a/crates/bh-control/src/core/heartbeats.rs
+++ b/crates/bh-control/src/core/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Heartbeats of workers.
 
 use super::core_node::CoreNode;
-use super::sign::Sign;
+use super::received_heartbeat::ReceivedHeartbeat;
 use crate::calls::Answer;
 use crate::calls::WorkerHeartbeat;
 use bh_net::runtime::sleep_ms;
@@ -18,13 +18,13 @@
 
 /// Time for which heartbeats that change nothing are gathered before the leader hears of them, in milliseconds. It is a small part of
 /// the time after which a worker counts as silent, and makes one message of some hundred.
-const GATHER_MS: u64 = 100;
+const RELAY_INTERVAL_MS: u64 = 100;
 /// Wait for the leader to take them, in milliseconds. Those that it did not take are followed by the workers' next ones.
-const TELL_MS: u64 = 500;
+const RELAY_TIMEOUT_MS: u64 = 500;
 
 /// Takes a worker's heartbeat as the leader. What changes what may run there is recorded before the worker is answered: whoever leads
 /// next must not give work to a worker whose leaving was acknowledged.
-pub(super) async fn hear(core: &Rc<CoreNode>, heartbeat: WorkerHeartbeat) -> Answer {
+pub(super) async fn handle_heartbeat(core: &Rc<CoreNode>, heartbeat: WorkerHeartbeat) -> Answer {
     let id = heartbeat.info.id.clone();
     let heard = Answer::Heard {
         next_address: next_address(core, &heartbeat.info),
@@ -35,12 +35,12 @@
         return heard;
     }
     let now_ms = core.clock.now_ms();
-    match note(core, &id, &Sign::new(&heartbeat, now_ms)) {
+    match note_heartbeat(core, &id, &ReceivedHeartbeat::new(&heartbeat, now_ms)) {
         None => return Answer::NotLeader,
         Some(false) => return heard,
         Some(true) => {}
     }
-    let changes = changes(core, &heartbeat);
+    let changes = worker_changes(core, &heartbeat);
     if changes.is_empty() {
         return heard;
     }
@@ -54,32 +54,37 @@
 }
 
 /// Notes a sign of life; returns whether it is the newest of a worker that has not ended, or `None` when this core does not lead.
-fn note(core: &Rc<CoreNode>, worker: &Incarnation, sign: &Sign) -> Option<bool> {
+fn note_heartbeat(
+    core: &Rc<CoreNode>,
+    worker: &Incarnation,
+    heartbeat: &ReceivedHeartbeat,
+) -> Option<bool> {
     let mut held = core.leadership.borrow_mut();
     let leadership = held.as_mut()?;
     let newest = leadership.sequences.entry(worker.clone()).or_default();
-    let held_up = sign.sequence < *newest;
-    if held_up {
+    let out_of_order = heartbeat.sequence < *newest;
+    if out_of_order {
         core.metrics.count("heartbeats_out_of_order", 1);
-        log::info!(worker = worker.to_string(), sequence = sign.sequence, newest = *newest, clock_ms = sign.clock_ms.unwrap_or(0); "heartbeat out of order: its sequence number is lower than the highest one received");
+        log::info!(worker = worker.to_string(), sequence = heartbeat.sequence, newest = *newest, clock_ms = heartbeat.clock_ms.unwrap_or(0); "heartbeat out of order: its sequence number is lower than the highest one received");
     }
-    *newest = (*newest).max(sign.sequence);
+    *newest = (*newest).max(heartbeat.sequence);
     let answered = leadership.dispatcher.answers(worker);
-    let alive = leadership
-        .dispatcher
-        .note_heartbeat(sign.heard_ms, worker, sign.clock_ms);
-    if alive && !held_up {
+    let alive =
+        leadership
+            .dispatcher
+            .note_heartbeat(heartbeat.received_ms, worker, heartbeat.clock_ms);
+    if alive && !out_of_order {
         let dispatcher = &mut leadership.dispatcher;
-        dispatcher.note_cold(sign.heard_ms, worker, sign.cold_ms);
-        if let Some(leaves_in_ms) = sign.leaves_in_ms {
-            dispatcher.note_leaving(sign.heard_ms, worker, leaves_in_ms);
+        dispatcher.note_cold(heartbeat.received_ms, worker, heartbeat.cold_ms);
+        if let Some(leaves_in_ms) = heartbeat.leaves_in_ms {
+            dispatcher.note_leaving(heartbeat.received_ms, worker, leaves_in_ms);
         }
     }
     leadership.plan_due |= !answered && leadership.dispatcher.answers(worker);
-    Some(alive && !held_up)
+    Some(alive && !out_of_order)
 }
 
-fn changes(core: &Rc<CoreNode>, heartbeat: &WorkerHeartbeat) -> Vec<WorkerChange> {
+fn worker_changes(core: &Rc<CoreNode>, heartbeat: &WorkerHeartbeat) -> Vec<WorkerChange> {
     let id: &Incarnation = &heartbeat.info.id;
     let workload = core.group.machine.read();
     let known = workload.worker(id);
@@ -111,71 +116,78 @@
 /// Takes a heartbeat that changes nothing for the leader, which is told of many at a time; `None` when the leader must see it itself.
 ///
 /// A fleet of thousands of workers sends thousands of heartbeats a second, nearly all of which say nothing but that the worker is there.
-pub(super) fn hear_for_leader(core: &Rc<CoreNode>, heartbeat: &WorkerHeartbeat) -> Option<Answer> {
-    let changed = !changes(core, heartbeat).is_empty();
+pub(super) fn accept_for_leader(
+    core: &Rc<CoreNode>,
+    heartbeat: &WorkerHeartbeat,
+) -> Option<Answer> {
+    let changed = !worker_changes(core, heartbeat).is_empty();
     if changed || !core.shares_workers() || core.mesh.fresh_leader().is_none() {
         return None;
     }
-    let sign = Sign::new(heartbeat, core.clock.now_ms());
+    let received = ReceivedHeartbeat::new(heartbeat, core.clock.now_ms());
     let worker = heartbeat.info.id.clone();
-    core.signs.borrow_mut().insert(worker, sign);
+    core.heartbeats_to_relay
+        .borrow_mut()
+        .insert(worker, received);
     Some(Answer::Heard {
         next_address: next_address(core, &heartbeat.info),
     })
 }
 
 /// Tells the leader of the heartbeats that came here, until the process ends.
-pub(super) async fn tell_leader(core: Rc<CoreNode>) {
+pub(super) async fn relay_to_leader(core: Rc<CoreNode>) {
     loop {
-        sleep_ms(GATHER_MS).await;
-        let signs = std::mem::take(&mut *core.signs.borrow_mut());
-        let Some(leader) = core.mesh.fresh_leader().filter(|_| !signs.is_empty()) else {
+        sleep_ms(RELAY_INTERVAL_MS).await;
+        let heartbeats = std::mem::take(&mut *core.heartbeats_to_relay.borrow_mut());
+        let Some(leader) = core.mesh.fresh_leader().filter(|_| !heartbeats.is_empty()) else {
             continue;
         };
         let now_ms = core.clock.now_ms();
-        let signs = signs.into_iter().map(|(worker, sign)| SignOfLife {
-            worker: worker.to_string(),
-            clock_ms: sign.clock_ms,
-            sequence: sign.sequence,
-            age_ms: now_ms.saturating_sub(sign.heard_ms),
-            cold_ms: sign.cold_ms,
-            leaves_in_ms: sign.leaves_in_ms,
-        });
+        let heartbeats = heartbeats
+            .into_iter()
+            .map(|(worker, heartbeat)| SignOfLife {
+                worker: worker.to_string(),
+                clock_ms: heartbeat.clock_ms,
+                sequence: heartbeat.sequence,
+                age_ms: now_ms.saturating_sub(heartbeat.received_ms),
+                cold_ms: heartbeat.cold_ms,
+                leaves_in_ms: heartbeat.leaves_in_ms,
+            });
         let body = SignsOfLife {
-            signs: signs.collect(),
+            signs: heartbeats.collect(),
         };
-        let told = leader.call(RpcKind::Signs, body.encode_to_vec(), TELL_MS);
-        if told.await.is_err() {
+        let sent = leader.call(RpcKind::Signs, body.encode_to_vec(), RELAY_TIMEOUT_MS);
+        if sent.await.is_err() {
             core.metrics.count("signs_untold", 1);
         }
     }
 }
 
 /// Takes the heartbeats that came to another core.
-pub(super) fn hear_signs(core: &Rc<CoreNode>, body: &[u8]) {
-    let signs = match SignsOfLife::decode(body) {
+pub(super) fn handle_relayed(core: &Rc<CoreNode>, body: &[u8]) {
+    let heartbeats = match SignsOfLife::decode(body) {
         Ok(signs) => signs.signs,
         Err(error) => {
-            log::warn!("signs of life that cannot be read: {error}");
+            log::warn!("relayed heartbeats cannot be decoded: {error}");
             return;
         }
     };
     let now_ms = core.clock.now_ms();
-    for told in signs {
-        let Some(worker) = Incarnation::parse(&told.worker) else {
+    for relayed in heartbeats {
+        let Some(worker) = Incarnation::parse(&relayed.worker) else {
             continue;
         };
         let known = core.group.machine.read().worker(&worker).is_some();
         if known {
-            let sign = Sign {
-                clock_ms: told.clock_ms,
-                sequence: told.sequence,
-                heard_ms: now_ms.saturating_sub(told.age_ms),
-                cold_ms: told.cold_ms,
-                leaves_in_ms: told.leaves_in_ms,
+            let heartbeat = ReceivedHeartbeat {
+                clock_ms: relayed.clock_ms,
+                sequence: relayed.sequence,
+                received_ms: now_ms.saturating_sub(relayed.age_ms),
+                cold_ms: relayed.cold_ms,
+                leaves_in_ms: relayed.leaves_in_ms,
             };
             // The next one of a core that no longer leads goes to another.
-            let _ = note(core, &worker, &sign);
+            let _ = note_heartbeat(core, &worker, &heartbeat);
         }
     }
 }
--- a/crates/bh-control/src/core/incoming.rs
+++ b/crates/bh-control/src/core/incoming.rs
@@ -40,7 +40,7 @@
         return carry::carry(&core, &request.body).await;
     }
     if request.kind == i32::from(RpcKind::Signs) {
-        heartbeats::hear_signs(&core, &request.body);
+        heartbeats::handle_relayed(&core, &request.body);
         return Vec::new();
     }
     let answer = match serde_json::from_slice::<Call>(&request.body) {
@@ -75,7 +75,9 @@
     let came_ms = core.clock.now_ms();
     let answer = decide(&core, &received.call, patience_ms).await;
     if let Call::Heartbeat(heartbeat) = &received.call {
-        core.unheard.borrow_mut().note(came_ms, heartbeat, &answer);
+        core.undelivered_heartbeats
+            .borrow_mut()
+            .note(came_ms, heartbeat, &answer);
     }
     (core.dialect.write_answer)(&received.call, &answer)
 }
@@ -96,7 +98,7 @@
 /// A call that came to a core that does not lead.
 async fn as_follower(core: &Rc<CoreNode>, call: &Call, patience_ms: u64) -> Answer {
     if let Call::Heartbeat(heartbeat) = call
-        && let Some(answer) = heartbeats::hear_for_leader(core, heartbeat)
+        && let Some(answer) = heartbeats::accept_for_leader(core, heartbeat)
     {
         return answer;
     }
--- a/crates/bh-control/src/core/inherited.rs
+++ b/crates/bh-control/src/core/inherited_runs.rs
@@ -9,11 +9,11 @@
 
 /// Recorded runs that an earlier leader ordered, until each is over or its worker says that it has it.
 #[derive(Clone, Debug, Default)]
-pub struct Inherited {
+pub struct InheritedRuns {
     runs: BTreeSet<(Incarnation, RunId)>,
 }
 
-impl Inherited {
+impl InheritedRuns {
     /// All runs in the record.
     pub fn new(workload: &Workload) -> Self {
         let workers = workload.workers();
@@ -32,7 +32,7 @@
     }
 
     /// Drops what has been heard of; returns one of the last when none is left that was left before.
-    pub fn settle(
+    pub fn remove_settled(
         &mut self,
         workload: &Workload,
         dispatcher: &Dispatcher,
--- a/crates/bh-control/src/core/leader_loop.rs
+++ b/crates/bh-control/src/core/leader_loop.rs
@@ -1,7 +1,7 @@
 //! The leader's loop: takes over what is recorded, gives orders, plans.
 
 use super::core_node::CoreNode;
-use super::inherited::Inherited;
+use super::inherited_runs::InheritedRuns;
 use super::leadership::Leadership;
 use super::orders::give_orders;
 use super::planning::plan;
@@ -33,7 +33,7 @@
 /// knowing, for instance while this VM was suspended.
 const CONFIRMED_MS: u64 = 1_500;
 /// Time between looks for runs that were taken over and have been heard of, in milliseconds.
-const SETTLE_MS: u64 = 100;
+const INHERITED_CHECK_MS: u64 = 100;
 /// Time between looks for ended jobs that nobody asks for any more and for connections that nobody uses, in milliseconds.
 const FORGET_EVERY_MS: u64 = 10_000;
 
@@ -87,7 +87,7 @@
         return;
     }
     core.led_ms.set(Some(now_ms));
-    settle_inherited(core, now_ms);
+    check_inherited_runs(core, now_ms);
     check_overdue(core, now_ms);
     upkeep::keep(core, now_ms);
     give_orders(core, now_ms);
@@ -118,9 +118,11 @@
     if gap_ms > SHORT_GAP_MS {
         dispatcher = dispatcher.with_old_record();
     }
-    core.unheard.borrow_mut().tell(&mut dispatcher, &workload);
-    let inherited = Inherited::new(&workload);
-    let runs = inherited.count();
+    core.undelivered_heartbeats
+        .borrow_mut()
+        .replay(&mut dispatcher, &workload);
+    let inherited_runs = InheritedRuns::new(&workload);
+    let runs = inherited_runs.count();
     let jobs = workload.active_jobs().count();
     let broken = workload.active_jobs().map(|(id, job)| job.broken_gangs(id));
     let gangs_broken: usize = broken.sum();
@@ -140,8 +142,8 @@
         plan_due: true,
         planned_ms: 0,
         plan_from_ms: 0,
-        inherited,
-        settled_ms: 0,
+        inherited_runs,
+        inherited_checked_ms: 0,
         runnable: RunnableWatch::new(),
         survey_from_ms: 0,
         swept_ms: 0,
@@ -162,20 +164,20 @@
 }
 
 /// Tells when the last of the runs that were taken over is known to be at work or over.
-fn settle_inherited(core: &Rc<CoreNode>, now_ms: u64) {
+fn check_inherited_runs(core: &Rc<CoreNode>, now_ms: u64) {
     let mut held = core.leadership.borrow_mut();
     let Some(leadership) = held.as_mut() else {
         return;
     };
-    let due = now_ms >= leadership.settled_ms + SETTLE_MS;
-    if !due || leadership.inherited.count() == 0 {
+    let due = now_ms >= leadership.inherited_checked_ms + INHERITED_CHECK_MS;
+    if !due || leadership.inherited_runs.count() == 0 {
         return;
     }
-    leadership.settled_ms = now_ms;
+    leadership.inherited_checked_ms = now_ms;
     let workload = core.group.machine.read();
     let settled = leadership
-        .inherited
-        .settle(&workload, &leadership.dispatcher);
+        .inherited_runs
+        .remove_settled(&workload, &leadership.dispatcher);
     if let Some((worker, run)) = settled {
         let led_ms = now_ms.saturating_sub(leadership.dispatcher.elected_ms());
         core.metrics.time_ms("take_over", led_ms);
--- a/crates/bh-control/src/core/leadership.rs
+++ b/crates/bh-control/src/core/leadership.rs
@@ -1,6 +1,6 @@
 //! What a core holds while it leads.
 
-use super::inherited::Inherited;
+use super::inherited_runs::InheritedRuns;
 use super::runnable_watch::RunnableWatch;
 use super::starts_record::StartsRecord;
 use bh_protocol::Incarnation;
@@ -28,9 +28,9 @@
     /// Earliest time of the next plan, on the process's clock in milliseconds.
     pub plan_from_ms: u64,
     /// Runs that it took over and has not heard of yet.
-    pub inherited: Inherited,
+    pub inherited_runs: InheritedRuns,
     /// When these were last looked through, on the process's clock in milliseconds.
-    pub settled_ms: u64,
+    pub inherited_checked_ms: u64,
     /// What its surveys of waiting work have shown.
     pub runnable: RunnableWatch,
     /// Earliest time of the next survey, on the process's clock in milliseconds.
--- a/crates/bh-control/src/core/operator.rs
+++ b/crates/bh-control/src/core/operator.rs
@@ -119,8 +119,8 @@
     let record = held.as_ref().map(|led| led.starts_record);
     let recording_ms = record.map_or(0, |record| record.age_ms(now_ms));
     metrics.gauge("starts_recording_ms", recording_ms);
-    let inherited = held.as_ref().map_or(0, |led| led.inherited.count());
-    metrics.gauge("runs_inherited", size(inherited));
+    let inherited_runs = held.as_ref().map_or(0, |led| led.inherited_runs.count());
+    metrics.gauge("runs_inherited", size(inherited_runs));
     metrics.gauge("jobs_without_runs", size(jobs_without_runs));
     metrics.gauge("workers_silent", size(counts.workers_silent));
     metrics.gauge("workers_outdated", size(counts.workers_outdated));
--- a/crates/bh-control/src/core/orders.rs
+++ b/crates/bh-control/src/core/orders.rs
@@ -4,12 +4,12 @@
 use super::carry::Sent;
 use super::core_node::CoreNode;
 use super::departures::log_departures;
+use super::detection::Detection;
 use super::job_ends::log_job_ends;
-use super::learnt::Learnt;
 use super::records::Origin;
 use super::records::record;
-use super::run_ends::learnt_by;
-use super::run_ends::learnt_unheard;
+use super::run_ends::detected_by_answer;
+use super::run_ends::detected_without_answer;
 use super::run_ends::log_run_ends;
 use super::run_ends::log_skipped_ends;
 use super::run_ends::log_unrecorded;
@@ -43,7 +43,7 @@
     let (orders, ends) = leadership.dispatcher.orders(now_ms, &workload, all);
     let dispatcher = &leadership.dispatcher;
     log_run_ends(core, leadership.term, &workload, &ends, dispatcher, |end| {
-        learnt_unheard(dispatcher, end)
+        detected_without_answer(dispatcher, end)
     });
     drop(workload);
     let origin = Origin {
@@ -152,7 +152,7 @@
     if let Some(Command::Ends { ends, .. }) = &command {
         let dispatcher = &leadership.dispatcher;
         log_run_ends(core, order.token, &workload, ends, dispatcher, |end| {
-            learnt_by(order, answer, end)
+            detected_by_answer(order, answer, end)
         });
         leadership
             .planner
@@ -169,12 +169,12 @@
     drop(workload);
     drop(held);
     if let Some(command) = command {
-        let learnt = match answer {
-            Answer::OtherIncarnation => Learnt::OtherIncarnation,
-            Answer::Restarted { .. } => Learnt::Restarted,
-            _ => Learnt::Leave,
+        let detection = match answer {
+            Answer::OtherIncarnation => Detection::OtherIncarnation,
+            Answer::Restarted { .. } => Detection::Restarted,
+            _ => Detection::Leave,
         };
-        log_departures(core, order.token, &command, learnt);
+        log_departures(core, order.token, &command, detection);
         record(core, command, origin);
     }
     core.wake();
--- a/crates/bh-control/src/core/run_ends.rs
+++ b/crates/bh-control/src/core/run_ends.rs
@@ -1,7 +1,7 @@
 //! What is told of runs that are over, and of runs that no record explains.
 
 use super::core_node::CoreNode;
-use super::learnt::Learnt;
+use super::detection::Detection;
 use bh_protocol::Incarnation;
 use bh_workload::dispatch::Answer;
 use bh_workload::dispatch::Dispatcher;
@@ -23,7 +23,7 @@
     workload: &Workload,
     ends: &[End],
     dispatcher: &Dispatcher,
-    learnt: impl Fn(&End) -> Learnt,
+    detection: impl Fn(&End) -> Detection,
 ) {
     for end in ends {
         let open = workload
@@ -35,7 +35,7 @@
         core.metrics.count(counter(end.kind), 1);
         let recorded_to = recorded_to(dispatcher, &end.worker);
         log::info!(
-            run = end.run.to_string(), worker = end.worker.to_string(), end:? = end.kind, learnt:? = learnt(end), term, open,
+            run = end.run.to_string(), worker = end.worker.to_string(), end:? = end.kind, learnt:? = detection(end), term, open,
             failures = failures(workload, end.run.task), saved = end.checkpoint.is_some(), recorded_to;
             "run over"
         );
@@ -43,29 +43,29 @@
 }
 
 /// How an end became known for which no answer was needed.
-pub(super) fn learnt_unheard(dispatcher: &Dispatcher, end: &End) -> Learnt {
+pub(super) fn detected_without_answer(dispatcher: &Dispatcher, end: &End) -> Detection {
     if end.kind == EndKind::NotStarted {
-        return Learnt::NeverSent;
+        return Detection::NeverSent;
     }
     let target = dispatcher.view(&end.worker);
     let was_unsaid = target.is_some_and(|target| target.unsaid.contains(&end.run));
     if end.kind == EndKind::Lost && was_unsaid {
-        Learnt::BrokenGang
+        Detection::BrokenGang
     } else {
-        Learnt::Lapsed
+        Detection::Lapsed
     }
 }
 
 /// How an end became known by an answer.
-pub(super) fn learnt_by(order: &Order, answer: &Answer, end: &End) -> Learnt {
+pub(super) fn detected_by_answer(order: &Order, answer: &Answer, end: &End) -> Detection {
     match answer {
-        Answer::OtherIncarnation => Learnt::OtherIncarnation,
-        Answer::Restarted { .. } => Learnt::Restarted,
-        Answer::Denied { .. } => Learnt::Refused,
+        Answer::OtherIncarnation => Detection::OtherIncarnation,
+        Answer::Restarted { .. } => Detection::Restarted,
+        Answer::Denied { .. } => Detection::Refused,
         _ if matches!(order.body, OrderBody::Look { .. }) && end.kind != EndKind::NotStarted => {
-            Learnt::Listed
+            Detection::Listed
         }
-        _ => Learnt::NotListed,
+        _ => Detection::NotListed,
     }
 }
 
--- a/crates/bh-control/src/core/serve.rs
+++ b/crates/bh-control/src/core/serve.rs
@@ -9,7 +9,7 @@
 use super::incoming;
 use super::leader_loop;
 use super::operator;
-use super::unheard::Unheard;
+use super::undelivered_heartbeats::UndeliveredHeartbeats;
 use super::worker_calls::WorkerCalls;
 use crate::config::LocalConfig;
 use crate::dialect::Dialect;
@@ -86,8 +86,8 @@
         led_ms: Cell::new(None),
         shared_workers: Cell::new(false),
         carry_delay: RefCell::new(CarryDelay::default()),
-        unheard: RefCell::new(Unheard::default()),
-        signs: RefCell::new(BTreeMap::new()),
+        undelivered_heartbeats: RefCell::new(UndeliveredHeartbeats::default()),
+        heartbeats_to_relay: RefCell::new(BTreeMap::new()),
         draining: CancellationToken::new(),
         metrics: Rc::new(Metrics::new()),
         in_progress: Cell::new(0),
@@ -123,7 +123,7 @@
         }
     });
     monoio::spawn(leader_loop::run(core.clone(), wakes));
-    monoio::spawn(heartbeats::tell_leader(core.clone()));
+    monoio::spawn(heartbeats::relay_to_leader(core.clone()));
     let serving = core.clone();
     monoio::spawn(server::serve(
         control_listener,
--- a/crates/bh-control/src/core/unheard.rs
+++ b/crates/bh-control/src/core/undelivered_heartbeats.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 /// Workers remembered at a time; about as many as a fleet has.
-const MOST_REMEMBERED: usize = 20_000;
+const MAX_WORKERS: usize = 20_000;
 
 /// The last heartbeat of each worker that no leader took, and when it came on this core's clock, in milliseconds.
 ///
@@ -16,33 +16,33 @@
 /// give them work at once where they say what the record says; were each to be waited for until its next heartbeat, urgent work would wait
 /// for a second or more after each longer time without a leader.
 #[derive(Clone, Debug, Default)]
-pub struct Unheard {
+pub struct UndeliveredHeartbeats {
     by_worker: BTreeMap<Incarnation, (u64, WorkerHeartbeat)>,
 }
 
-impl Unheard {
+impl UndeliveredHeartbeats {
     /// Notes what became of a heartbeat that came at `now_ms`.
     pub fn note(&mut self, now_ms: u64, heartbeat: &WorkerHeartbeat, answer: &Answer) {
         let id = &heartbeat.info.id;
         if matches!(answer, Answer::Heard { .. }) {
             self.by_worker.remove(id);
-        } else if self.by_worker.len() < MOST_REMEMBERED {
-            let noted = (now_ms, heartbeat.clone());
-            self.by_worker.insert(id.clone(), noted);
+        } else if self.by_worker.len() < MAX_WORKERS {
+            let entry = (now_ms, heartbeat.clone());
+            self.by_worker.insert(id.clone(), entry);
         }
     }
 
     /// Tells a new leader of the heartbeats that say what the record says; any other must be recorded first, and comes again.
-    pub fn tell(&mut self, dispatcher: &mut Dispatcher, workload: &Workload) {
-        for (id, (heard_ms, heartbeat)) in std::mem::take(&mut self.by_worker) {
-            let is_known = workload.worker(&id).is_some_and(|worker| {
+    pub fn replay(&mut self, dispatcher: &mut Dispatcher, workload: &Workload) {
+        for (id, (received_ms, heartbeat)) in std::mem::take(&mut self.by_worker) {
+            let matches_record = workload.worker(&id).is_some_and(|worker| {
                 worker.info.says_the_same(&heartbeat.info)
                     && worker.draining == heartbeat.draining
                     && worker.info.sequence <= heartbeat.sequence
             });
-            if is_known {
-                dispatcher.note_heartbeat(heard_ms, &id, heartbeat.clock_ms);
-                dispatcher.note_cold(heard_ms, &id, heartbeat.cold_ms);
+            if matches_record {
+                dispatcher.note_heartbeat(received_ms, &id, heartbeat.clock_ms);
+                dispatcher.note_cold(received_ms, &id, heartbeat.cold_ms);
             }
         }
     }
--- a/crates/bh-control/src/core/upkeep.rs
+++ b/crates/bh-control/src/core/upkeep.rs
@@ -2,7 +2,7 @@
 
 use super::core_node::CoreNode;
 use super::departures::log_departures;
-use super::learnt::Learnt;
+use super::detection::Detection;
 use super::records::propose;
 use super::worker_calls::Answered;
 use super::worker_calls::Unanswered;
@@ -84,7 +84,7 @@
         .filter(|leadership| leadership.term == order.token)
         .and_then(|leadership| leadership.keeper.note_answer(now_ms, &order, answer));
     if let Some(command) = command {
-        log_departures(&core, order.token, &command, Learnt::Upkeep);
+        log_departures(&core, order.token, &command, Detection::Upkeep);
         record(core, command).await;
     }
 }
--- a/crates/bh-control/tests/inherited.rs
+++ b/crates/bh-control/tests/inherited_runs.rs
@@ -3,7 +3,7 @@
 #[path = "../../bh-workload/tests/support/mod.rs"]
 mod support;
 
-use bh_control::core::Inherited;
+use bh_control::core::InheritedRuns;
 use bh_workload::job::StepSpec;
 use bh_workload::state::EndKind;
 use support::Site;
@@ -18,21 +18,27 @@
     site.plan_and_start();
     site.send_starts();
     site.take_over(2);
-    let mut inherited = Inherited::new(&site.workload);
-    assert_eq!(inherited.count(), 3);
+    let mut inherited_runs = InheritedRuns::new(&site.workload);
+    assert_eq!(inherited_runs.count(), 3);
     let runs = site.open_runs();
 
     site.advance(100);
     let answer = site.looked(&runs[0].0, &[]);
     site.answer_for(&runs[0].0, &answer);
     site.end(runs[1].1, EndKind::Done);
-    assert_eq!(inherited.settle(&site.workload, &site.dispatcher), None);
-    assert_eq!(inherited.count(), 1);
+    assert_eq!(
+        inherited_runs.remove_settled(&site.workload, &site.dispatcher),
+        None
+    );
+    assert_eq!(inherited_runs.count(), 1);
 
     site.end(runs[2].1, EndKind::Lost);
-    let last = inherited.settle(&site.workload, &site.dispatcher);
+    let last = inherited_runs.remove_settled(&site.workload, &site.dispatcher);
     assert_eq!(last, Some(runs[2].clone()));
-    assert_eq!(inherited.settle(&site.workload, &site.dispatcher), None);
+    assert_eq!(
+        inherited_runs.remove_settled(&site.workload, &site.dispatcher),
+        None
+    );
 }
 
 /// Guards against a gang that waits for some of its runs being counted as whole, or one that waits for room as broken.
--- a/crates/bh-control/tests/unheard.rs
+++ b/crates/bh-control/tests/undelivered_heartbeats.rs
@@ -6,7 +6,7 @@
 
 use bh_control::calls::Answer;
 use bh_control::calls::WorkerHeartbeat;
-use bh_control::core::Unheard;
+use bh_control::core::UndeliveredHeartbeats;
 use bh_protocol::Incarnation;
 use bh_workload::dispatch::Dispatcher;
 use bh_workload::dispatch::Timing;
@@ -52,17 +52,17 @@
     let known = ["same", "shrunk", "taken"].map(|id| WorkerChange::Known(heartbeat(id, 8).info));
     let mut workload = Workload::default();
     workload.apply(Command::Workers(known.to_vec()));
-    let mut unheard = Unheard::default();
+    let mut undelivered = UndeliveredHeartbeats::default();
     let came_ms = ELECTED_MS - 300;
-    unheard.note(came_ms, &heartbeat("same", 8), &Answer::NotLeader);
-    unheard.note(came_ms, &heartbeat("shrunk", 4), &Answer::NotLeader);
-    unheard.note(came_ms, &heartbeat("taken", 8), &Answer::NotLeader);
+    undelivered.note(came_ms, &heartbeat("same", 8), &Answer::NotLeader);
+    undelivered.note(came_ms, &heartbeat("shrunk", 4), &Answer::NotLeader);
+    undelivered.note(came_ms, &heartbeat("taken", 8), &Answer::NotLeader);
     let heard = Answer::Heard { next_address: None };
-    unheard.note(came_ms, &heartbeat("taken", 8), &heard);
+    undelivered.note(came_ms, &heartbeat("taken", 8), &heard);
 
     let timing = Timing::DEFAULT;
     let mut dispatcher = Dispatcher::new(timing, 2, ELECTED_MS, &workload).with_old_record();
-    unheard.tell(&mut dispatcher, &workload);
+    undelivered.replay(&mut dispatcher, &workload);
     let is_current = |id: &str| {
         let target = dispatcher.view(&Incarnation::parse(id).unwrap());
         target.is_some_and(|target| target.is_current(ELECTED_MS, &timing))
