--- a/crates/bh-control/src/core/answer_call.rs
+++ b/crates/bh-control/src/core/answer_call.rs
@@ -21,7 +21,7 @@
 use std::rc::Rc;
 
 /// Wait until a read is known to be of the newest state, in milliseconds: one round between the cores, with room for a slow one.
-const READ_MS: u64 = 1_000;
+const READ_TIMEOUT_MS: u64 = 1_000;
 
 /// Answers `call`, or says that this core does not lead.
 ///
@@ -46,7 +46,7 @@
         Call::Submit {
             place,
             spec: Err(problem),
-        } => match newest(core).await {
+        } => match confirm_state(core).await {
             Err(answer) => answer,
             Ok(()) => match core.group.machine.read().find(&place) {
                 Ok(_) => Answer::Refused(Refusal::BadJob(problem)),
@@ -54,9 +54,9 @@
             },
         },
         Call::Cancel { place } => change(core, Command::Cancel { place, now_ms: 0 }).await,
-        Call::Read { place } => match newest(core).await {
+        Call::Read { place } => match confirm_state(core).await {
             Err(answer) => answer,
-            Ok(()) => read(core, &place),
+            Ok(()) => read_state(core, &place),
         },
         Call::Heartbeat(heartbeat) => handle_heartbeat(core, heartbeat).await,
         Call::Leave { worker } => leave(core, &worker).await,
@@ -79,7 +79,7 @@
             };
             change_data_centre(core, &data_centre, command).await
         }
-        Call::GetWave { id } => match newest(core).await {
+        Call::GetWave { id } => match confirm_state(core).await {
             Err(answer) => answer,
             Ok(()) => match core.group.machine.read().wave(id) {
                 Some(wave) => Answer::Wave {
@@ -88,7 +88,7 @@
                 None => Answer::Refused(Refusal::NoWave),
             },
         },
-        Call::GetRules => match newest(core).await {
+        Call::GetRules => match confirm_state(core).await {
             Err(answer) => answer,
             Ok(()) => match &core.group.machine.read().rules {
                 Some(rules) => Answer::Rules(rules.document.clone()),
@@ -168,9 +168,9 @@
     }
 }
 
-async fn newest(core: &Rc<CoreNode>) -> Result<(), Answer> {
+async fn confirm_state(core: &Rc<CoreNode>) -> Result<(), Answer> {
     core.group
-        .read(READ_MS)
+        .read(READ_TIMEOUT_MS)
         .await
         .map_err(|_| Answer::NotLeader)
 }
@@ -192,7 +192,7 @@
     }
 }
 
-fn read(core: &Rc<CoreNode>, place: &Place) -> Answer {
+fn read_state(core: &Rc<CoreNode>, place: &Place) -> Answer {
     let workload = core.group.machine.read();
     let found = match workload.find(place) {
         Ok(found) => found,
--- a/crates/bh-control/src/core/carriers.rs
+++ b/crates/bh-control/src/core/carriers.rs
@@ -6,10 +6,10 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Connections of one worker: its heartbeats, the look that always waits, and an order now and then.
-const CONNECTIONS_EACH: usize = 3;
+const CONNECTIONS_PER_WORKER: usize = 3;
 /// Share of its descriptors up to which the leader talks to all workers itself, in percent. What is left is for idle connections, links to
 /// entries and files; beyond it the cores share the workers. Below it that would only add a second process that may be lost.
-const DIRECT_PERCENT: usize = 25;
+const SHARE_ABOVE_PERCENT: usize = 25;
 
 /// A core that can be reached now.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -24,16 +24,16 @@
 
 /// Share below which a leader talks to all workers itself again, in percent: a fleet whose size goes up and down around one limit would have its
 /// connections opened anew each time.
-const DIRECT_AGAIN_PERCENT: usize = 15;
+const UNSHARE_BELOW_PERCENT: usize = 15;
 
 /// Whether the cores share the workers, rather than the leader talking to all of them; `already` when they did so far.
-pub fn are_shared(workers: usize, descriptors: usize, already: bool) -> bool {
-    let percent = if already {
-        DIRECT_AGAIN_PERCENT
+pub fn should_share_workers(workers: usize, descriptors: usize, is_shared: bool) -> bool {
+    let percent = if is_shared {
+        UNSHARE_BELOW_PERCENT
     } else {
-        DIRECT_PERCENT
+        SHARE_ABOVE_PERCENT
     };
-    workers * CONNECTIONS_EACH * 100 > descriptors * percent
+    workers * CONNECTIONS_PER_WORKER * 100 > descriptors * percent
 }
 
 /// The core among `cores` that talks to a worker: one of its own data centre if there is any, since they are cut off together and what they
--- a/crates/bh-control/src/core/carry.rs
+++ b/crates/bh-control/src/core/carry.rs
@@ -33,10 +33,10 @@
 
 /// Time that the way over the carrier may take beside the worker's answer, in milliseconds: two hops of some milliseconds, with room for a
 /// busy processor.
-const HOP_MS: u64 = 150;
+const RELAY_OVERHEAD_MS: u64 = 150;
 
 /// What became of an order.
-pub(super) enum Sent {
+pub(super) enum SendOutcome {
     /// The worker answered.
     Answered {
         /// Its answer.
@@ -62,7 +62,7 @@
     to: &Recipient,
     request: Request<Bytes>,
     limit_ms: u64,
-) -> Sent {
+) -> SendOutcome {
     if let Some(carrier) = carrier_of(core, &to.worker) {
         let carry = CarryRequest {
             term,
@@ -75,24 +75,24 @@
             body: request.body().to_vec(),
         };
         core.metrics.count("orders_carried", 1);
-        match over(&carrier, &carry).await {
+        match send_over(&carrier, &carry).await {
             // Refused, so nothing was sent: the carrier knows of a later term, or takes the order for held up because a clock stood still.
             Ok(reply) if reply.outcome() == CarryOutcome::NotCarried => {
                 core.metrics.count("orders_refused_by_carriers", 1);
             }
-            Ok(reply) => return sent(reply),
-            Err(CallError::Lost) => return Sent::CarrierLost("no answer".to_owned()),
+            Ok(reply) => return outcome_of(reply),
+            Err(CallError::Lost) => return SendOutcome::CarrierLost("no answer".to_owned()),
             // Nothing left this core yet.
             Err(CallError::NotSent) => {}
         }
     }
     match core.workers.send(to.address, request, limit_ms).await {
-        Ok(Answered { response, repeated }) => Sent::Answered { response, repeated },
+        Ok(Answered { response, repeated }) => SendOutcome::Answered { response, repeated },
         Err(Unanswered {
             error: SendError::Refused,
             repeated,
-        }) => Sent::NotListening { repeated },
-        Err(Unanswered { error, .. }) => Sent::NoAnswer(error.to_string()),
+        }) => SendOutcome::NotListening { repeated },
+        Err(Unanswered { error, .. }) => SendOutcome::NoAnswer(error.to_string()),
     }
 }
 
@@ -104,8 +104,8 @@
 }
 
 /// Has `carrier` carry an order, until it answers or is lost.
-async fn over(carrier: &Peer, carry: &CarryRequest) -> Result<CarryReply, CallError> {
-    let limit_ms = carry.limit_ms + HOP_MS;
+async fn send_over(carrier: &Peer, carry: &CarryRequest) -> Result<CarryReply, CallError> {
+    let limit_ms = carry.limit_ms + RELAY_OVERHEAD_MS;
     let reply = monoio::select! {
         reply = carrier.call(RpcKind::Carry, carry.encode_to_vec(), limit_ms) => reply?,
         () = carrier.fallen_silent() => return Err(CallError::Lost),
@@ -124,23 +124,23 @@
     headers.collect()
 }
 
-fn sent(reply: CarryReply) -> Sent {
+fn outcome_of(reply: CarryReply) -> SendOutcome {
     let why = || String::from_utf8_lossy(&reply.body).into_owned();
     match reply.outcome() {
-        CarryOutcome::NotListening => Sent::NotListening {
+        CarryOutcome::NotListening => SendOutcome::NotListening {
             repeated: !reply.never_sent,
         },
-        CarryOutcome::NotCarried | CarryOutcome::NoAnswer => Sent::NoAnswer(why()),
+        CarryOutcome::NotCarried | CarryOutcome::NoAnswer => SendOutcome::NoAnswer(why()),
         CarryOutcome::Answered => {
             let status = u16::try_from(reply.status)
                 .ok()
                 .and_then(|status| StatusCode::from_u16(status).ok());
             let Some(status) = status else {
-                return Sent::NoAnswer(format!("status {}", reply.status));
+                return SendOutcome::NoAnswer(format!("status {}", reply.status));
             };
             let mut response = Response::new(Bytes::from(reply.body));
             *response.status_mut() = status;
-            Sent::Answered {
+            SendOutcome::Answered {
                 response,
                 repeated: reply.repeated,
             }
@@ -151,13 +151,13 @@
 /// Carries an order of the leader to a worker; returns the encoded answer.
 pub(super) async fn carry(core: &Rc<CoreNode>, body: &[u8]) -> Vec<u8> {
     let reply = match CarryRequest::decode(body) {
-        Ok(request) => carried(core, request).await,
+        Ok(request) => carry_decoded(core, request).await,
         Err(error) => not_carried(error.to_string()),
     };
     reply.encode_to_vec()
 }
 
-async fn carried(core: &Rc<CoreNode>, carry: CarryRequest) -> CarryReply {
+async fn carry_decoded(core: &Rc<CoreNode>, carry: CarryRequest) -> CarryReply {
     let known = core.group.status().term;
     if carry.term < known {
         return not_carried(format!("term {} is over, this is {known}", carry.term));
--- a/crates/bh-control/src/core/core_node.rs
+++ b/crates/bh-control/src/core/core_node.rs
@@ -45,7 +45,7 @@
     /// What it does as the leader; `None` while it does not lead.
     pub leadership: RefCell<Option<Leadership>>,
     /// When somebody was last known to lead, on the process's clock in milliseconds; `None` since the process began.
-    pub led_ms: Cell<Option<u64>>,
+    pub last_led_ms: Cell<Option<u64>>,
     /// Whether the cores shared the workers when that was last asked.
     pub shared_workers: Cell<bool>,
     /// How long orders that it carries were on their way.
@@ -63,7 +63,7 @@
     /// Wakes the leader's loop.
     pub wake: unbounded::Tx<()>,
     /// Whether a wake is on its way already.
-    pub woken: Cell<bool>,
+    pub wake_pending: Cell<bool>,
 }
 
 impl CoreNode {
@@ -101,7 +101,7 @@
     /// Whether the cores share the workers.
     pub fn shares_workers(&self) -> bool {
         let workers = self.group.machine.read().worker_count();
-        let shared = carriers::are_shared(
+        let shared = carriers::should_share_workers(
             workers,
             self.config.descriptors(),
             self.shared_workers.get(),
@@ -147,7 +147,7 @@
 
     /// Wakes the leader's loop, once for many reasons at a time.
     pub fn wake(&self) {
-        if !self.woken.replace(true) {
+        if !self.wake_pending.replace(true) {
             // The loop ends only with the process.
             let _ = self.wake.send(());
         }
--- a/crates/bh-control/src/core/driver.rs
+++ b/crates/bh-control/src/core/driver.rs
@@ -20,12 +20,12 @@
 /// Name of the replicated group.
 const GROUP: &str = "workload";
 /// Time between a leader's heartbeats, in milliseconds. Cores stand milliseconds apart; the rest is room for a busy processor.
-const HEARTBEAT_MS: u64 = 120;
+const HEARTBEAT_INTERVAL_MS: u64 = 120;
 /// Least silence before an election, in milliseconds: a sync may take tens of milliseconds, and a small VM's share of a processor may
 /// pause for a tenth of a second.
-const ELECTION_MS: u64 = 700;
+const ELECTION_TIMEOUT_MS: u64 = 700;
 /// The same for a core that has heard no leader since it started, in milliseconds: two heartbeats, in which a leader would have shown itself.
-const FIRST_ELECTION_MS: u64 = 2 * HEARTBEAT_MS;
+const FIRST_ELECTION_TIMEOUT_MS: u64 = 2 * HEARTBEAT_INTERVAL_MS;
 /// Silence after which a core's vote passes to another one that has caught up, in milliseconds. A restart is over sooner; a core that is
 /// gone for good must be replaced before the next one may be lost.
 const REPLACE_AFTER_MS: u64 = 2_000;
@@ -34,11 +34,11 @@
 
 /// The core once it is built; the driver's hooks exist before.
 #[derive(Clone, Default)]
-pub(super) struct Late {
+pub(super) struct DeferredCore {
     core: Rc<RefCell<Option<Rc<CoreNode>>>>,
 }
 
-impl Late {
+impl DeferredCore {
     /// Makes the core known.
     pub fn set(&self, core: Rc<CoreNode>) {
         *self.core.borrow_mut() = Some(core);
@@ -58,7 +58,7 @@
     config: &LocalConfig,
     folder: &Folder,
     clock: &Clock,
-    late: &Late,
+    deferred: &DeferredCore,
 ) -> Result<(Driver<Workload>, Group<Workload>), Failure> {
     let consensus = Config {
         group: Arc::from(GROUP),
@@ -70,21 +70,21 @@
             count: config.voters(),
             replace_after_ms: REPLACE_AFTER_MS,
         },
-        heartbeat_ms: HEARTBEAT_MS,
-        election_ms: ELECTION_MS,
-        first_election_ms: FIRST_ELECTION_MS,
+        heartbeat_ms: HEARTBEAT_INTERVAL_MS,
+        election_ms: ELECTION_TIMEOUT_MS,
+        first_election_ms: FIRST_ELECTION_TIMEOUT_MS,
         election_delay_ms: 0,
         seed: folder.replica(),
     };
     let machine = Machine::new(Workload::default(), Workload::CODEC);
     let storage = Some(folder.journal(GROUP)?);
-    let hooks = hooks(late);
+    let hooks = hooks(deferred);
     let (driver, group) = Driver::new(consensus, machine, storage, clock.clone(), hooks)?;
     Ok((driver.with_snapshot_entries(SNAPSHOT_ENTRIES), group))
 }
 
-fn hooks(late: &Late) -> Hooks {
-    let (sending, applying, changing) = (late.clone(), late.clone(), late.clone());
+fn hooks(deferred: &DeferredCore) -> Hooks {
+    let (sending, applying, changing) = (deferred.clone(), deferred.clone(), deferred.clone());
     Hooks {
         send: Box::new(move |message| {
             if let Some(core) = sending.get() {
--- a/crates/bh-control/src/core/evacuations.rs
+++ b/crates/bh-control/src/core/evacuations.rs
@@ -20,7 +20,7 @@
 
 /// Wait for the order to be recorded, in milliseconds: an operator at a command line waits for longer than a program, and an election may be
 /// going on.
-const ORDER_MS: u64 = 5_000;
+const ORDER_TIMEOUT_MS: u64 = 5_000;
 
 /// An evacuation that goes on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -81,10 +81,12 @@
         data_centre,
         is_evacuated,
     };
-    Some(match incoming::decide(core, &call, ORDER_MS).await {
-        Answer::Done => answer::json(&ordered),
-        other => answer::failed(&failure(&ordered.data_centre, &other)),
-    })
+    Some(
+        match incoming::decide(core, &call, ORDER_TIMEOUT_MS).await {
+            Answer::Done => answer::json(&ordered),
+            other => answer::failed(&failure(&ordered.data_centre, &other)),
+        },
+    )
 }
 
 fn failure(data_centre: &str, answer: &Answer) -> Failure {
--- a/crates/bh-control/src/core/formation.rs
+++ b/crates/bh-control/src/core/formation.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 
 /// Wait for an answer, in milliseconds.
-const ANSWER_MS: u64 = 500;
+const ANSWER_TIMEOUT_MS: u64 = 500;
 /// File with the first voters. It outlives a crash between the first start and the forming, and goes with an emptied disk: a core
 /// that lost its disk must not form a second group beside the one it forgot.
 const FIRST_VOTERS_FILE: &str = "first-voters";
@@ -58,7 +58,7 @@
             let address = SocketAddr::new(name.parse().ok()?, core.config.peer_port);
             let peer = core.mesh.peer(address)?;
             let reply = peer
-                .call(RpcKind::Formation, Vec::new(), ANSWER_MS)
+                .call(RpcKind::Formation, Vec::new(), ANSWER_TIMEOUT_MS)
                 .await
                 .ok()?;
             serde_json::from_slice::<Formation>(&reply.body).ok()
--- a/crates/bh-control/src/core/heartbeats.rs
+++ b/crates/bh-control/src/core/heartbeats.rs
@@ -61,7 +61,10 @@
 ) -> Option<bool> {
     let mut held = core.leadership.borrow_mut();
     let leadership = held.as_mut()?;
-    let newest = leadership.sequences.entry(worker.clone()).or_default();
+    let newest = leadership
+        .heartbeat_sequences
+        .entry(worker.clone())
+        .or_default();
     let out_of_order = heartbeat.sequence < *newest;
     if out_of_order {
         core.metrics.count("heartbeats_out_of_order", 1);
--- a/crates/bh-control/src/core/incoming.rs
+++ b/crates/bh-control/src/core/incoming.rs
@@ -19,7 +19,7 @@
 
 /// Longest time that a call is worked on when its sender does not say how long it waits, in milliseconds; workers and operators turn to
 /// another core after a second.
-const DEFAULT_PATIENCE_MS: u64 = 900;
+const DEFAULT_TIMEOUT_MS: u64 = 900;
 
 /// What this core does with what comes over links.
 pub(super) fn service(core: &Rc<CoreNode>) -> Service {
@@ -44,7 +44,7 @@
         return Vec::new();
     }
     let answer = match serde_json::from_slice::<Call>(&request.body) {
-        Ok(call) => counted(&core, answer_call(&core, call)).await,
+        Ok(call) => count_in_progress(&core, answer_call(&core, call)).await,
         Err(error) => {
             log::warn!("a call between processes cannot be read: {error}");
             Answer::Unknown
@@ -54,7 +54,7 @@
 }
 
 /// Counts a call as in progress, so that a graceful end waits for it.
-async fn counted<T>(core: &Rc<CoreNode>, work: impl Future<Output = T>) -> T {
+async fn count_in_progress<T>(core: &Rc<CoreNode>, work: impl Future<Output = T>) -> T {
     core.in_progress.set(core.in_progress.get() + 1);
     let result = work.await;
     core.in_progress.set(core.in_progress.get() - 1);
@@ -71,13 +71,13 @@
             return server::status(status);
         }
     };
-    let patience_ms = received.patience_ms.unwrap_or(DEFAULT_PATIENCE_MS);
-    let came_ms = core.clock.now_ms();
+    let patience_ms = received.patience_ms.unwrap_or(DEFAULT_TIMEOUT_MS);
+    let received_ms = core.clock.now_ms();
     let answer = decide(&core, &received.call, patience_ms).await;
     if let Call::Heartbeat(heartbeat) = &received.call {
         core.undelivered_heartbeats
             .borrow_mut()
-            .note(came_ms, heartbeat, &answer);
+            .note(received_ms, heartbeat, &answer);
     }
     (core.dialect.write_answer)(&received.call, &answer)
 }
@@ -86,17 +86,17 @@
 pub(super) async fn decide(core: &Rc<CoreNode>, call: &Call, patience_ms: u64) -> Answer {
     let decided = async {
         match answer_call(core, call.clone()).await {
-            Answer::NotLeader => as_follower(core, call, patience_ms).await,
+            Answer::NotLeader => handle_as_follower(core, call, patience_ms).await,
             answer => answer,
         }
     };
-    let answer = counted(core, decided).await;
+    let answer = count_in_progress(core, decided).await;
     log_control(call, &answer);
     answer
 }
 
 /// A call that came to a core that does not lead.
-async fn as_follower(core: &Rc<CoreNode>, call: &Call, patience_ms: u64) -> Answer {
+async fn handle_as_follower(core: &Rc<CoreNode>, call: &Call, patience_ms: u64) -> Answer {
     if let Call::Heartbeat(heartbeat) = call
         && let Some(answer) = heartbeats::accept_for_leader(core, heartbeat)
     {
--- a/crates/bh-control/src/core/standstill.rs
+++ b/crates/bh-control/src/core/job_stall.rs
@@ -5,7 +5,7 @@
 
 /// Why a stretch in which a job stood still is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StandstillEnd {
+pub enum StallEnd {
     /// Something of the job runs, or has run.
     Runs,
     /// The job is over.
@@ -16,13 +16,13 @@
 
 /// A stretch in which a job stood still.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Standstill {
+pub struct JobStall {
     /// The job.
     pub job: JobId,
     /// How long it has stood still since this leader first saw it so, in milliseconds.
-    pub stood_ms: u64,
+    pub stalled_ms: u64,
     /// What was last known of one of its steps.
     pub step: RunnableStep,
     /// Why it is over; `None` while it lasts.
-    pub end: Option<StandstillEnd>,
+    pub end: Option<StallEnd>,
 }
--- a/crates/bh-control/src/core/leader_loop.rs
+++ b/crates/bh-control/src/core/leader_loop.rs
@@ -3,12 +3,12 @@
 use super::core_node::CoreNode;
 use super::inherited_runs::InheritedRuns;
 use super::leadership::Leadership;
-use super::orders::give_orders;
+use super::orders::send_due_orders;
 use super::planning::plan;
 use super::records::Origin;
-use super::records::RECORD_MS;
+use super::records::RECORD_TIMEOUT_MS;
 use super::records::record;
-use super::runnable_watch::RunnableWatch;
+use super::runnable_tracker::RunnableTracker;
 use super::starts_record::StartsRecord;
 use super::surveys;
 use super::upkeep;
@@ -24,48 +24,52 @@
 use std::rc::Rc;
 
 /// Longest time between two turns of the loop while leading, in milliseconds: what is due by time alone is late by no more.
-const TURN_MS: u64 = 50;
+const LOOP_INTERVAL_MS: u64 = 50;
 /// The same while not leading.
-const IDLE_TURN_MS: u64 = 250;
+const IDLE_LOOP_INTERVAL_MS: u64 = 250;
 /// Time between checks for overdue runs, in milliseconds.
-const CHECK_MS: u64 = 400;
+const OVERDUE_CHECK_MS: u64 = 400;
 /// Time since a majority was heard after which a leader gives no more orders, in milliseconds. Another may have been elected without its
 /// knowing, for instance while this VM was suspended.
-const CONFIRMED_MS: u64 = 1_500;
+const QUORUM_TIMEOUT_MS: u64 = 1_500;
 /// Time between looks for runs that were taken over and have been heard of, in milliseconds.
 const INHERITED_CHECK_MS: u64 = 100;
 /// Time between looks for ended jobs that nobody asks for any more and for connections that nobody uses, in milliseconds.
-const FORGET_EVERY_MS: u64 = 10_000;
+const CLEANUP_INTERVAL_MS: u64 = 10_000;
 
 /// Time without a leader, in milliseconds, after which workers must be heard before they get work. A worker's room may change at any time,
 /// and what it said of itself is good for some three heartbeats: one since the last, and this time. Most losses of all cores are over
 /// sooner.
-const SHORT_GAP_MS: u64 = 2_500;
+const MAX_TRUSTED_GAP_MS: u64 = 2_500;
 
 /// Runs until the process ends.
 pub async fn run(core: Rc<CoreNode>, mut wakes: unbounded::Rx<()>) {
-    let mut forgot_ms = core.clock.now_ms();
+    let mut cleaned_up_ms = core.clock.now_ms();
     loop {
         let leads = core.leadership.borrow().is_some();
-        let wait_ms = if leads { TURN_MS } else { IDLE_TURN_MS };
+        let wait_ms = if leads {
+            LOOP_INTERVAL_MS
+        } else {
+            IDLE_LOOP_INTERVAL_MS
+        };
         if let Some(None) = within_ms(wait_ms, wakes.recv()).await {
             return;
         }
-        core.woken.set(false);
-        turn(&core).await;
-        if core.clock.now_ms() >= forgot_ms + FORGET_EVERY_MS {
-            forgot_ms = core.clock.now_ms();
-            forget_old(&core);
+        core.wake_pending.set(false);
+        run_once(&core).await;
+        if core.clock.now_ms() >= cleaned_up_ms + CLEANUP_INTERVAL_MS {
+            cleaned_up_ms = core.clock.now_ms();
+            forget_old_jobs(&core);
             core.workers.age_out();
         }
     }
 }
 
-async fn turn(core: &Rc<CoreNode>) {
+async fn run_once(core: &Rc<CoreNode>) {
     let status = core.group.status();
     let led_term = core.leadership.borrow().as_ref().map(|held| held.term);
     if !status.is_leader {
-        core.led_ms.set(status.heard_ms);
+        core.last_led_ms.set(status.heard_ms);
         if led_term.is_some() {
             step_down(core, "another leads, or no majority answers");
         }
@@ -76,28 +80,28 @@
         if led_term.is_some() {
             step_down(core, "a new term began");
         }
-        take_office(core, status.term).await;
+        take_over(core, status.term).await;
     }
     let now_ms = core.clock.now_ms();
     let confirmed = status
         .quorum_heard_ms
-        .is_some_and(|heard_ms| now_ms < heard_ms + CONFIRMED_MS);
+        .is_some_and(|heard_ms| now_ms < heard_ms + QUORUM_TIMEOUT_MS);
     if !confirmed {
         surveys::survey(core, confirmed);
         return;
     }
-    core.led_ms.set(Some(now_ms));
+    core.last_led_ms.set(Some(now_ms));
     check_inherited_runs(core, now_ms);
     check_overdue(core, now_ms);
-    upkeep::keep(core, now_ms);
-    give_orders(core, now_ms);
+    upkeep::advance_waves(core, now_ms);
+    send_due_orders(core, now_ms);
     plan(core);
     surveys::survey(core, confirmed);
 }
 
 fn step_down(core: &Rc<CoreNode>, why: &str) {
     let led = core.leadership.borrow_mut().take();
-    let standing_still = led.map_or(0, |led| led.runnable.standing_still());
+    let standing_still = led.map_or(0, |led| led.runnable.stalled_jobs());
     if !core.shares_workers() {
         core.workers.close();
     }
@@ -106,16 +110,16 @@
 }
 
 /// Waits until everything that earlier leaders recorded is applied, then takes it over.
-async fn take_office(core: &Rc<CoreNode>, term: u64) {
-    if core.group.read(RECORD_MS).await.is_err() || core.group.status().term != term {
+async fn take_over(core: &Rc<CoreNode>, term: u64) {
+    if core.group.read(RECORD_TIMEOUT_MS).await.is_err() || core.group.status().term != term {
         return;
     }
     let now_ms = core.clock.now_ms();
     core.group.machine.with_local(Workload::take_news);
     let workload = core.group.machine.read();
-    let gap_ms = gap_ms(core, now_ms, &workload);
+    let gap_ms = leaderless_ms(core, now_ms, &workload);
     let mut dispatcher = Dispatcher::new(core.config.timing(), term, now_ms, &workload);
-    if gap_ms > SHORT_GAP_MS {
+    if gap_ms > MAX_TRUSTED_GAP_MS {
         dispatcher = dispatcher.with_old_record();
     }
     core.undelivered_heartbeats
@@ -140,15 +144,15 @@
         planner: Planner::new(),
         starts_record: StartsRecord::new(),
         plan_due: true,
-        planned_ms: 0,
-        plan_from_ms: 0,
+        last_plan_ms: 0,
+        next_plan_ms: 0,
         inherited_runs,
-        inherited_checked_ms: 0,
-        runnable: RunnableWatch::new(),
-        survey_from_ms: 0,
-        swept_ms: 0,
-        checked_ms: 0,
-        sequences: BTreeMap::new(),
+        last_inherited_check_ms: 0,
+        runnable: RunnableTracker::new(),
+        next_survey_ms: 0,
+        last_sweep_ms: 0,
+        last_overdue_check_ms: 0,
+        heartbeat_sequences: BTreeMap::new(),
     });
     core.metrics.count("leads", 1);
     log::info!(core = &*core.config.name, term, jobs, gangs_broken, runs, gap_ms; "leads");
@@ -156,9 +160,9 @@
 }
 
 /// How long nobody has led, in milliseconds. A core that was restarted with all others knows it by the last time in the record.
-fn gap_ms(core: &CoreNode, now_ms: u64, workload: &Workload) -> u64 {
-    match core.led_ms.get() {
-        Some(led_ms) => now_ms.saturating_sub(led_ms),
+fn leaderless_ms(core: &CoreNode, now_ms: u64, workload: &Workload) -> u64 {
+    match core.last_led_ms.get() {
+        Some(last_led_ms) => now_ms.saturating_sub(last_led_ms),
         None => core.wall_ms().saturating_sub(workload.latest_ms),
     }
 }
@@ -169,11 +173,11 @@
     let Some(leadership) = held.as_mut() else {
         return;
     };
-    let due = now_ms >= leadership.inherited_checked_ms + INHERITED_CHECK_MS;
+    let due = now_ms >= leadership.last_inherited_check_ms + INHERITED_CHECK_MS;
     if !due || leadership.inherited_runs.count() == 0 {
         return;
     }
-    leadership.inherited_checked_ms = now_ms;
+    leadership.last_inherited_check_ms = now_ms;
     let workload = core.group.machine.read();
     let settled = leadership
         .inherited_runs
@@ -190,10 +194,10 @@
     let Some(leadership) = held.as_mut() else {
         return;
     };
-    if now_ms < leadership.checked_ms + CHECK_MS {
+    if now_ms < leadership.last_overdue_check_ms + OVERDUE_CHECK_MS {
         return;
     }
-    leadership.checked_ms = now_ms;
+    leadership.last_overdue_check_ms = now_ms;
     let workload = core.group.machine.read();
     let overdue = leadership
         .planner
@@ -209,16 +213,16 @@
     }
 }
 
-fn forget_old(core: &Rc<CoreNode>) {
+fn forget_old_jobs(core: &Rc<CoreNode>) {
     let term = core.leadership.borrow().as_ref().map(|held| held.term);
     let Some(term) = term else {
         return;
     };
     /// Kept longer than promised by this much, in milliseconds: wall clocks of cores differ and may jump.
-    const MARGIN_MS: u64 = 60_000;
+    const CLOCK_MARGIN_MS: u64 = 60_000;
     let before_ms = core
         .wall_ms()
-        .saturating_sub(core.config.timing().retention_ms + MARGIN_MS);
+        .saturating_sub(core.config.timing().retention_ms + CLOCK_MARGIN_MS);
     let oldest = core.group.machine.read().oldest_end_ms();
     if oldest.is_some_and(|end_ms| end_ms < before_ms) {
         let origin = Origin {
--- a/crates/bh-control/src/core/leadership.rs
+++ b/crates/bh-control/src/core/leadership.rs
@@ -1,7 +1,7 @@
 //! What a core holds while it leads.
 
 use super::inherited_runs::InheritedRuns;
-use super::runnable_watch::RunnableWatch;
+use super::runnable_tracker::RunnableTracker;
 use super::starts_record::StartsRecord;
 use bh_protocol::Incarnation;
 use bh_workload::dispatch::Dispatcher;
@@ -24,29 +24,29 @@
     /// Whether something has changed since the last plan.
     pub plan_due: bool,
     /// When the last plan was made, on the process's clock in milliseconds.
-    pub planned_ms: u64,
+    pub last_plan_ms: u64,
     /// Earliest time of the next plan, on the process's clock in milliseconds.
-    pub plan_from_ms: u64,
+    pub next_plan_ms: u64,
     /// Runs that it took over and has not heard of yet.
     pub inherited_runs: InheritedRuns,
     /// When these were last looked through, on the process's clock in milliseconds.
-    pub inherited_checked_ms: u64,
+    pub last_inherited_check_ms: u64,
     /// What its surveys of waiting work have shown.
-    pub runnable: RunnableWatch,
+    pub runnable: RunnableTracker,
     /// Earliest time of the next survey, on the process's clock in milliseconds.
-    pub survey_from_ms: u64,
+    pub next_survey_ms: u64,
     /// When all workers were last looked through, on the process's clock in milliseconds.
-    pub swept_ms: u64,
+    pub last_sweep_ms: u64,
     /// When runs were last checked for being overdue, on the process's clock in milliseconds.
-    pub checked_ms: u64,
+    pub last_overdue_check_ms: u64,
     /// Highest number of a heartbeat heard from each worker.
-    pub sequences: BTreeMap<Incarnation, u64>,
+    pub heartbeat_sequences: BTreeMap<Incarnation, u64>,
 }
 
 impl Leadership {
     /// Time since the last plan was begun, or since the election before the first one, in milliseconds.
     pub fn plan_age_ms(&self, now_ms: u64) -> u64 {
-        let since_ms = self.planned_ms.max(self.dispatcher.elected_ms());
+        let since_ms = self.last_plan_ms.max(self.dispatcher.elected_ms());
         now_ms.saturating_sub(since_ms)
     }
 }
--- a/crates/bh-control/src/core/operator.rs
+++ b/crates/bh-control/src/core/operator.rs
@@ -88,7 +88,10 @@
         metrics.gauge("waves", size(report.waves.len()));
         metrics.gauge("data_centres_evacuated", size(report.evacuations.len()));
         metrics.gauge("links_open", size(gauged.mesh.links_open()));
-        metrics.gauge("worker_calls_in_progress", size(gauged.workers.busy()));
+        metrics.gauge(
+            "worker_calls_in_progress",
+            size(gauged.workers.in_progress()),
+        );
         metrics.gauge("shares_workers", u64::from(gauged.shares_workers()));
         metrics.gauge("calls_in_progress", size(gauged.in_progress.get()));
         metrics.gauge("log_lines_dropped", log_lines_dropped());
--- a/crates/bh-control/src/core/orders.rs
+++ b/crates/bh-control/src/core/orders.rs
@@ -1,7 +1,7 @@
 //! The leader's orders to workers and their answers.
 
 use super::carry;
-use super::carry::Sent;
+use super::carry::SendOutcome;
 use super::core_node::CoreNode;
 use super::departures::log_departures;
 use super::detection::Detection;
@@ -23,10 +23,10 @@
 use std::rc::Rc;
 
 /// Time between passes over all workers, in milliseconds.
-const SWEEP_MS: u64 = 100;
+const SWEEP_INTERVAL_MS: u64 = 100;
 
 /// Sends the orders that are due, and records ends that are certain without any.
-pub(super) fn give_orders(core: &Rc<CoreNode>, now_ms: u64) {
+pub(super) fn send_due_orders(core: &Rc<CoreNode>, now_ms: u64) {
     let news = core.group.machine.with_local(Workload::take_news);
     let mut held = core.leadership.borrow_mut();
     let Some(leadership) = held.as_mut() else {
@@ -36,9 +36,9 @@
     leadership.plan_due |= news.plan;
     log_job_ends(core, leadership, &workload, &news.ended_jobs);
     leadership.dispatcher.note_news(now_ms, &news, &workload);
-    let all = now_ms >= leadership.swept_ms + SWEEP_MS;
+    let all = now_ms >= leadership.last_sweep_ms + SWEEP_INTERVAL_MS;
     if all {
-        leadership.swept_ms = now_ms;
+        leadership.last_sweep_ms = now_ms;
     }
     let (orders, ends) = leadership.dispatcher.orders(now_ms, &workload, all);
     let dispatcher = &leadership.dispatcher;
@@ -65,7 +65,7 @@
     let began_ms = core.clock.now_ms();
     let request = (core.dialect.write_order)(&order);
     let answer = match carry::send(&core, order.token, &order.to, request, limit_ms).await {
-        Sent::Answered { response, repeated } => {
+        SendOutcome::Answered { response, repeated } => {
             if repeated {
                 note_repeated(&core, &order, response.status());
             }
@@ -76,7 +76,7 @@
             }
             (core.dialect.read_answer)(&order, &response)
         }
-        Sent::NotListening { repeated } => {
+        SendOutcome::NotListening { repeated } => {
             core.metrics.count("orders_lost", 1);
             if repeated {
                 note_earlier_send(&core, &order);
@@ -84,12 +84,12 @@
             log::warn!(worker = order.to.worker.to_string(), order = order.body.to_string(); "nothing listens at a worker's address");
             Answer::NotListening
         }
-        Sent::NoAnswer(why) => {
+        SendOutcome::NoAnswer(why) => {
             core.metrics.count("orders_lost", 1);
             log::warn!(worker = order.to.worker.to_string(), order = order.body.to_string(); "no answer to an order: {why}");
             Answer::Lost
         }
-        Sent::CarrierLost(why) => {
+        SendOutcome::CarrierLost(why) => {
             core.metrics.count("orders_uncarried", 1);
             log::info!(worker = order.to.worker.to_string(), order = order.body.to_string(); "an order's carrier was lost: {why}");
             Answer::CarrierLost
--- a/crates/bh-control/src/core/planning.rs
+++ b/crates/bh-control/src/core/planning.rs
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 
 /// Longest time between plans while jobs wait, in milliseconds: patience runs out and times come due without any other event.
-const PLAN_MS: u64 = 200;
+const MAX_PLAN_INTERVAL_MS: u64 = 200;
 /// Plans when there is reason to, records what shall start and stops what gives way.
 pub(super) fn plan(core: &Rc<CoreNode>) {
     let now_ms = core.clock.now_ms();
@@ -23,8 +23,8 @@
     let Some(leadership) = held.as_mut() else {
         return;
     };
-    let due = leadership.plan_due || now_ms >= leadership.planned_ms + PLAN_MS;
-    if !due || now_ms < leadership.plan_from_ms {
+    let due = leadership.plan_due || now_ms >= leadership.last_plan_ms + MAX_PLAN_INTERVAL_MS;
+    if !due || now_ms < leadership.next_plan_ms {
         return;
     }
     if leadership.starts_record.is_open() {
@@ -33,9 +33,9 @@
         return;
     }
     leadership.plan_due = false;
-    leadership.planned_ms = now_ms;
+    leadership.last_plan_ms = now_ms;
     let workload = core.group.machine.read();
-    stop_cut_short(core, leadership, now_ms, &workload);
+    stop_runs_cut_short(core, leadership, now_ms, &workload);
     let planner = &mut leadership.planner;
     let Plan {
         starts,
@@ -47,7 +47,7 @@
     drop(workload);
     let over_ms = core.clock.now_ms();
     let took_ms = over_ms.saturating_sub(now_ms);
-    leadership.plan_from_ms = over_ms + plan_gap_ms(took_ms);
+    leadership.next_plan_ms = over_ms + plan_gap_ms(took_ms);
     core.metrics.time_ms("plan", took_ms);
     advice::ask(core, leadership, now_ms, questions);
     for (step, why) in unclaimed {
@@ -94,7 +94,12 @@
 }
 
 /// Stops what cannot end on workers that leave.
-fn stop_cut_short(core: &CoreNode, leadership: &mut Leadership, now_ms: u64, workload: &Workload) {
+fn stop_runs_cut_short(
+    core: &CoreNode,
+    leadership: &mut Leadership,
+    now_ms: u64,
+    workload: &Workload,
+) {
     let cut_short =
         leadership
             .planner
--- a/crates/bh-control/src/core/records.rs
+++ b/crates/bh-control/src/core/records.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 
 /// Wait for a record to be committed, in milliseconds. What takes longer may still be, and shows in the record then.
-pub(super) const RECORD_MS: u64 = 3_000;
+pub(super) const RECORD_TIMEOUT_MS: u64 = 3_000;
 
 /// What a record follows from.
 #[derive(Clone, Copy, Debug)]
@@ -72,7 +72,7 @@
     let command = command.at(core.wall_ms());
     let bytes = encode(&command)?;
     let began_ms = core.clock.now_ms();
-    let reply = core.group.propose(bytes, RECORD_MS).await?;
+    let reply = core.group.propose(bytes, RECORD_TIMEOUT_MS).await?;
     let took_ms = core.clock.now_ms().saturating_sub(began_ms);
     core.metrics.time_ms("record", took_ms);
     bh_group::decode(&reply)
--- a/crates/bh-control/src/core/serve.rs
+++ b/crates/bh-control/src/core/serve.rs
@@ -3,7 +3,7 @@
 use super::carry_delay::CarryDelay;
 use super::core_node::CoreNode;
 use super::driver;
-use super::driver::Late;
+use super::driver::DeferredCore;
 use super::formation;
 use super::heartbeats;
 use super::incoming;
@@ -60,8 +60,8 @@
     let folder = Folder::open(&path, &config.name)?;
     let replica = folder.replica();
     let clock = Clock::new();
-    let late = Late::default();
-    let (driver, group) = driver::build(&config, &folder, &clock, &late)?;
+    let deferred = DeferredCore::default();
+    let (driver, group) = driver::build(&config, &folder, &clock, &deferred)?;
     let stop = CancellationToken::new();
     let hello = Hello {
         name: config.name.to_string(),
@@ -83,7 +83,7 @@
         mesh: mesh.clone(),
         inbound: Rc::new(Inbound::default()),
         leadership: RefCell::new(None),
-        led_ms: Cell::new(None),
+        last_led_ms: Cell::new(None),
         shared_workers: Cell::new(false),
         carry_delay: RefCell::new(CarryDelay::default()),
         undelivered_heartbeats: RefCell::new(UndeliveredHeartbeats::default()),
@@ -92,9 +92,9 @@
         metrics: Rc::new(Metrics::new()),
         in_progress: Cell::new(0),
         wake,
-        woken: Cell::new(false),
+        wake_pending: Cell::new(false),
     });
-    late.set(core.clone());
+    deferred.set(core.clone());
     log::info!(core = &*core.config.name, replica = format!("{replica:016x}"), address = control.to_string(); "core starts");
     if let Some(address) = core.config.metrics_address {
         serve_metrics(
--- a/crates/bh-control/src/core/upkeep.rs
+++ b/crates/bh-control/src/core/upkeep.rs
@@ -14,10 +14,10 @@
 use std::rc::Rc;
 
 /// Wait for the answer of the service that keeps the VMs, in milliseconds: it answers within some tens when it is well.
-const ORDER_MS: u64 = 1_500;
+const ORDER_TIMEOUT_MS: u64 = 1_500;
 
 /// Does what the waves need now.
-pub(super) fn keep(core: &Rc<CoreNode>, now_ms: u64) {
+pub(super) fn advance_waves(core: &Rc<CoreNode>, now_ms: u64) {
     let Some(address) = core.config.vm_service_address else {
         return;
     };
@@ -68,7 +68,7 @@
 async fn send(core: Rc<CoreNode>, address: SocketAddr, order: UpkeepOrder) {
     let request = (core.dialect.write_upkeep)(&order, address);
     core.metrics.count("upkeep_orders", 1);
-    let answer = match core.workers.send(address, request, ORDER_MS).await {
+    let answer = match core.workers.send(address, request, ORDER_TIMEOUT_MS).await {
         Ok(Answered { response, .. }) => (core.dialect.read_upkeep)(&response),
         Err(Unanswered { error, .. }) => {
             log::warn!(vm = &*order.vm; "no answer to an order on a VM: {error}");
--- a/crates/bh-control/src/core/worker_calls.rs
+++ b/crates/bh-control/src/core/worker_calls.rs
@@ -12,23 +12,23 @@
 use std::net::SocketAddr;
 
 /// Time to open a connection, in milliseconds. Within a region it takes a few; a VM without power never answers.
-const CONNECT_MS: u64 = 600;
+const CONNECT_TIMEOUT_MS: u64 = 600;
 /// Largest answer of a worker in bytes: some hundred ends with their checkpoints.
 const MAX_ANSWER_BYTES: u64 = 4 << 20;
 /// Time after which an unused connection is closed, in milliseconds. Opening one costs the worker more than keeping it.
-const KEEP_MS: u64 = 60_000;
+const IDLE_TIMEOUT_MS: u64 = 60_000;
 /// Unused connections kept to one worker: one for the look that always waits, and some for starts that come together. Eight to each of
 /// 350 workers took two thirds of a small VM's descriptors, and without descriptors every worker seems lost.
-const KEEP_EACH: usize = 4;
+const MAX_IDLE_PER_WORKER: usize = 4;
 
 /// Share of the process's descriptors that unused connections to workers take at most, in percent. A process without descriptors can neither call
 /// a worker nor write its record.
-const KEEP_PERCENT: usize = 25;
+const MAX_IDLE_PERCENT: usize = 25;
 
 /// Share of the process's descriptors that calls in progress take at most, in percent.
-const BUSY_PERCENT: usize = 25;
+const MAX_IN_PROGRESS_PERCENT: usize = 25;
 /// Calls in progress at least, however few descriptors there are.
-const FEWEST_BUSY: usize = 8;
+const MIN_IN_PROGRESS_LIMIT: usize = 8;
 /// Time between looks for a call that has ended, in milliseconds, while as many are in progress as may be.
 const POLL_MS: u64 = 5;
 
@@ -54,8 +54,8 @@
 pub struct WorkerCalls {
     pool: Pool,
     clock: Clock,
-    busy: Cell<usize>,
-    most_busy: usize,
+    in_progress: Cell<usize>,
+    max_in_progress: usize,
 }
 
 impl WorkerCalls {
@@ -63,18 +63,19 @@
     pub fn new(clock: Clock, descriptors: usize) -> Self {
         Self {
             pool: Pool::new()
-                .with_max_idle(KEEP_EACH)
-                .with_max_total(descriptors * KEEP_PERCENT / 100)
-                .with_max_idle_ms(KEEP_MS),
+                .with_max_idle(MAX_IDLE_PER_WORKER)
+                .with_max_total(descriptors * MAX_IDLE_PERCENT / 100)
+                .with_max_idle_ms(IDLE_TIMEOUT_MS),
             clock,
-            busy: Cell::new(0),
-            most_busy: (descriptors * BUSY_PERCENT / 100).max(FEWEST_BUSY),
+            in_progress: Cell::new(0),
+            max_in_progress: (descriptors * MAX_IN_PROGRESS_PERCENT / 100)
+                .max(MIN_IN_PROGRESS_LIMIT),
         }
     }
 
     /// Calls in progress.
-    pub fn busy(&self) -> usize {
-        self.busy.get()
+    pub fn in_progress(&self) -> usize {
+        self.in_progress.get()
     }
 
     /// Closes the connections that nothing is sent on: a core that stops leading calls no workers, and each takes descriptors and memory
@@ -105,7 +106,7 @@
     ) -> Result<Answered, Unanswered> {
         let until_ms = self.clock.now_ms() + limit_ms;
         // A process without descriptors can do nothing any more, so calls wait for each other instead.
-        while self.busy.get() >= self.most_busy {
+        while self.in_progress.get() >= self.max_in_progress {
             if self.clock.now_ms() >= until_ms {
                 return Err(Unanswered {
                     error: SendError::NotConnected,
@@ -114,9 +115,9 @@
             }
             sleep_ms(POLL_MS).await;
         }
-        self.busy.set(self.busy.get() + 1);
+        self.in_progress.set(self.in_progress.get() + 1);
         let result = self.exchange(address, request, until_ms).await;
-        self.busy.set(self.busy.get() - 1);
+        self.in_progress.set(self.in_progress.get() - 1);
         result
     }
 
@@ -144,7 +145,7 @@
             }
         }
         let unanswered = |error| Unanswered { error, repeated };
-        let mut connection = Connection::open(address, left_ms().min(CONNECT_MS))
+        let mut connection = Connection::open(address, left_ms().min(CONNECT_TIMEOUT_MS))
             .await
             .map_err(unanswered)?;
         let response = connection
--- a/crates/bh-control/tests/carriers.rs
+++ b/crates/bh-control/tests/carriers.rs
@@ -6,8 +6,8 @@
 
 use bh_control::core::Carrier;
 use bh_control::core::CarryDelay;
-use bh_control::core::are_shared;
 use bh_control::core::carrier_of;
+use bh_control::core::should_share_workers;
 use bh_protocol::Incarnation;
 use bh_workload::job::Needs;
 use bh_workload::state::WorkerInfo;
@@ -48,20 +48,20 @@
 /// own files, and ended; with a few dozen a second core in between is only one more that can be lost.
 #[test]
 fn workers_are_shared_when_they_would_take_much_of_a_cores_descriptors() {
-    assert!(!are_shared(48, 4_096, false));
-    assert!(are_shared(540, 4_096, false));
-    assert!(are_shared(3_000, 4_096, false));
-    assert!(!are_shared(3_000, usize::MAX / 100, false));
+    assert!(!should_share_workers(48, 4_096, false));
+    assert!(should_share_workers(540, 4_096, false));
+    assert!(should_share_workers(3_000, 4_096, false));
+    assert!(!should_share_workers(3_000, usize::MAX / 100, false));
 }
 
 /// Workers come and go, and their number crosses the limit again and again. Were each crossing followed, all connections would be opened anew each
 /// time; so they stay shared until the fleet is well below it.
 #[test]
 fn workers_stay_shared_while_their_number_goes_up_and_down() {
-    assert!(!are_shared(340, 4_096, false));
-    assert!(are_shared(350, 4_096, false));
-    assert!(are_shared(340, 4_096, true));
-    assert!(!are_shared(200, 4_096, true));
+    assert!(!should_share_workers(340, 4_096, false));
+    assert!(should_share_workers(350, 4_096, false));
+    assert!(should_share_workers(340, 4_096, true));
+    assert!(!should_share_workers(200, 4_096, true));
 }
 
 #[test]
--- a/crates/bh-control/tests/standstills.rs
+++ b/crates/bh-control/tests/job_stalls.rs
@@ -4,9 +4,9 @@
     reason = "a test that meets the unexpected shall end"
 )]
 
-use bh_control::core::RunnableWatch;
-use bh_control::core::StandstillEnd;
-use bh_control::core::WatchNews;
+use bh_control::core::RunnableTracker;
+use bh_control::core::StallEnd;
+use bh_control::core::SurveyChanges;
 use bh_control::observe::Metrics;
 use bh_protocol::Incarnation;
 use bh_workload::dispatch::RunPhase;
@@ -60,74 +60,74 @@
 }
 
 /// What follows from the same survey made every half second from `from_ms` on, for `for_ms`.
-fn stand(
-    watch: &mut RunnableWatch,
+fn survey_repeatedly(
+    tracker: &mut RunnableTracker,
     (from_ms, for_ms): (u64, u64),
     steps: &[RunnableStep],
-) -> Vec<WatchNews> {
-    let times = (0..=for_ms / SURVEY_MS).map(|turn| from_ms + turn * SURVEY_MS);
+) -> Vec<SurveyChanges> {
+    let times = (0..=for_ms / SURVEY_MS).map(|count| from_ms + count * SURVEY_MS);
     times
-        .map(|now_ms| watch.note(now_ms, &survey(steps.to_vec()), |_| false))
+        .map(|now_ms| tracker.update(now_ms, &survey(steps.to_vec()), |_| false))
         .collect()
 }
 
-fn lines(news: &[WatchNews]) -> usize {
-    news.iter().map(|news| news.lines.len()).sum()
+fn lines(changes: &[SurveyChanges]) -> usize {
+    changes.iter().map(|changes| changes.lines.len()).sum()
 }
 
 /// Guards against a job that stands still being told of at every survey, too early, or never.
 #[test]
 fn a_stretch_has_one_line_when_it_is_long_and_one_when_it_is_over() {
-    let mut watch = RunnableWatch::new();
-    let early = stand(&mut watch, (10_000, 1_500), &[step(1)]);
+    let mut tracker = RunnableTracker::new();
+    let early = survey_repeatedly(&mut tracker, (10_000, 1_500), &[step(1)]);
     assert_eq!(lines(&early), 0);
-    assert_eq!(watch.standing_still(), 0);
-    let late = stand(&mut watch, (12_000, 20_000), &[step(1)]);
+    assert_eq!(tracker.stalled_jobs(), 0);
+    let late = survey_repeatedly(&mut tracker, (12_000, 20_000), &[step(1)]);
     assert_eq!(lines(&late), 1);
-    assert_eq!(late[0].lines[0].stood_ms, 2_000);
+    assert_eq!(late[0].lines[0].stalled_ms, 2_000);
     assert_eq!(late[0].lines[0].step.held_by, step(1).held_by);
-    assert_eq!(watch.standing_still(), 1);
-    let over = watch.note(32_500, &Survey::default(), |_| false);
-    assert_eq!(over.over_ms, vec![22_500]);
-    assert_eq!(over.lines[0].end, Some(StandstillEnd::Runs));
-    assert_eq!(over.lines[0].stood_ms, 22_500);
-    let after = watch.note(33_000, &Survey::default(), |_| false);
-    assert_eq!(after, WatchNews::default());
+    assert_eq!(tracker.stalled_jobs(), 1);
+    let over = tracker.update(32_500, &Survey::default(), |_| false);
+    assert_eq!(over.ended_durations_ms, vec![22_500]);
+    assert_eq!(over.lines[0].end, Some(StallEnd::Runs));
+    assert_eq!(over.lines[0].stalled_ms, 22_500);
+    let after = tracker.update(33_000, &Survey::default(), |_| false);
+    assert_eq!(after, SurveyChanges::default());
 }
 
 /// Guards against the end of a stretch being told with the wrong cause.
 #[rstest]
-#[case::it_runs(RunnableStep { standing: Standing { runs: 1, ..step(1).standing }, ..step(1) }, StandstillEnd::Runs)]
-#[case::it_has_run(RunnableStep { results: 1, ..step(1) }, StandstillEnd::Runs)]
+#[case::it_runs(RunnableStep { standing: Standing { runs: 1, ..step(1).standing }, ..step(1) }, StallEnd::Runs)]
+#[case::it_has_run(RunnableStep { results: 1, ..step(1) }, StallEnd::Runs)]
 #[case::less_room(
     RunnableStep { standing: Standing { places: 3, ..step(1).standing }, ..step(1) },
-    StandstillEnd::LessRoom
+    StallEnd::LessRoom
 )]
-fn the_cause_of_an_end_is_told(#[case] last: RunnableStep, #[case] cause: StandstillEnd) {
-    let mut watch = RunnableWatch::new();
-    stand(&mut watch, (0, 2_000), &[step(1)]);
-    let news = watch.note(2_500, &survey(vec![last]), |_| false);
-    assert_eq!(news.lines[0].end, Some(cause));
+fn the_cause_of_an_end_is_told(#[case] last: RunnableStep, #[case] cause: StallEnd) {
+    let mut tracker = RunnableTracker::new();
+    survey_repeatedly(&mut tracker, (0, 2_000), &[step(1)]);
+    let changes = tracker.update(2_500, &survey(vec![last]), |_| false);
+    assert_eq!(changes.lines[0].end, Some(cause));
 }
 
 /// Guards against a job that its caller took back being told as running.
 #[test]
 fn a_job_that_is_over_ends_its_stretch() {
-    let mut watch = RunnableWatch::new();
-    stand(&mut watch, (0, 2_000), &[step(1)]);
-    let news = watch.note(2_500, &Survey::default(), |_| true);
-    assert_eq!(news.lines[0].end, Some(StandstillEnd::JobOver));
+    let mut tracker = RunnableTracker::new();
+    survey_repeatedly(&mut tracker, (0, 2_000), &[step(1)]);
+    let changes = tracker.update(2_500, &Survey::default(), |_| true);
+    assert_eq!(changes.lines[0].end, Some(StallEnd::JobOver));
 }
 
 /// Guards against short runs between two surveys going unseen, so that a job that runs them one after the other counts as standing still.
 #[test]
 fn a_job_that_ran_between_two_surveys_begins_anew() {
-    let mut watch = RunnableWatch::new();
+    let mut tracker = RunnableTracker::new();
     for results in 0..10 {
         let step = RunnableStep { results, ..step(1) };
-        let news = watch.note(results * SURVEY_MS, &survey(vec![step]), |_| false);
-        assert_eq!(news, WatchNews::default());
-        assert_eq!(watch.oldest_ms, 0);
+        let changes = tracker.update(results * SURVEY_MS, &survey(vec![step]), |_| false);
+        assert_eq!(changes, SurveyChanges::default());
+        assert_eq!(tracker.oldest_ms, 0);
     }
 }
 
@@ -135,38 +135,38 @@
 #[test]
 fn lines_of_many_jobs_are_bounded_and_counted() {
     const JOBS: u64 = 300;
-    const MOST_LINES: usize = 4;
-    let mut watch = RunnableWatch::new();
+    const MAX_LINES: usize = 4;
+    let mut tracker = RunnableTracker::new();
     let steps: Vec<RunnableStep> = (1..=JOBS).map(step).collect();
-    let news = stand(&mut watch, (0, 2_000), &steps);
-    let last = news.last().unwrap();
-    assert_eq!(last.lines.len(), MOST_LINES);
-    assert_eq!(last.begun, 300);
-    assert_eq!(last.left_out, 300 - MOST_LINES);
-    let over = watch.note(2_500, &Survey::default(), |_| false);
-    assert_eq!(over.over_ms.len(), 300);
-    assert_eq!(over.lines.len(), MOST_LINES, "those that were told");
-    assert_eq!(over.left_out, 0);
+    let changes = survey_repeatedly(&mut tracker, (0, 2_000), &steps);
+    let last = changes.last().unwrap();
+    assert_eq!(last.lines.len(), MAX_LINES);
+    assert_eq!(last.started, 300);
+    assert_eq!(last.omitted_lines, 300 - MAX_LINES);
+    let over = tracker.update(2_500, &Survey::default(), |_| false);
+    assert_eq!(over.ended_durations_ms.len(), 300);
+    assert_eq!(over.lines.len(), MAX_LINES, "those that were told");
+    assert_eq!(over.omitted_lines, 0);
 }
 
 /// Guards against a job that a survey left out being told as running.
 #[test]
 fn a_job_that_was_left_out_goes_on_standing_still() {
-    let mut watch = RunnableWatch::new();
-    stand(&mut watch, (0, 2_000), &[step(1), step(2)]);
+    let mut tracker = RunnableTracker::new();
+    survey_repeatedly(&mut tracker, (0, 2_000), &[step(1), step(2)]);
     let cut = Survey {
         steps: vec![step(1)],
         left_out: 1,
     };
-    let news = watch.note(2_500, &cut, |_| false);
-    assert_eq!(news.lines, Vec::new());
-    assert_eq!(watch.standing_still(), 2);
+    let changes = tracker.update(2_500, &cut, |_| false);
+    assert_eq!(changes.lines, Vec::new());
+    assert_eq!(tracker.stalled_jobs(), 2);
 }
 
 /// Guards against waits being summed under the wrong reason, and their age beginning anew at every survey.
 #[test]
 fn waits_are_summed_by_reason_and_have_an_age() {
-    let mut watch = RunnableWatch::new();
+    let mut tracker = RunnableTracker::new();
     let room = RunnableStep {
         wait: Wait::NoRoom {
             tasks: 2,
@@ -174,10 +174,10 @@
         },
         ..step(2)
     };
-    stand(&mut watch, (0, 3_000), &[step(1), room.clone(), room]);
-    assert_eq!(watch.tasks.get("run_unreported"), Some(&2));
-    assert_eq!(watch.tasks.get("no_room"), Some(&4));
-    assert_eq!(watch.oldest_ms, 3_000);
+    survey_repeatedly(&mut tracker, (0, 3_000), &[step(1), room.clone(), room]);
+    assert_eq!(tracker.tasks.get("run_unreported"), Some(&2));
+    assert_eq!(tracker.tasks.get("no_room"), Some(&4));
+    assert_eq!(tracker.oldest_ms, 3_000);
 }
 
 /// Guards against gauges of one name that overwrite each other.
