--- a/crates/bh-control/src/dialect.rs
+++ b/crates/bh-control/src/dialect.rs
@@ -16,7 +16,7 @@
 
 /// A call as it was read, with the time its sender waits.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Received {
+pub struct ParsedCall {
     /// The call.
     pub call: Call,
     /// How long the sender waits for the answer, in milliseconds; `None` when it does not say.
@@ -27,9 +27,9 @@
 #[derive(Clone, Copy)]
 pub struct Dialect {
     /// Reads what came to an entry. The error is the status for something that is no call at all.
-    pub read_caller: fn(&Request<Bytes>) -> Result<Received, StatusCode>,
+    pub read_caller: fn(&Request<Bytes>) -> Result<ParsedCall, StatusCode>,
     /// Reads what came to a core from a worker or an operator. The error is as above.
-    pub read_control: fn(&Request<Bytes>) -> Result<Received, StatusCode>,
+    pub read_control: fn(&Request<Bytes>) -> Result<ParsedCall, StatusCode>,
     /// Writes an answer to a call.
     pub write_answer: fn(&Call, &Answer) -> Response<Bytes>,
     /// Whether a request asks if the process is ready.
