--- a/crates/bh-control/src/core/incoming.rs
+++ b/crates/bh-control/src/core/incoming.rs
@@ -71,9 +71,9 @@
             return server::status(status);
         }
     };
-    let patience_ms = received.patience_ms.unwrap_or(DEFAULT_TIMEOUT_MS);
+    let timeout_ms = received.timeout_ms.unwrap_or(DEFAULT_TIMEOUT_MS);
     let received_ms = core.clock.now_ms();
-    let answer = decide(&core, &received.call, patience_ms).await;
+    let answer = decide(&core, &received.call, timeout_ms).await;
     if let Call::Heartbeat(heartbeat) = &received.call {
         core.undelivered_heartbeats
             .borrow_mut()
@@ -82,11 +82,11 @@
     (core.dialect.write_answer)(&received.call, &answer)
 }
 
-/// What is decided of a call, here when this core leads, else by the leader, within `patience_ms`.
-pub(super) async fn decide(core: &Rc<CoreNode>, call: &Call, patience_ms: u64) -> Answer {
+/// What is decided of a call, here when this core leads, else by the leader, within `timeout_ms`.
+pub(super) async fn decide(core: &Rc<CoreNode>, call: &Call, timeout_ms: u64) -> Answer {
     let decided = async {
         match answer_call(core, call.clone()).await {
-            Answer::NotLeader => handle_as_follower(core, call, patience_ms).await,
+            Answer::NotLeader => handle_as_follower(core, call, timeout_ms).await,
             answer => answer,
         }
     };
@@ -96,13 +96,13 @@
 }
 
 /// A call that came to a core that does not lead.
-async fn handle_as_follower(core: &Rc<CoreNode>, call: &Call, patience_ms: u64) -> Answer {
+async fn handle_as_follower(core: &Rc<CoreNode>, call: &Call, timeout_ms: u64) -> Answer {
     if let Call::Heartbeat(heartbeat) = call
         && let Some(answer) = heartbeats::accept_for_leader(core, heartbeat)
     {
         return answer;
     }
-    forward(&core.mesh, call, patience_ms).await
+    forward(&core.mesh, call, timeout_ms).await
 }
 
 fn log_control(call: &Call, answer: &Answer) {
--- a/crates/bh-control/src/dialect.rs
+++ b/crates/bh-control/src/dialect.rs
@@ -20,7 +20,7 @@
     /// The call.
     pub call: Call,
     /// How long the sender waits for the answer, in milliseconds; `None` when it does not say.
-    pub patience_ms: Option<u64>,
+    pub timeout_ms: Option<u64>,
 }
 
 /// Functions that translate; they decide nothing.
--- a/crates/bh-control/src/entry/serve.rs
+++ b/crates/bh-control/src/entry/serve.rs
@@ -73,13 +73,13 @@
             Ok(received) => received,
             Err(status) => return server::status(status),
         };
-        let patience_ms = received
-            .patience_ms
+        let timeout_ms = received
+            .timeout_ms
             .unwrap_or(DEFAULT_PATIENCE_MS)
             .min(LONGEST_PATIENCE_MS)
             .saturating_sub(ANSWER_WAY_MS)
             .max(1);
-        let answer = forward(&self.mesh, &received.call, patience_ms).await;
+        let answer = forward(&self.mesh, &received.call, timeout_ms).await;
         let took_ms = self.mesh.now_ms().saturating_sub(started_ms);
         self.metrics.count(outcome(&answer), 1);
         self.metrics.time_ms("call", took_ms);
