--- a/crates/beechhollow/src/check_config.rs
+++ b/crates/beechhollow/src/check_config.rs
@@ -1,6 +1,6 @@
 //! `beechhollow check-config FILE`: says what is wrong with an entry's file, without starting.
 
-use bh_control::config::describes_deployment;
+use bh_control::config::is_deployment_config;
 use bh_control::config::problems;
 use bh_protocol::Code;
 use bh_protocol::Failure;
@@ -44,7 +44,7 @@
 /// Checks the file of an entry or a core of a deployment; `None` when it is not one.
 fn check_deployment(path: &str) -> Option<ExitCode> {
     let bytes = std::fs::read(path).ok()?;
-    if !describes_deployment(&bytes) {
+    if !is_deployment_config(&bytes) {
         return None;
     }
     let problems = problems(&bytes);
--- a/crates/bh-control/src/config/mod.rs
+++ b/crates/bh-control/src/config/mod.rs
@@ -6,5 +6,5 @@
 pub use local_config::Bounds;
 pub use local_config::LocalConfig;
 pub use local_config::Role;
-pub use problems::describes_deployment;
+pub use problems::is_deployment_config;
 pub use problems::problems;
--- a/crates/bh-control/src/config/problems.rs
+++ b/crates/bh-control/src/config/problems.rs
@@ -14,7 +14,7 @@
 const BOUNDS: &str = "bounds";
 
 /// Whether a file describes an entry or a core of a deployment, rather than an entry with a list of all others.
-pub fn describes_deployment(bytes: &[u8]) -> bool {
+pub fn is_deployment_config(bytes: &[u8]) -> bool {
     serde_yaml_ng::from_slice::<Mapping>(bytes).is_ok_and(|file| file.contains_key("role"))
 }
 
--- a/crates/bh-control/tests/config_problems.rs
+++ b/crates/bh-control/tests/config_problems.rs
@@ -1,7 +1,7 @@
 //! What an operator is told of a process's file.
 
 use bh_control::config::LocalConfig;
-use bh_control::config::describes_deployment;
+use bh_control::config::is_deployment_config;
 use bh_control::config::problems;
 
 const CORE: &str = "name: core\nrole: core\ndata_centre: dc\nip: 10.0.0.1\npeer_port: 7000\nseeds: '10.0.0.1:1'\n\
@@ -10,7 +10,7 @@
 #[test]
 fn a_valid_file_has_no_problem() {
     assert_eq!(problems(CORE.as_bytes()), Vec::<String>::new());
-    assert!(describes_deployment(CORE.as_bytes()));
+    assert!(is_deployment_config(CORE.as_bytes()));
     assert!(LocalConfig::parse(CORE.as_bytes()).is_ok());
 }
 
@@ -58,7 +58,7 @@
 #[test]
 fn what_is_no_mapping_is_one_problem() {
     assert_eq!(problems(b"- a\n- b\n").len(), 1);
-    assert!(!describes_deployment(b"- a\n"));
+    assert!(!is_deployment_config(b"- a\n"));
 }
 
 /// A core's file lists the data centres of the deployment in one text; one that does not say knows them by their workers only.
