--- a/crates/beechctl/src/commands/core_evacuate.rs
+++ b/crates/beechctl/src/commands/core_evacuate.rs
@@ -4,7 +4,7 @@
 use crate::client::Client;
 use crate::client::parse;
 use crate::output::Output;
-use bh_control::core::EvacuationOrdered;
+use bh_control::core::EvacuationStatus;
 use bh_protocol::Failure;
 use bytes::Bytes;
 use clap::Arg;
@@ -47,12 +47,12 @@
 ) -> Result<u8, Failure> {
     let path = format!("/v1/evacuations/{}", argument(matches, "DATA_CENTRE"));
     let response = client.call(method, &path, Bytes::new(), &[]).await?;
-    let ordered: EvacuationOrdered = parse(response.body())?;
+    let ordered: EvacuationStatus = parse(response.body())?;
     output.show(&ordered, text);
     Ok(0)
 }
 
-fn text(ordered: &EvacuationOrdered) -> String {
+fn text(ordered: &EvacuationStatus) -> String {
     let name = &ordered.data_centre;
     if ordered.is_evacuated {
         format!("nothing more begins in {name}; `beechctl core status` tells what still runs there")
--- a/crates/bh-control/src/core/evacuations.rs
+++ b/crates/bh-control/src/core/evacuations.rs
@@ -35,7 +35,7 @@
 
 /// What an operator is told of an order that is recorded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EvacuationOrdered {
+pub struct EvacuationStatus {
     /// The data centre.
     pub data_centre: Arc<str>,
     /// Whether it is under evacuation now.
@@ -77,7 +77,7 @@
         },
         _ => return None,
     };
-    let ordered = EvacuationOrdered {
+    let ordered = EvacuationStatus {
         data_centre,
         is_evacuated,
     };
--- a/crates/bh-control/src/core/mod.rs
+++ b/crates/bh-control/src/core/mod.rs
@@ -39,7 +39,7 @@
 pub use carry_delay::CarryDelay;
 pub use core_node::CoreNode;
 pub use evacuations::Evacuation;
-pub use evacuations::EvacuationOrdered;
+pub use evacuations::EvacuationStatus;
 pub use inherited_runs::InheritedRuns;
 pub use job_stall::JobStall;
 pub use job_stall::StallEnd;
