--- a/crates/bh-control/src/core/heartbeats.rs
+++ b/crates/bh-control/src/core/heartbeats.rs
@@ -6,9 +6,9 @@
 use crate::calls::WorkerHeartbeat;
 use bh_net::runtime::sleep_ms;
 use bh_protocol::Incarnation;
+use bh_protocol::wire::RelayedHeartbeat;
+use bh_protocol::wire::RelayedHeartbeats;
 use bh_protocol::wire::RpcKind;
-use bh_protocol::wire::SignOfLife;
-use bh_protocol::wire::SignsOfLife;
 use bh_workload::state::Command;
 use bh_workload::state::WorkerChange;
 use bh_workload::state::WorkerInfo;
@@ -148,7 +148,7 @@
         let now_ms = core.clock.now_ms();
         let heartbeats = heartbeats
             .into_iter()
-            .map(|(worker, heartbeat)| SignOfLife {
+            .map(|(worker, heartbeat)| RelayedHeartbeat {
                 worker: worker.to_string(),
                 clock_ms: heartbeat.clock_ms,
                 sequence: heartbeat.sequence,
@@ -156,7 +156,7 @@
                 cold_ms: heartbeat.cold_ms,
                 leaves_in_ms: heartbeat.leaves_in_ms,
             });
-        let body = SignsOfLife {
+        let body = RelayedHeartbeats {
             signs: heartbeats.collect(),
         };
         let sent = leader.call(RpcKind::Signs, body.encode_to_vec(), RELAY_TIMEOUT_MS);
@@ -168,7 +168,7 @@
 
 /// Takes the heartbeats that came to another core.
 pub(super) fn handle_relayed(core: &Rc<CoreNode>, body: &[u8]) {
-    let heartbeats = match SignsOfLife::decode(body) {
+    let heartbeats = match RelayedHeartbeats::decode(body) {
         Ok(signs) => signs.signs,
         Err(error) => {
             log::warn!("relayed heartbeats cannot be decoded: {error}");
--- a/crates/bh-protocol/src/wire/carry.rs
+++ b/crates/bh-protocol/src/wire/carry.rs
@@ -76,7 +76,7 @@
 
 /// A heartbeat that changed nothing, as the core that took it tells the leader.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct SignOfLife {
+pub struct RelayedHeartbeat {
     /// The worker.
     #[prost(string, tag = "1")]
     pub worker: String,
@@ -99,8 +99,8 @@
 
 /// Heartbeats that came to one core within a moment.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct SignsOfLife {
+pub struct RelayedHeartbeats {
     /// The heartbeats.
     #[prost(message, repeated, tag = "1")]
-    pub signs: Vec<SignOfLife>,
+    pub signs: Vec<RelayedHeartbeat>,
 }
--- a/crates/bh-protocol/src/wire/peer.rs
+++ b/crates/bh-protocol/src/wire/peer.rs
@@ -42,7 +42,7 @@
     Workload = 5,
     /// An order to a worker that the receiver shall carry; body: a [`super::CarryRequest`].
     Carry = 6,
-    /// Heartbeats of workers for the leader; body: [`super::SignsOfLife`].
+    /// Heartbeats of workers for the leader; body: [`super::RelayedHeartbeats`].
     Signs = 7,
 }
 
