--- a/crates/bh-control/src/calls/forward.rs
+++ b/crates/bh-control/src/calls/forward.rs
@@ -13,12 +13,12 @@
 use std::rc::Rc;
 
 /// Wait before a leader that lost a call or has no rules yet is asked again, in milliseconds: far below an election.
-const ASK_AGAIN_MS: u64 = 25;
+const RETRY_INTERVAL_MS: u64 = 25;
 /// Wait for the leader's answer to one send, in milliseconds: a commit takes some tens, and a silent link is closed after about as long.
-const ONE_SEND_MS: u64 = 1_200;
+const ATTEMPT_TIMEOUT_MS: u64 = 1_200;
 /// Time without a sign of a leader after which a call is answered at once, in milliseconds. An election is over sooner; whoever has
 /// heard none for longer is cut off, and another entry may serve the caller.
-const LEADERLESS_MS: u64 = 1_800;
+const LEADERLESS_TIMEOUT_MS: u64 = 1_800;
 /// When a caller shall come back after no leader was found, in milliseconds: about the time of an election.
 pub const RETRY_AFTER_MS: u64 = 1_000;
 
@@ -34,14 +34,14 @@
     let mut may_be_recorded = false;
     loop {
         let leader = mesh.fresh_leader();
-        let asked = leader.as_ref().map(|leader| leader.status.borrow().term);
+        let asked_term = leader.as_ref().map(|leader| leader.status.borrow().term);
         if let Some(leader) = leader {
             let left_ms = until_ms.saturating_sub(mesh.now_ms()).max(1);
-            let reply = ask(mesh, &leader, body.clone(), left_ms.min(ONE_SEND_MS)).await;
+            let reply = ask(mesh, &leader, body.clone(), left_ms.min(ATTEMPT_TIMEOUT_MS)).await;
             match reply.map(|reply| serde_json::from_slice::<Answer>(&reply.body)) {
                 Ok(Ok(Answer::NotLeader)) | Err(CallError::NotSent) => leader.note_not_leading(),
                 Ok(Ok(Answer::Unknown)) | Ok(Err(_)) | Err(CallError::Lost) => {
-                    may_be_recorded = changes(call);
+                    may_be_recorded = modifies_state(call);
                 }
                 Ok(Ok(Answer::Unavailable { .. })) => {}
                 Ok(Ok(Answer::Refused(_))) if may_be_recorded => {
@@ -51,8 +51,8 @@
             }
         }
         let now_ms = mesh.now_ms();
-        let cut_off = now_ms >= mesh.leader_seen_ms() + LEADERLESS_MS;
-        if cut_off || now_ms + ASK_AGAIN_MS >= until_ms {
+        let cut_off = now_ms >= mesh.leader_last_contact_ms() + LEADERLESS_TIMEOUT_MS;
+        if cut_off || now_ms + RETRY_INTERVAL_MS >= until_ms {
             return if may_be_recorded {
                 Answer::Unknown
             } else {
@@ -61,13 +61,14 @@
                 }
             };
         }
-        let now_leads = mesh.fresh_term();
-        if now_leads.is_some() && now_leads == asked {
-            sleep_ms(ASK_AGAIN_MS).await;
-        } else if now_leads.is_none() {
-            let given_up_ms = (until_ms - ASK_AGAIN_MS).min(mesh.leader_seen_ms() + LEADERLESS_MS);
+        let current_term = mesh.fresh_term();
+        if current_term.is_some() && current_term == asked_term {
+            sleep_ms(RETRY_INTERVAL_MS).await;
+        } else if current_term.is_none() {
+            let deadline_ms = (until_ms - RETRY_INTERVAL_MS)
+                .min(mesh.leader_last_contact_ms() + LEADERLESS_TIMEOUT_MS);
             // Time that runs out is seen above.
-            let _ = within_ms(given_up_ms.saturating_sub(now_ms), mesh.leader_change()).await;
+            let _ = within_ms(deadline_ms.saturating_sub(now_ms), mesh.leader_change()).await;
         }
     }
 }
@@ -86,18 +87,18 @@
     let term = leader.status.borrow().term;
     monoio::select! {
         reply = leader.call(RpcKind::Workload, body, limit_ms) => reply,
-        () = later_leader(mesh, term) => Err(CallError::Lost),
+        () = newer_leader(mesh, term) => Err(CallError::Lost),
     }
 }
 
 /// Returns once a core is known to lead in a later term than `term`.
-async fn later_leader(mesh: &Rc<Mesh>, term: u64) {
+async fn newer_leader(mesh: &Rc<Mesh>, term: u64) {
     while mesh.fresh_term().is_none_or(|fresh| fresh <= term) {
         mesh.leader_change().await;
     }
 }
 
-fn changes(call: &Call) -> bool {
+fn modifies_state(call: &Call) -> bool {
     !matches!(
         call,
         Call::Read { .. } | Call::GetRules | Call::GetWave { .. }
--- a/crates/bh-control/src/config/local_config.rs
+++ b/crates/bh-control/src/config/local_config.rs
@@ -157,13 +157,13 @@
 const CORE_CALLERS_PERCENT: usize = 45;
 
 /// Seconds as whole milliseconds.
-fn whole_ms(seconds: f64) -> u64 {
+fn seconds_to_ms(seconds: f64) -> u64 {
     const MS_PER_S: f64 = 1_000.0;
     whole(seconds * MS_PER_S)
 }
 
 /// A bound that others keep, the last millisecond counted whole.
-fn up(ms: f64) -> u64 {
+fn ceil_ms(ms: f64) -> u64 {
     whole(ms.ceil())
 }
 
@@ -243,7 +243,7 @@
     }
 
     /// Connections that the process takes at a time from those who call it.
-    pub fn most_callers(&self) -> usize {
+    pub fn max_callers(&self) -> usize {
         let percent = match self.role {
             Role::Entry => ENTRY_CALLERS_PERCENT,
             Role::Core => CORE_CALLERS_PERCENT,
@@ -253,7 +253,7 @@
 
     /// Time for a graceful end, in milliseconds.
     pub fn grace_ms(&self) -> u64 {
-        self.grace_s.map_or(DEFAULT_GRACE_MS, whole_ms)
+        self.grace_s.map_or(DEFAULT_GRACE_MS, seconds_to_ms)
     }
 
     /// The bounds with defaults filled in.
@@ -264,15 +264,19 @@
             lease_ms: bounds.longest_lease_ms.map_or(default.lease_ms, |longest| {
                 whole(longest) * LEASE_PERCENT / 100
             }),
-            stop_timeout_ms: bounds.stop_timeout_ms.map_or(default.stop_timeout_ms, up),
+            stop_timeout_ms: bounds
+                .stop_timeout_ms
+                .map_or(default.stop_timeout_ms, ceil_ms),
             remote_percent: bounds
                 .remote_factor
                 .map_or(default.remote_percent, |factor| whole(factor * 100.0)),
-            heartbeat_ms: bounds.heartbeat_ms.map_or(default.heartbeat_ms, up),
-            retention_ms: bounds.retention_s.map_or(default.retention_ms, whole_ms),
-            upkeep_ms: bounds.upkeep_s.map_or(default.upkeep_ms, whole_ms),
-            vm_lease_ms: bounds.vm_lease_ms.map_or(default.vm_lease_ms, up),
-            restore_ms: bounds.restore_ms.map_or(default.restore_ms, up),
+            heartbeat_ms: bounds.heartbeat_ms.map_or(default.heartbeat_ms, ceil_ms),
+            retention_ms: bounds
+                .retention_s
+                .map_or(default.retention_ms, seconds_to_ms),
+            upkeep_ms: bounds.upkeep_s.map_or(default.upkeep_ms, seconds_to_ms),
+            vm_lease_ms: bounds.vm_lease_ms.map_or(default.vm_lease_ms, ceil_ms),
+            restore_ms: bounds.restore_ms.map_or(default.restore_ms, ceil_ms),
         }
     }
 }
--- a/crates/bh-control/src/core/carry.rs
+++ b/crates/bh-control/src/core/carry.rs
@@ -108,7 +108,7 @@
     let limit_ms = carry.limit_ms + RELAY_OVERHEAD_MS;
     let reply = monoio::select! {
         reply = carrier.call(RpcKind::Carry, carry.encode_to_vec(), limit_ms) => reply?,
-        () = carrier.fallen_silent() => return Err(CallError::Lost),
+        () = carrier.until_silent() => return Err(CallError::Lost),
     };
     CarryReply::decode(&*reply.body).map_err(|error| {
         log::warn!(core = carrier.address.to_string(); "an answer of a carrier cannot be read: {error}");
--- a/crates/bh-control/src/core/driver.rs
+++ b/crates/bh-control/src/core/driver.rs
@@ -111,7 +111,7 @@
         for peer in core.mesh.peers() {
             peer.send_raft(message.clone());
         }
-    } else if let Some(peer) = core.mesh.by_replica(message.to) {
+    } else if let Some(peer) = core.mesh.peer_by_replica(message.to) {
         peer.send_raft(message);
     }
 }
--- a/crates/bh-control/src/core/incoming.rs
+++ b/crates/bh-control/src/core/incoming.rs
@@ -7,7 +7,7 @@
 use crate::calls::Answer;
 use crate::calls::Call;
 use crate::calls::forward;
-use crate::mesh::Service;
+use crate::mesh::LinkHandler;
 use crate::server;
 use bh_group::Formation;
 use bh_protocol::wire::RpcKind;
@@ -22,9 +22,9 @@
 const DEFAULT_TIMEOUT_MS: u64 = 900;
 
 /// What this core does with what comes over links.
-pub(super) fn service(core: &Rc<CoreNode>) -> Service {
+pub(super) fn link_handler(core: &Rc<CoreNode>) -> LinkHandler {
     let (delivering, answering, telling) = (core.clone(), core.clone(), core.clone());
-    Service {
+    LinkHandler {
         deliver: Box::new(move |message| delivering.group.deliver(message)),
         answer: Box::new(move |request| Box::pin(serve_rpc(answering.clone(), request))),
         status: Box::new(move || telling.status()),
--- a/crates/bh-control/src/core/leader_loop.rs
+++ b/crates/bh-control/src/core/leader_loop.rs
@@ -106,7 +106,7 @@
         core.workers.close();
     }
     log::info!(core = &*core.config.name, standing_still; "stops leading: {why}");
-    core.inbound.tell_all(&core.status());
+    core.inbound.broadcast(&core.status());
 }
 
 /// Waits until everything that earlier leaders recorded is applied, then takes it over.
@@ -156,7 +156,7 @@
     });
     core.metrics.count("leads", 1);
     log::info!(core = &*core.config.name, term, jobs, gangs_broken, runs, gap_ms; "leads");
-    core.inbound.tell_all(&core.status());
+    core.inbound.broadcast(&core.status());
 }
 
 /// How long nobody has led, in milliseconds. A core that was restarted with all others knows it by the last time in the record.
--- a/crates/bh-control/src/core/operator.rs
+++ b/crates/bh-control/src/core/operator.rs
@@ -5,7 +5,7 @@
 use super::evacuations::Evacuation;
 use super::surveys;
 use crate::observe::Metrics;
-use crate::observe::Readings;
+use crate::observe::OperatorHooks;
 use crate::observe::log_lines_dropped;
 use bh_net::http_server::answer;
 use bh_protocol::Code;
@@ -65,7 +65,7 @@
 }
 
 /// What operators read from a core beside its counters.
-pub(super) fn readings(core: &Rc<CoreNode>) -> Readings {
+pub(super) fn operator_hooks(core: &Rc<CoreNode>) -> OperatorHooks {
     let (gauged, asked) = (core.clone(), core.clone());
     let refresh = move |metrics: &Metrics| {
         let report = report(&gauged);
@@ -97,7 +97,7 @@
         metrics.gauge("log_lines_dropped", log_lines_dropped());
         set_fleet_gauges(&gauged, metrics);
     };
-    Readings::new(refresh).with_answer(move |request| answer_call(asked.clone(), request))
+    OperatorHooks::new(refresh).with_answer(move |request| answer_call(asked.clone(), request))
 }
 
 /// Sets the gauges that are computed from the leader's state. On a core that does not lead they are 0.
--- a/crates/bh-control/src/core/serve.rs
+++ b/crates/bh-control/src/core/serve.rs
@@ -100,16 +100,16 @@
         serve_metrics(
             address,
             core.metrics.clone(),
-            operator::readings(&core),
+            operator::operator_hooks(&core),
             stop.clone(),
         )?;
     }
-    learn_cores(&core, &path);
+    dial_known_cores(&core, &path);
     reload::follow(core.mesh.clone(), core.config.path.clone())?;
     monoio::spawn(mesh::accept(
         mesh,
         peer_listener,
-        Rc::new(incoming::service(&core)),
+        Rc::new(incoming::link_handler(&core)),
         core.inbound.clone(),
     ));
     if let Some(voters) = formation::first_voters(&core, &path)? {
@@ -128,7 +128,7 @@
     monoio::spawn(server::serve(
         control_listener,
         core.draining.clone(),
-        (Rc::new(Cell::new(0)), core.config.most_callers()),
+        (Rc::new(Cell::new(0)), core.config.max_callers()),
         move |request| incoming::handle(serving.clone(), request),
     ));
     let signal = runtime::stop_on_signal()
@@ -148,26 +148,26 @@
 }
 
 /// Dials the seeds and the cores that were last known, and keeps the list on the disk: seeds may be wrong by the next start.
-fn learn_cores(core: &Rc<CoreNode>, folder: &std::path::Path) {
+fn dial_known_cores(core: &Rc<CoreNode>, folder: &std::path::Path) {
     let file = folder.join(CORES_FILE);
     // A list that is missing or damaged only means that the seeds alone are asked.
     let kept = std::fs::read_to_string(&file).unwrap_or_default();
     let known: Vec<SocketAddr> = kept.lines().filter_map(|line| line.parse().ok()).collect();
-    core.mesh.on_learnt(move |cores| {
+    core.mesh.on_cores_added(move |cores| {
         let lines: Vec<String> = cores.iter().map(SocketAddr::to_string).collect();
         if let Err(error) = std::fs::write(&file, lines.join("\n")) {
             log::warn!("the list of cores was not kept: {error}");
         }
     });
-    core.mesh.learn(known);
-    core.mesh.learn(core.config.seed_peers());
+    core.mesh.add_cores(known);
+    core.mesh.add_cores(core.config.seed_peers());
 }
 
 /// Ends gracefully: no new connections, and the calls in progress are answered.
 async fn drain(core: &Rc<CoreNode>) {
     log::info!(core = &*core.config.name, in_progress = core.in_progress.get(); "core drains");
     core.draining.cancel();
-    core.inbound.tell_all(&core.status());
+    core.inbound.broadcast(&core.status());
     let until_ms = core.clock.now_ms() + core.config.grace_ms() * FINISH_PERCENT / 100;
     while core.in_progress.get() > 0 && core.clock.now_ms() < until_ms {
         sleep_ms(POLL_MS).await;
--- a/crates/bh-control/src/entry/readiness.rs
+++ b/crates/bh-control/src/entry/readiness.rs
@@ -10,7 +10,7 @@
 /// When an entry last heard a leader that has rules.
 #[derive(Debug, Default)]
 pub struct Readiness {
-    heard_ms: Cell<u64>,
+    last_contact_ms: Cell<u64>,
 }
 
 impl Readiness {
@@ -27,10 +27,10 @@
         if let Some(leader) = mesh.leader()
             && leader.status.borrow().rules_version > 0
         {
-            let heard_ms = leader.heard_ms.get().max(self.heard_ms.get());
-            self.heard_ms.set(heard_ms);
+            let last_contact_ms = leader.last_contact_ms.get().max(self.last_contact_ms.get());
+            self.last_contact_ms.set(last_contact_ms);
         }
-        let heard_ms = self.heard_ms.get();
-        heard_ms > 0 && mesh.now_ms() < heard_ms + READY_AFTER_LEADER_MS
+        let last_contact_ms = self.last_contact_ms.get();
+        last_contact_ms > 0 && mesh.now_ms() < last_contact_ms + READY_AFTER_LEADER_MS
     }
 }
--- a/crates/bh-control/src/entry/serve.rs
+++ b/crates/bh-control/src/entry/serve.rs
@@ -8,7 +8,7 @@
 use crate::dialect::Dialect;
 use crate::mesh::Mesh;
 use crate::observe::Metrics;
-use crate::observe::Readings;
+use crate::observe::OperatorHooks;
 use crate::observe::log_lines_dropped;
 use crate::observe::serve_metrics;
 use crate::reload;
@@ -31,14 +31,14 @@
 use tokio_util::sync::CancellationToken;
 
 /// Longest time that a call is worked on when its sender does not say how long it waits, in milliseconds.
-const DEFAULT_PATIENCE_MS: u64 = 2_500;
+const DEFAULT_TIMEOUT_MS: u64 = 2_500;
 /// Longest time that a call is worked on whatever its sender says, in milliseconds: past two elections waiting does not help.
-const LONGEST_PATIENCE_MS: u64 = 4_000;
+const MAX_TIMEOUT_MS: u64 = 4_000;
 /// Kept back for the answer's way, in milliseconds: an answer that comes after the sender has left tells nobody anything.
-const ANSWER_WAY_MS: u64 = 40;
+const ANSWER_TRANSIT_MS: u64 = 40;
 /// Share of the grace after which a stopping entry asks callers to leave, in percent. Until then the balancer learns that the entry is
 /// not ready, and connections that it still hands over are served.
-const LAME_PERCENT: u64 = 40;
+const LAME_DUCK_PERCENT: u64 = 40;
 /// Share of the grace within which requests in progress must end, in percent.
 const FINISH_PERCENT: u64 = 85;
 /// Time between looks at the requests in progress at the end, in milliseconds.
@@ -75,9 +75,9 @@
         };
         let timeout_ms = received
             .timeout_ms
-            .unwrap_or(DEFAULT_PATIENCE_MS)
-            .min(LONGEST_PATIENCE_MS)
-            .saturating_sub(ANSWER_WAY_MS)
+            .unwrap_or(DEFAULT_TIMEOUT_MS)
+            .min(MAX_TIMEOUT_MS)
+            .saturating_sub(ANSWER_TRANSIT_MS)
             .max(1);
         let answer = forward(&self.mesh, &received.call, timeout_ms).await;
         let took_ms = self.mesh.now_ms().saturating_sub(started_ms);
@@ -86,7 +86,7 @@
         log_call(&received.call, &answer, took_ms);
         let mut response = (self.dialect.write_answer)(&received.call, &answer);
         if !self.is_ready() {
-            send_elsewhere(&mut response);
+            close_after_answer(&mut response);
         }
         response
     }
@@ -102,7 +102,7 @@
 
 /// Has the caller open a new connection for its next call. The balancer leads new connections past an entry that is not ready, but one that
 /// is open stays with its entry: in a data centre that is cut off its caller would be refused again and again until it gives up.
-fn send_elsewhere(response: &mut Response<Bytes>) {
+fn close_after_answer(response: &mut Response<Bytes>) {
     let close = HeaderValue::from_static("close");
     response.headers_mut().insert(header::CONNECTION, close);
 }
@@ -149,7 +149,7 @@
         ..Hello::default()
     };
     let mesh = Mesh::new(hello, Clock::new(), stop.clone());
-    mesh.learn(config.seed_peers());
+    mesh.add_cores(config.seed_peers());
     reload::follow(mesh.clone(), config.path.clone())?;
     let missing = |key: &str| Failure::new(Code::BadConfigFile, format!("`{key}` is missing"));
     let callers = config
@@ -175,7 +175,7 @@
         serve_metrics(
             address,
             entry.metrics.clone(),
-            readings(&entry),
+            operator_hooks(&entry),
             stop.clone(),
         )?;
     }
@@ -183,14 +183,14 @@
     monoio::spawn(server::serve(
         callers,
         entry.closing.clone(),
-        (entry.connections.clone(), entry.config.most_callers()),
+        (entry.connections.clone(), entry.config.max_callers()),
         move |request| serving.clone().handle(request),
     ));
     let answering = entry.clone();
     monoio::spawn(server::serve(
         readiness,
         stop.clone(),
-        (Rc::new(Cell::new(0)), entry.config.most_callers()),
+        (Rc::new(Cell::new(0)), entry.config.max_callers()),
         move |request| {
             let entry = answering.clone();
             async move {
@@ -212,9 +212,9 @@
 }
 
 /// Gauges of an entry.
-fn readings(entry: &Rc<Entry>) -> Readings {
+fn operator_hooks(entry: &Rc<Entry>) -> OperatorHooks {
     let entry = entry.clone();
-    Readings::new(move |metrics| {
+    OperatorHooks::new(move |metrics| {
         let size = |count: usize| u64::try_from(count).unwrap_or(u64::MAX);
         metrics.gauge("ready", u64::from(entry.is_ready()));
         metrics.gauge("connections", size(entry.connections.get()));
@@ -229,7 +229,7 @@
     let now_ms = entry.mesh.now_ms();
     log::info!(entry = &*entry.config.name, connections = entry.connections.get(); "entry drains");
     entry.draining.cancel();
-    let close_ms = now_ms + grace_ms * LAME_PERCENT / 100;
+    let close_ms = now_ms + grace_ms * LAME_DUCK_PERCENT / 100;
     let finish_ms = now_ms + grace_ms * FINISH_PERCENT / 100;
     while entry.mesh.now_ms() < close_ms {
         sleep_ms(POLL_MS).await;
--- a/crates/bh-control/src/mesh/accept.rs
+++ b/crates/bh-control/src/mesh/accept.rs
@@ -1,7 +1,7 @@
 //! The links that others dial to this core.
 
 use super::Mesh;
-use super::mesh::SILENCE_MS;
+use super::mesh::LINK_TIMEOUT_MS;
 use bh_net::link;
 use bh_net::link::Opened;
 use bh_net::runtime::sleep_ms;
@@ -28,7 +28,7 @@
 pub type Reply = Pin<Box<dyn Future<Output = Vec<u8>>>>;
 
 /// What a core does with what comes over its links.
-pub struct Service {
+pub struct LinkHandler {
     /// Takes a replication message.
     pub deliver: Box<dyn Fn(RaftMessage)>,
     /// Answers a call.
@@ -45,7 +45,7 @@
 
 impl Inbound {
     /// Tells everyone linked to this core what it says of itself now.
-    pub fn tell_all(&self, status: &CoreStatus) {
+    pub fn broadcast(&self, status: &CoreStatus) {
         let frame = Frame {
             payload: Some(Payload::Core(status.clone())),
         };
@@ -59,7 +59,7 @@
 pub async fn accept(
     mesh: Rc<Mesh>,
     listener: TcpListener,
-    service: Rc<Service>,
+    handler: Rc<LinkHandler>,
     inbound: Rc<Inbound>,
 ) {
     while !mesh.stop.is_cancelled() {
@@ -67,11 +67,11 @@
             sleep_ms(ACCEPT_RETRY_MS).await;
             continue;
         };
-        let (mesh, service, inbound) = (mesh.clone(), service.clone(), inbound.clone());
+        let (mesh, handler, inbound) = (mesh.clone(), handler.clone(), inbound.clone());
         monoio::spawn(async move {
             let opening = link::handshake(stream, mesh.hello(), &mesh.key, false);
-            match within_ms(SILENCE_MS, opening).await {
-                Some(Ok(opened)) => serve(mesh, opened, service, inbound).await,
+            match within_ms(LINK_TIMEOUT_MS, opening).await {
+                Some(Ok(opened)) => serve(mesh, opened, handler, inbound).await,
                 _ => {
                     log::warn!(from = from.to_string(); "a link was not opened: no valid greeting")
                 }
@@ -80,7 +80,7 @@
     }
 }
 
-async fn serve(mesh: Rc<Mesh>, opened: Opened, service: Rc<Service>, inbound: Rc<Inbound>) {
+async fn serve(mesh: Rc<Mesh>, opened: Opened, handler: Rc<LinkHandler>, inbound: Rc<Inbound>) {
     let Opened {
         hello,
         reader,
@@ -88,17 +88,17 @@
     } = opened;
     // A core that dials is worth dialling back.
     if let Ok(address) = hello.address.parse() {
-        mesh.learn([address]);
+        mesh.add_cores([address]);
     }
     let (sender, receiver) = unbounded::channel();
     let first = Frame {
-        payload: Some(Payload::Core((service.status)())),
+        payload: Some(Payload::Core((handler.status)())),
     };
     // The receiver is held below, so this cannot fail.
     let _ = sender.send(first);
     inbound.queues.borrow_mut().push(sender.clone());
     monoio::select! {
-        () = read(reader, sender, &service) => {}
+        () = read(reader, sender, &handler) => {}
         () = link::write_frames(writer, receiver, |_| {}) => {}
     }
 }
@@ -106,30 +106,30 @@
 async fn read(
     mut reader: link::Reader<OwnedReadHalf<TcpStream>>,
     queue: unbounded::Tx<Frame>,
-    service: &Rc<Service>,
+    handler: &Rc<LinkHandler>,
 ) {
-    while let Some(Ok(Some(frame))) = within_ms(SILENCE_MS, reader.next()).await {
+    while let Some(Ok(Some(frame))) = within_ms(LINK_TIMEOUT_MS, reader.next()).await {
         match frame.payload {
             Some(Payload::Heartbeat(_)) => {
                 let status = Frame {
-                    payload: Some(Payload::Core((service.status)())),
+                    payload: Some(Payload::Core((handler.status)())),
                 };
                 if queue.send(status).is_err() {
                     return;
                 }
             }
-            Some(Payload::Raft(message)) => (service.deliver)(message),
-            Some(Payload::Request(request)) => answer(request, queue.clone(), service.clone()),
+            Some(Payload::Raft(message)) => (handler.deliver)(message),
+            Some(Payload::Request(request)) => answer(request, queue.clone(), handler.clone()),
             _ => {}
         }
     }
 }
 
 /// Answers a call in a task of its own, so that one that takes long delays no other.
-fn answer(request: RpcRequest, queue: unbounded::Tx<Frame>, service: Rc<Service>) {
+fn answer(request: RpcRequest, queue: unbounded::Tx<Frame>, handler: Rc<LinkHandler>) {
     monoio::spawn(async move {
         let id = request.id;
-        let body = (service.answer)(request).await;
+        let body = (handler.answer)(request).await;
         let reply = RpcReply {
             id,
             body,
--- a/crates/bh-control/src/mesh/dial.rs
+++ b/crates/bh-control/src/mesh/dial.rs
@@ -2,8 +2,8 @@
 
 use super::Mesh;
 use super::Peer;
-use super::mesh::SIGN_OF_LIFE_MS;
-use super::mesh::SILENCE_MS;
+use super::mesh::HEARTBEAT_INTERVAL_MS;
+use super::mesh::LINK_TIMEOUT_MS;
 use bh_net::link;
 use bh_net::link::Opened;
 use bh_net::runtime::sleep_ms;
@@ -18,35 +18,35 @@
 use std::sync::Arc;
 
 /// First wait before dialling again, in milliseconds; doubles up to the longest.
-const FIRST_WAIT_MS: u64 = 50;
+const MIN_BACKOFF_MS: u64 = 50;
 /// Longest such wait in milliseconds: a core that comes back shall be found well within the time it is given to catch up.
-const LONGEST_WAIT_MS: u64 = 400;
+const MAX_BACKOFF_MS: u64 = 400;
 /// Time for a connection to open, in milliseconds. A VM without power answers nothing, not even a refusal.
-const OPEN_MS: u64 = 800;
+const CONNECT_TIMEOUT_MS: u64 = 800;
 
 /// Keeps a link to `peer` until the process ends.
 pub(super) async fn keep_link(mesh: Rc<Mesh>, peer: Rc<Peer>) {
-    let mut wait_ms = FIRST_WAIT_MS;
+    let mut backoff_ms = MIN_BACKOFF_MS;
     while !mesh.stop.is_cancelled() {
         if let Ok(opened) = open(&mesh, &peer).await {
-            wait_ms = FIRST_WAIT_MS;
+            backoff_ms = MIN_BACKOFF_MS;
             log::info!(core = peer.address.to_string(), replica = opened.hello.replica; "link opened");
             let why = serve(&mesh, &peer, opened).await;
             close(&peer);
             log::info!(core = peer.address.to_string(); "link lost: {why}");
         }
-        sleep_ms(wait_ms).await;
-        wait_ms = (wait_ms * 2).min(LONGEST_WAIT_MS);
+        sleep_ms(backoff_ms).await;
+        backoff_ms = (backoff_ms * 2).min(MAX_BACKOFF_MS);
     }
 }
 
 async fn open(mesh: &Rc<Mesh>, peer: &Rc<Peer>) -> io::Result<Opened> {
     let timed_out = || io::Error::from(io::ErrorKind::TimedOut);
-    let stream = within_ms(OPEN_MS, TcpStream::connect_addr(peer.address))
+    let stream = within_ms(CONNECT_TIMEOUT_MS, TcpStream::connect_addr(peer.address))
         .await
         .ok_or_else(timed_out)??;
     let handshake = link::handshake(stream, mesh.hello(), &mesh.key, true);
-    let opened = within_ms(OPEN_MS, handshake)
+    let opened = within_ms(CONNECT_TIMEOUT_MS, handshake)
         .await
         .ok_or_else(timed_out)??;
     peer.replica.set(opened.hello.replica);
@@ -60,7 +60,7 @@
     monoio::select! {
         () = read(mesh, peer, reader) => "the core closed it or fell silent",
         () = link::write_frames(writer, receiver, |_| peer.channel.note_sent()) => "writing failed",
-        () = show_life(mesh, peer) => "the process ends",
+        () = send_heartbeats(mesh, peer) => "the process ends",
     }
 }
 
@@ -69,16 +69,16 @@
     peer: &Rc<Peer>,
     mut reader: link::Reader<OwnedReadHalf<TcpStream>>,
 ) {
-    while let Some(Ok(Some(frame))) = within_ms(SILENCE_MS, reader.next()).await {
-        mesh.note_life(|| {
-            peer.note_heard(mesh.now_ms());
+    while let Some(Ok(Some(frame))) = within_ms(LINK_TIMEOUT_MS, reader.next()).await {
+        mesh.note_contact(|| {
+            peer.note_contact(mesh.now_ms());
             if let Some(Payload::Core(status)) = &frame.payload {
                 *peer.status.borrow_mut() = status.clone();
             }
         });
         match frame.payload {
             Some(Payload::Core(status)) => {
-                mesh.learn(status.cores.iter().filter_map(|core| core.parse().ok()));
+                mesh.add_cores(status.cores.iter().filter_map(|core| core.parse().ok()));
             }
             Some(Payload::Reply(reply)) => peer.channel.note_reply(reply),
             _ => {}
@@ -86,10 +86,10 @@
     }
 }
 
-async fn show_life(mesh: &Rc<Mesh>, peer: &Rc<Peer>) {
+async fn send_heartbeats(mesh: &Rc<Mesh>, peer: &Rc<Peer>) {
     while !mesh.stop.is_cancelled() {
         peer.channel.send(Payload::Heartbeat(Heartbeat::default()));
-        sleep_ms(SIGN_OF_LIFE_MS).await;
+        sleep_ms(HEARTBEAT_INTERVAL_MS).await;
         peer.note_silence(mesh.now_ms());
     }
 }
--- a/crates/bh-control/src/mesh/mesh.rs
+++ b/crates/bh-control/src/mesh/mesh.rs
@@ -13,16 +13,16 @@
 use tokio_util::sync::CancellationToken;
 
 /// Time between signs of life on a link, in milliseconds: two fit into the silence after which nothing is sent into it.
-pub const SIGN_OF_LIFE_MS: u64 = 200;
+pub const HEARTBEAT_INTERVAL_MS: u64 = 200;
 /// Silence after which no call is sent into a link, in milliseconds. A call that was sent may have been recorded, and its caller can only be
 /// told that nobody knows; one that was held back can be refused and tried elsewhere.
-pub(super) const FRESH_MS: u64 = 500;
+pub(super) const MAX_CALL_SILENCE_MS: u64 = 500;
 /// Silence after which a link is given up and dialled anew, in milliseconds. A connection can go silent for good while new ones
 /// work; callers wait about three seconds, so half of that is left for another try.
-pub const SILENCE_MS: u64 = 1_300;
+pub const LINK_TIMEOUT_MS: u64 = 1_300;
 
 /// Takes all known cores.
-type OnLearnt = Box<dyn Fn(&[SocketAddr])>;
+type OnCoresAdded = Box<dyn Fn(&[SocketAddr])>;
 
 /// Links to all cores that are known.
 pub struct Mesh {
@@ -35,8 +35,8 @@
     /// Cancelled when the process ends.
     pub(super) stop: CancellationToken,
     peers: RefCell<BTreeMap<SocketAddr, Rc<Peer>>>,
-    learnt: RefCell<OnLearnt>,
-    leader_seen_ms: Cell<u64>,
+    on_cores_added: RefCell<OnCoresAdded>,
+    leader_last_contact_ms: Cell<u64>,
     /// Cancelled, and replaced, when another core can be sent calls as the leader than before.
     leader_change: RefCell<CancellationToken>,
 }
@@ -52,15 +52,15 @@
             clock,
             stop,
             peers: RefCell::new(BTreeMap::new()),
-            learnt: RefCell::new(Box::new(|_| {})),
-            leader_seen_ms: Cell::new(0),
+            on_cores_added: RefCell::new(Box::new(|_| {})),
+            leader_last_contact_ms: Cell::new(0),
             leader_change: RefCell::new(CancellationToken::new()),
         })
     }
 
     /// Calls `learnt` with all known cores whenever another one is learnt of.
-    pub fn on_learnt(&self, learnt: impl Fn(&[SocketAddr]) + 'static) {
-        *self.learnt.borrow_mut() = Box::new(learnt);
+    pub fn on_cores_added(&self, callback: impl Fn(&[SocketAddr]) + 'static) {
+        *self.on_cores_added.borrow_mut() = Box::new(callback);
     }
 
     /// What this process says of itself.
@@ -74,8 +74,8 @@
     }
 
     /// Learns of cores, and dials those that were not known.
-    pub fn learn(self: &Rc<Self>, addresses: impl IntoIterator<Item = SocketAddr>) {
-        let mut grown = false;
+    pub fn add_cores(self: &Rc<Self>, addresses: impl IntoIterator<Item = SocketAddr>) {
+        let mut added = false;
         for address in addresses {
             if address.to_string() == self.hello.address
                 || self.peers.borrow().contains_key(&address)
@@ -85,10 +85,10 @@
             let peer = Rc::new(Peer::new(address));
             self.peers.borrow_mut().insert(address, peer.clone());
             monoio::spawn(dial::keep_link(self.clone(), peer));
-            grown = true;
+            added = true;
         }
-        if grown {
-            (self.learnt.borrow())(&self.known());
+        if added {
+            (self.on_cores_added.borrow())(&self.known());
         }
     }
 
@@ -114,7 +114,7 @@
     }
 
     /// The core whose replica has this identity.
-    pub fn by_replica(&self, replica: u64) -> Option<Rc<Peer>> {
+    pub fn peer_by_replica(&self, replica: u64) -> Option<Rc<Peer>> {
         self.peers
             .borrow()
             .values()
@@ -133,8 +133,11 @@
             .max_by_key(|peer| peer.status.borrow().term)
             .cloned();
         if let Some(leader) = &leader {
-            self.leader_seen_ms
-                .set(self.leader_seen_ms.get().max(leader.heard_ms.get()));
+            self.leader_last_contact_ms.set(
+                self.leader_last_contact_ms
+                    .get()
+                    .max(leader.last_contact_ms.get()),
+            );
         }
         leader
     }
@@ -159,7 +162,7 @@
     }
 
     /// Takes a sign of life of a core with `note`, and lets those go on who wait for a leader when there is another one now.
-    pub(super) fn note_life(&self, note: impl FnOnce()) {
+    pub(super) fn note_contact(&self, note: impl FnOnce()) {
         let before = self.fresh_term();
         note();
         if self.fresh_term() != before {
@@ -170,7 +173,7 @@
     }
 
     /// When a leader was last heard, on the process's clock in milliseconds; 0 before the first.
-    pub fn leader_seen_ms(&self) -> u64 {
-        self.leader_seen_ms.get()
+    pub fn leader_last_contact_ms(&self) -> u64 {
+        self.leader_last_contact_ms.get()
     }
 }
--- a/crates/bh-control/src/mesh/mod.rs
+++ b/crates/bh-control/src/mesh/mod.rs
@@ -10,10 +10,10 @@
 mod peer;
 
 pub use accept::Inbound;
+pub use accept::LinkHandler;
 pub use accept::Reply;
-pub use accept::Service;
 pub use accept::accept;
+pub use mesh::HEARTBEAT_INTERVAL_MS;
+pub use mesh::LINK_TIMEOUT_MS;
 pub use mesh::Mesh;
-pub use mesh::SIGN_OF_LIFE_MS;
-pub use mesh::SILENCE_MS;
 pub use peer::Peer;
--- a/crates/bh-control/src/mesh/peer.rs
+++ b/crates/bh-control/src/mesh/peer.rs
@@ -1,6 +1,6 @@
 //! A core that this process dials.
 
-use super::mesh::FRESH_MS;
+use super::mesh::MAX_CALL_SILENCE_MS;
 use bh_net::link::CallError;
 use bh_net::link::Channel;
 use bh_protocol::wire::CoreStatus;
@@ -25,7 +25,7 @@
     /// What it last said of itself.
     pub status: RefCell<CoreStatus>,
     /// When that was, on the process's clock in milliseconds.
-    pub heard_ms: Cell<u64>,
+    pub last_contact_ms: Cell<u64>,
     pub(super) channel: Channel,
     /// Cancelled while the link is silent.
     silence: RefCell<CancellationToken>,
@@ -38,7 +38,7 @@
             address,
             replica: Cell::new(0),
             status: RefCell::new(CoreStatus::default()),
-            heard_ms: Cell::new(0),
+            last_contact_ms: Cell::new(0),
             data_centre: RefCell::new(Arc::from("")),
             channel: Channel::new(),
             silence: RefCell::new(CancellationToken::new()),
@@ -52,10 +52,10 @@
 
     /// Whether it was heard so lately at `now_ms` that calls may be sent to it.
     pub fn is_fresh(&self, now_ms: u64) -> bool {
-        self.is_linked() && now_ms < self.heard_ms.get() + FRESH_MS
+        self.is_linked() && now_ms < self.last_contact_ms.get() + MAX_CALL_SILENCE_MS
     }
 
-    /// Notes at `now_ms` whether the link is silent: calls that wait for an answer on it are told by [`Self::fallen_silent`].
+    /// Notes at `now_ms` whether the link is silent: calls that wait for an answer on it are told by [`Self::until_silent`].
     pub(super) fn note_silence(&self, now_ms: u64) {
         if !self.is_fresh(now_ms) {
             self.silence.borrow().cancel();
@@ -63,15 +63,15 @@
     }
 
     /// Notes that it was heard at `now_ms`.
-    pub(super) fn note_heard(&self, now_ms: u64) {
-        self.heard_ms.set(now_ms);
+    pub(super) fn note_contact(&self, now_ms: u64) {
+        self.last_contact_ms.set(now_ms);
         if self.silence.borrow().is_cancelled() {
             self.silence.replace(CancellationToken::new());
         }
     }
 
     /// Returns once nothing was heard of it for so long that no call would be sent to it.
-    pub async fn fallen_silent(&self) {
+    pub async fn until_silent(&self) {
         let silence = self.silence.borrow().clone();
         silence.cancelled().await;
     }
--- a/crates/bh-control/src/observe/bounded_stdout.rs
+++ b/crates/bh-control/src/observe/bounded_stdout.rs
@@ -18,14 +18,14 @@
 
 /// Lines in one second at most. The busiest leader measured wrote some six hundred; beyond a few times that whoever reads them is not
 /// helped by more.
-pub const LINES_PER_SECOND: u64 = 3_000;
+pub const MAX_LINES_PER_SECOND: u64 = 3_000;
 /// Lines that wait to be written at most.
-const WAITING: usize = 4_096;
+const MAX_QUEUED_LINES: usize = 4_096;
 /// Bytes gathered for one write.
-const GATHERED_BYTES: usize = 32 << 10;
+const WRITE_BATCH_BYTES: usize = 32 << 10;
 
 /// Longest wait for the lines of a process that ends, in milliseconds: a reader that stands still must not keep it.
-const LAST_LINES_MS: u64 = 200;
+const FLUSH_TIMEOUT_MS: u64 = 200;
 
 /// Lines left out since the process began.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
@@ -63,7 +63,7 @@
 impl BoundedStdout {
     /// Lines laid out by `layout`.
     pub fn new(layout: impl Into<Box<dyn Layout>>) -> Self {
-        let (queue, lines) = sync_channel(WAITING);
+        let (queue, lines) = sync_channel(MAX_QUEUED_LINES);
         thread::spawn(move || write_all(&lines));
         Self {
             layout: layout.into(),
@@ -77,7 +77,7 @@
     }
 
     /// Whether one more line may be written in this second.
-    fn admits(&self) -> bool {
+    fn allows_line(&self) -> bool {
         let Ok(mut window) = self.window.lock() else {
             return false;
         };
@@ -86,16 +86,16 @@
             window.lines = 0;
         }
         window.lines += 1;
-        window.lines <= LINES_PER_SECOND
+        window.lines <= MAX_LINES_PER_SECOND
     }
 
-    fn leave_out(&self) {
+    fn count_dropped(&self) {
         self.dropped.fetch_add(1, Ordering::Relaxed);
         DROPPED.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Says how many lines were left out before this one, if any.
-    fn gap(&self) -> Option<Vec<u8>> {
+    fn dropped_notice(&self) -> Option<Vec<u8>> {
         let dropped = self.dropped.swap(0, Ordering::Relaxed);
         (dropped > 0).then(|| format!("{dropped} log lines were left out here\n").into_bytes())
     }
@@ -111,7 +111,7 @@
                 Item::Line(line) => bytes.extend_from_slice(&line),
                 Item::Flush(done) => waiting = Some(done),
             }
-            let more = bytes.len() < GATHERED_BYTES && waiting.is_none();
+            let more = bytes.len() < WRITE_BATCH_BYTES && waiting.is_none();
             next = more.then(|| items.try_recv().ok()).flatten();
         }
         // Whoever read the output is gone; there is nobody left to tell.
@@ -127,18 +127,18 @@
 
 impl Append for BoundedStdout {
     fn append(&self, record: &Record, diags: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
-        if !self.admits() {
-            self.leave_out();
+        if !self.allows_line() {
+            self.count_dropped();
             return Ok(());
         }
         let mut line = self.layout.format(record, diags)?;
         line.push(b'\n');
-        if let Some(mut gap) = self.gap() {
-            gap.extend_from_slice(&line);
-            line = gap;
+        if let Some(mut notice) = self.dropped_notice() {
+            notice.extend_from_slice(&line);
+            line = notice;
         }
         if self.queue.try_send(Item::Line(line)).is_err() {
-            self.leave_out();
+            self.count_dropped();
         }
         Ok(())
     }
@@ -147,7 +147,7 @@
         let (done, written) = sync_channel(1);
         if self.queue.try_send(Item::Flush(done)).is_ok() {
             // Past this the lines are lost, as when they had not been taken at all.
-            let _ = written.recv_timeout(Duration::from_millis(LAST_LINES_MS));
+            let _ = written.recv_timeout(Duration::from_millis(FLUSH_TIMEOUT_MS));
         }
         Ok(())
     }
--- a/crates/bh-control/src/observe/metrics.rs
+++ b/crates/bh-control/src/observe/metrics.rs
@@ -6,11 +6,11 @@
 use std::fmt::Write;
 
 /// Digits to which a histogram is exact.
-const DIGITS: u8 = 2;
+const SIGNIFICANT_DIGITS: u8 = 2;
 /// Longest time that a histogram tells apart, in milliseconds; longer ones count as this.
-const LONGEST_MS: u64 = 600_000;
+const MAX_RECORDED_MS: u64 = 600_000;
 /// Shares of the values that are told, in percent.
-const SHARES: [f64; 3] = [50.0, 90.0, 99.0];
+const PERCENTILES: [f64; 3] = [50.0, 90.0, 99.0];
 
 /// Name of a gauge, and name and value of its label.
 type LabelledName = (&'static str, &'static str, &'static str);
@@ -44,10 +44,12 @@
     pub fn gauge_with(
         &self,
         name: &'static str,
-        (label, of): (&'static str, &'static str),
+        (label, label_value): (&'static str, &'static str),
         value: u64,
     ) {
-        self.labelled.borrow_mut().insert((name, label, of), value);
+        self.labelled
+            .borrow_mut()
+            .insert((name, label, label_value), value);
     }
 
     /// Notes how long something took.
@@ -55,7 +57,8 @@
         let mut times = self.times_ms.borrow_mut();
         if !times.contains_key(name) {
             // The bounds are constants that the library accepts.
-            let Ok(histogram) = Histogram::new_with_bounds(1, LONGEST_MS, DIGITS) else {
+            let Ok(histogram) = Histogram::new_with_bounds(1, MAX_RECORDED_MS, SIGNIFICANT_DIGITS)
+            else {
                 return;
             };
             times.insert(name, histogram);
@@ -75,13 +78,13 @@
         for (name, value) in self.gauges.borrow().iter() {
             let _ = writeln!(text, "{name} {value}");
         }
-        for ((name, label, of), value) in self.labelled.borrow().iter() {
-            let _ = writeln!(text, "{name}{{{label}=\"{of}\"}} {value}");
+        for ((name, label, label_value), value) in self.labelled.borrow().iter() {
+            let _ = writeln!(text, "{name}{{{label}=\"{label_value}\"}} {value}");
         }
         for (name, histogram) in self.times_ms.borrow().iter() {
-            for share in SHARES {
-                let value = histogram.value_at_percentile(share);
-                let _ = writeln!(text, "{name}_ms{{percentile=\"{share}\"}} {value}");
+            for percentile in PERCENTILES {
+                let value = histogram.value_at_percentile(percentile);
+                let _ = writeln!(text, "{name}_ms{{percentile=\"{percentile}\"}} {value}");
             }
             let _ = writeln!(text, "{name}_ms_max {}", histogram.max());
             let _ = writeln!(text, "{name}_ms_count {}", histogram.len());
--- a/crates/bh-control/src/observe/serve_metrics.rs
+++ b/crates/bh-control/src/observe/serve_metrics.rs
@@ -18,7 +18,7 @@
 use tokio_util::sync::CancellationToken;
 
 /// Readers at a time.
-const MOST_READERS: usize = 16;
+const MAX_CONNECTIONS: usize = 16;
 /// Path of the metrics.
 const PATH: &str = "/metrics";
 
@@ -28,14 +28,14 @@
 type OperatorAnswer = Pin<Box<dyn Future<Output = Option<Response<Bytes>>>>>;
 
 /// What a process adds to its metrics when they are read.
-pub struct Readings {
+pub struct OperatorHooks {
     /// Sets the gauges that tell the state of this moment.
     pub refresh: Box<dyn Fn(&Metrics)>,
     /// Answers other calls of operators; `None` for what it does not know.
     pub answer: Box<OperatorCall>,
 }
 
-impl Readings {
+impl OperatorHooks {
     /// Gauges set by `refresh`, and no other calls.
     pub fn new(refresh: impl Fn(&Metrics) + 'static) -> Self {
         Self {
@@ -62,19 +62,19 @@
 pub fn serve_metrics(
     address: SocketAddr,
     metrics: Rc<Metrics>,
-    readings: Readings,
+    hooks: OperatorHooks,
     stop: CancellationToken,
 ) -> Result<(), Failure> {
     let listener = server::bind(address)?;
-    let readings = Rc::new(readings);
+    let hooks = Rc::new(hooks);
     let handler = move |request: Request<Bytes>| {
-        let (metrics, readings) = (metrics.clone(), readings.clone());
-        async move { answer(&metrics, &readings, request).await }
+        let (metrics, hooks) = (metrics.clone(), hooks.clone());
+        async move { answer(&metrics, &hooks, request).await }
     };
     monoio::spawn(server::serve(
         listener,
         stop,
-        (Rc::new(Cell::new(0)), MOST_READERS),
+        (Rc::new(Cell::new(0)), MAX_CONNECTIONS),
         handler,
     ));
     Ok(())
@@ -82,23 +82,23 @@
 
 async fn answer(
     metrics: &Metrics,
-    readings: &Readings,
+    hooks: &OperatorHooks,
     request: Request<Bytes>,
 ) -> Response<Bytes> {
-    let reads = request.method() == Method::GET;
+    let is_get = request.method() == Method::GET;
     if request.uri().path() != PATH {
-        let missing = if reads {
+        let missing = if is_get {
             StatusCode::NOT_FOUND
         } else {
             StatusCode::METHOD_NOT_ALLOWED
         };
-        let other = (readings.answer)(request).await;
+        let other = (hooks.answer)(request).await;
         return other.unwrap_or_else(|| server::status(missing));
     }
-    if !reads {
+    if !is_get {
         return server::status(StatusCode::METHOD_NOT_ALLOWED);
     }
-    (readings.refresh)(metrics);
+    (hooks.refresh)(metrics);
     let mut response = Response::new(Bytes::from(metrics.text()));
     response.headers_mut().insert(
         header::CONTENT_TYPE,
--- a/crates/bh-control/src/reload.rs
+++ b/crates/bh-control/src/reload.rs
@@ -12,10 +12,10 @@
 use std::sync::atomic::Ordering;
 
 /// Time between looks whether a signal has come, in milliseconds.
-const POLL_MS: u64 = 200;
+const SIGNAL_POLL_MS: u64 = 200;
 /// Time without a link to any core after which the file is read again without a signal, in milliseconds: its seeds may have been exchanged
 /// for others, and nobody else tells where the cores are.
-const ALONE_MS: u64 = 1_000;
+const UNLINKED_RELOAD_MS: u64 = 1_000;
 
 /// Starts to follow the file at `path`.
 ///
@@ -30,24 +30,24 @@
 }
 
 async fn watch(mesh: Rc<Mesh>, path: Arc<str>, hangup: Arc<AtomicBool>) {
-    let mut linked_ms = mesh.now_ms();
+    let mut last_linked_ms = mesh.now_ms();
     loop {
-        sleep_ms(POLL_MS).await;
+        sleep_ms(SIGNAL_POLL_MS).await;
         let now_ms = mesh.now_ms();
         if mesh.peers().iter().any(|peer| peer.is_linked()) {
-            linked_ms = now_ms;
+            last_linked_ms = now_ms;
         }
-        let told = hangup.swap(false, Ordering::Relaxed);
-        if !told && now_ms < linked_ms + ALONE_MS {
+        let signalled = hangup.swap(false, Ordering::Relaxed);
+        if !signalled && now_ms < last_linked_ms + UNLINKED_RELOAD_MS {
             continue;
         }
-        linked_ms = now_ms;
+        last_linked_ms = now_ms;
         match LocalConfig::load(&path) {
             Ok(config) => {
-                if told {
+                if signalled {
                     log::info!(seeds = config.seeds.len(); "file read again");
                 }
-                mesh.learn(config.seed_peers());
+                mesh.add_cores(config.seed_peers());
             }
             Err(failure) => log::warn!("the file was not taken over: {failure}"),
         }
--- a/crates/bh-control/src/server.rs
+++ b/crates/bh-control/src/server.rs
@@ -18,7 +18,7 @@
 use tokio_util::sync::CancellationToken;
 
 /// Time after which a connection without a request is closed, in milliseconds.
-const IDLE_MS: u64 = 60_000;
+const IDLE_TIMEOUT_MS: u64 = 60_000;
 /// Wait after a connection could not be taken, in milliseconds.
 const ACCEPT_RETRY_MS: u64 = 10;
 
@@ -49,10 +49,10 @@
 pub async fn serve<F: Future<Output = Response<Bytes>> + 'static>(
     listener: TcpListener,
     closing: CancellationToken,
-    (open, most): (Rc<Cell<usize>>, usize),
+    (open, max_open): (Rc<Cell<usize>>, usize),
     handler: impl Fn(Request<Bytes>) -> F + Clone + 'static,
 ) {
-    let limits = Limits::new(IDLE_MS);
+    let limits = Limits::new(IDLE_TIMEOUT_MS);
     loop {
         let accepted = monoio::select! {
             accepted = listener.accept() => accepted,
@@ -62,7 +62,7 @@
             sleep_ms(ACCEPT_RETRY_MS).await;
             continue;
         };
-        if open.get() >= most {
+        if open.get() >= max_open {
             log::warn!(open = open.get(); "a connection was refused: too many are open");
             continue;
         }
--- a/crates/bh-control/tests/silent_leader.rs
+++ b/crates/bh-control/tests/silent_leader.rs
@@ -10,8 +10,8 @@
 use bh_control::entry::Readiness;
 use bh_control::mesh;
 use bh_control::mesh::Inbound;
+use bh_control::mesh::LinkHandler;
 use bh_control::mesh::Mesh;
-use bh_control::mesh::Service;
 use bh_net::Clock;
 use bh_net::runtime;
 use bh_net::runtime::sleep_ms;
@@ -47,7 +47,7 @@
         ..Hello::default()
     };
     let mesh = Mesh::new(hello, Clock::new(), CancellationToken::new());
-    let service = Service {
+    let handler = LinkHandler {
         deliver: Box::new(|_| {}),
         answer: Box::new(move |request| {
             let call = serde_json::from_slice(&request.body).unwrap();
@@ -63,7 +63,7 @@
     };
     let listener = TcpListener::bind(address).unwrap();
     let inbound = Rc::new(Inbound::default());
-    monoio::spawn(mesh::accept(mesh, listener, Rc::new(service), inbound));
+    monoio::spawn(mesh::accept(mesh, listener, Rc::new(handler), inbound));
 }
 
 fn leave() -> Call {
@@ -87,7 +87,7 @@
         let calls = Calls::default();
         leader(addresses[1], Rc::new(Cell::new(1)), calls.clone());
         let entry = Mesh::new(Hello::default(), Clock::new(), CancellationToken::new());
-        entry.learn([addresses[0]]);
+        entry.add_cores([addresses[0]]);
         while entry.leader().is_none() {
             sleep_ms(20).await;
         }
@@ -111,7 +111,7 @@
         let calls = Calls::default();
         leader(addresses[1], Rc::new(Cell::new(1)), calls.clone());
         let entry = Mesh::new(Hello::default(), Clock::new(), CancellationToken::new());
-        entry.learn([addresses[0]]);
+        entry.add_cores([addresses[0]]);
         while entry.leader().is_none() {
             sleep_ms(20).await;
         }
@@ -139,7 +139,7 @@
         leader(addresses[2], term.clone(), elected.clone());
         let clock = Clock::new();
         let entry = Mesh::new(Hello::default(), clock.clone(), CancellationToken::new());
-        entry.learn([addresses[0], addresses[2]]);
+        entry.add_cores([addresses[0], addresses[2]]);
         while entry.leader().is_none() || entry.links_open() < 2 {
             sleep_ms(20).await;
         }
@@ -185,7 +185,7 @@
         let entry = Mesh::new(Hello::default(), clock.clone(), CancellationToken::new());
         let readiness = Readiness::new();
         assert!(!readiness.is_ready(&entry));
-        entry.learn([addresses[0]]);
+        entry.add_cores([addresses[0]]);
         while !readiness.is_ready(&entry) {
             sleep_ms(20).await;
         }
