--- a/crates/bh-control/src/core/advice.rs
+++ b/crates/bh-control/src/core/advice.rs
@@ -1,4 +1,4 @@
-//! Asks the outside adviser.
+//! Asks the external adviser which workers may run a step.
 
 use super::core_node::CoreNode;
 use super::leadership::Leadership;
@@ -9,7 +9,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Asks the first of `questions`, unless one is being asked or no adviser is known.
+/// Asks the adviser the first of `questions`, unless a question is already in progress. Without an adviser the question counts as
+/// unanswered.
 pub(super) fn ask(
     core: &Rc<CoreNode>,
     leadership: &mut Leadership,
--- a/crates/bh-control/src/core/answer_call.rs
+++ b/crates/bh-control/src/core/answer_call.rs
@@ -20,13 +20,14 @@
 use bh_workload::state::Workload;
 use std::rc::Rc;
 
-/// Wait until a read is known to be of the newest state, in milliseconds: one round between the cores, with room for a slow one.
+/// Time to wait until a read is confirmed to see the latest state, in milliseconds: one round trip between the cores, with margin for a
+/// slow one.
 const READ_TIMEOUT_MS: u64 = 1_000;
 
-/// Answers `call`, or says that this core does not lead.
+/// Answers `call`, or returns [`Answer::NotLeader`] if this core does not lead.
 ///
-/// Every call is decided here, on the newest applied rules, and never by an entry: no process can act on an older version after
-/// another has shown a newer one.
+/// Every call is decided here, on the latest applied rules, and never by an entry. So no process can act on an older version of the rules
+/// after another one has shown a newer one.
 pub async fn answer_call(core: &Rc<CoreNode>, call: Call) -> Answer {
     if core.leadership.borrow().is_none() || !core.group.is_leader() {
         return Answer::NotLeader;
@@ -98,7 +99,8 @@
     }
 }
 
-/// A worker says that it ends now. It is gone when that is certain, and asked until then; no leader gives it anything more.
+/// Handles a worker's announcement that it ends now. The worker is removed once it is certain that it has ended, and asked until then; no
+/// leader gives it new work.
 async fn leave(core: &Rc<CoreNode>, worker: &Incarnation) -> Answer {
     let term = core.group.status().term;
     let now_ms = core.clock.now_ms();
@@ -141,8 +143,8 @@
     leaving.map(|leaving| leaving.info.id.clone())
 }
 
-/// Records a change of a data centre, if there is such a one. A name that the file of this core does not list is known by the workers that came
-/// from there; where the file lists none, every name may come to be known.
+/// Records a change of a data centre if the data centre exists. A name that this core's config does not list is known if workers have come
+/// from there; if the config lists none, every name is accepted.
 async fn change_data_centre(core: &Rc<CoreNode>, name: &str, command: Command) -> Answer {
     let listed = &core.config.data_centres;
     let is_known = listed.is_empty()
@@ -160,7 +162,7 @@
     }
 }
 
-/// Without rules nothing can be said of a queue; it may exist a moment later.
+/// Without rules nothing is known about queues; the queue may exist a moment later, so the call can be retried.
 fn refused(refusal: Refusal) -> Answer {
     match refusal {
         Refusal::NoRules => unavailable(),
--- a/crates/bh-control/src/core/carriers.rs
+++ b/crates/bh-control/src/core/carriers.rs
@@ -1,32 +1,32 @@
-//! Which core talks to which worker.
+//! Which core talks to which worker. The carrier of a worker is the core that sends it the leader's orders.
 
 use bh_workload::state::WorkerInfo;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Connections of one worker: its heartbeats, the look that always waits, and an order now and then.
+/// Connections per worker: its heartbeats, the probe that is always waiting, and an occasional order.
 const CONNECTIONS_PER_WORKER: usize = 3;
-/// Share of its descriptors up to which the leader talks to all workers itself, in percent. What is left is for idle connections, links to
-/// entries and files; beyond it the cores share the workers. Below it that would only add a second process that may be lost.
+/// Percentage of its descriptors that the leader may use for talking to all workers itself. The rest is for idle connections, links to
+/// entries and files. Above it the cores share the workers; below it, sharing would only add a second process that can fail.
 const SHARE_ABOVE_PERCENT: usize = 25;
 
-/// A core that can be reached now.
+/// A core that is reachable now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Carrier {
-    /// Where it takes links.
+    /// Address where it accepts links.
     pub address: SocketAddr,
     /// Its data centre.
     pub data_centre: Arc<str>,
-    /// Where it takes heartbeats.
+    /// Address where it accepts heartbeats.
     pub control_address: Option<SocketAddr>,
 }
 
-/// Share below which a leader talks to all workers itself again, in percent: a fleet whose size goes up and down around one limit would have its
-/// connections opened anew each time.
+/// Percentage below which the leader talks to all workers itself again. The gap between the two limits is hysteresis: a fleet whose size
+/// varies around a single limit would have its connections reopened each time.
 const UNSHARE_BELOW_PERCENT: usize = 15;
 
-/// Whether the cores share the workers, rather than the leader talking to all of them; `already` when they did so far.
+/// Whether the cores should share the workers, instead of the leader talking to all of them. `is_shared` tells whether they share them now.
 pub fn should_share_workers(workers: usize, descriptors: usize, is_shared: bool) -> bool {
     let percent = if is_shared {
         UNSHARE_BELOW_PERCENT
@@ -36,10 +36,10 @@
     workers * CONNECTIONS_PER_WORKER * 100 > descriptors * percent
 }
 
-/// The core among `cores` that talks to a worker: one of its own data centre if there is any, since they are cut off together and what they
-/// say to each other stays there.
+/// Selects the core among `cores` that talks to a worker. A core in the worker's own data centre is preferred, since both are cut off
+/// together and their traffic stays inside.
 ///
-/// Each core reckons alike, and when one is lost only its own workers move.
+/// All cores compute the same result, and when a core is lost only its own workers move (rendezvous hashing).
 pub fn carrier_of<'a>(worker: &WorkerInfo, cores: &'a [Carrier]) -> Option<&'a Carrier> {
     cores.iter().max_by_key(|core| {
         let near = core.data_centre == worker.data_centre;
--- a/crates/bh-control/src/core/carry.rs
+++ b/crates/bh-control/src/core/carry.rs
@@ -1,11 +1,11 @@
-//! Orders that the leader gives through other cores.
+//! Orders that the leader sends to workers through other cores, their carriers.
 //!
-//! A leader that talked to every worker of a large fleet itself would need more connections than a small VM has descriptors, and its
-//! processor would be spent on HTTP while the other cores idle. So the cores share the workers; the leader alone decides, records and
-//! writes orders, and whoever carries one changes nothing in it.
+//! A leader that talked to every worker of a large fleet itself would need more connections than a small VM has descriptors, and would
+//! spend its processor time on HTTP while the other cores are idle. So the cores share the workers. Only the leader decides, records and
+//! writes orders; a carrier passes them on unchanged.
 //!
-//! To the worker a carried order is like one that the network held up or repeated: it is fenced by the leader's term and carries the end of its
-//! lease, so a carrier that is lost, cut off or suspended can do no more harm than a bad connection.
+//! To the worker, a carried order looks like one that the network delayed or duplicated. It is fenced by the leader's term and includes the
+//! end of its lease, so a carrier that is lost, cut off or suspended can do no more harm than a bad connection.
 
 use super::core_node::CoreNode;
 use super::worker_calls::Answered;
@@ -31,31 +31,31 @@
 use prost::Message;
 use std::rc::Rc;
 
-/// Time that the way over the carrier may take beside the worker's answer, in milliseconds: two hops of some milliseconds, with room for a
-/// busy processor.
+/// Time that the carrier adds to the worker's answer time, in milliseconds: two hops of a few milliseconds, with margin for a busy
+/// processor.
 const RELAY_OVERHEAD_MS: u64 = 150;
 
-/// What became of an order.
+/// Result of sending an order.
 pub(super) enum SendOutcome {
     /// The worker answered.
     Answered {
         /// Its answer.
         response: Response<Bytes>,
-        /// Whether an earlier send of the order had no answer.
+        /// Whether an earlier attempt to send the order had no answer.
         repeated: bool,
     },
     /// Nothing listens at the worker's address.
     NotListening {
-        /// Whether an earlier send of the order may have reached it.
+        /// Whether an earlier attempt to send the order may have reached the worker.
         repeated: bool,
     },
     /// The worker did not answer.
     NoAnswer(String),
-    /// The core that was to carry it was lost: nothing is known of the worker, and it may have been carried out.
+    /// The carrier was lost. Nothing is known of the worker, and the order may have been carried out.
     CarrierLost(String),
 }
 
-/// Sends an order of the leader of `term` to a worker, over the core that talks to it or directly when there is none.
+/// Sends an order of the leader of `term` to a worker: through its carrier, or directly if there is none.
 pub(super) async fn send(
     core: &Rc<CoreNode>,
     term: u64,
@@ -76,13 +76,14 @@
         };
         core.metrics.count("orders_carried", 1);
         match send_over(&carrier, &carry).await {
-            // Refused, so nothing was sent: the carrier knows of a later term, or takes the order for held up because a clock stood still.
+            // The carrier refused, so nothing was sent: it knows of a later term, or considers the order delayed because a clock had
+            // stopped.
             Ok(reply) if reply.outcome() == CarryOutcome::NotCarried => {
                 core.metrics.count("orders_refused_by_carriers", 1);
             }
             Ok(reply) => return outcome_of(reply),
             Err(CallError::Lost) => return SendOutcome::CarrierLost("no answer".to_owned()),
-            // Nothing left this core yet.
+            // Nothing has left this core yet.
             Err(CallError::NotSent) => {}
         }
     }
@@ -96,14 +97,14 @@
     }
 }
 
-/// The other core that talks to a worker of the record.
+/// The other core that talks to a recorded worker, if there is one.
 fn carrier_of(core: &Rc<CoreNode>, worker: &Incarnation) -> Option<Rc<Peer>> {
     let workload = core.group.machine.read();
     let carrier = core.carrier_of(&workload.worker(worker)?.info)?;
     core.mesh.peer(carrier.address)
 }
 
-/// Has `carrier` carry an order, until it answers or is lost.
+/// Sends an order through `carrier` and waits until it answers or is lost.
 async fn send_over(carrier: &Peer, carry: &CarryRequest) -> Result<CarryReply, CallError> {
     let limit_ms = carry.limit_ms + RELAY_OVERHEAD_MS;
     let reply = monoio::select! {
@@ -148,7 +149,7 @@
     }
 }
 
-/// Carries an order of the leader to a worker; returns the encoded answer.
+/// Handles a request to carry an order of the leader to a worker. Returns the encoded reply.
 pub(super) async fn carry(core: &Rc<CoreNode>, body: &[u8]) -> Vec<u8> {
     let reply = match CarryRequest::decode(body) {
         Ok(request) => carry_decoded(core, request).await,
@@ -162,7 +163,7 @@
     if carry.term < known {
         return not_carried(format!("term {} is over, this is {known}", carry.term));
     }
-    // An order that was held up, because this VM or the link stood still, is given up by its sender already.
+    // An order that was delayed, because this VM or the link was paused, has already been given up by its sender.
     let late_ms =
         core.carry_delay
             .borrow_mut()
--- a/crates/bh-control/src/core/carry_delay.rs
+++ b/crates/bh-control/src/core/carry_delay.rs
@@ -1,24 +1,25 @@
-//! How long orders were on their way from the leader.
+//! Detects orders from the leader that were delayed in transit.
 
-/// Time for which the quickest order is remembered at least, in milliseconds, and at most twice that while orders come. The leader's clock stands
-/// still while its VM is suspended, and no two clocks run quite alike: what was the least once is too little later.
+/// How long the fastest order is remembered, in milliseconds; up to twice as long while orders arrive. The leader's clock stops while its
+/// VM is suspended, and clocks drift apart, so a minimum that is too old would be too small.
 const WINDOW_MS: u64 = 5_000;
 
-/// Tells orders that were held up from those that came at once, without clocks that agree: the leader's clock is compared with this core's, and
-/// the least difference seen lately in its term stands for an order that came at once.
+/// Estimates how late an order is without synchronized clocks. The difference between the leader's clock and this core's clock is taken for
+/// each order, and the smallest recent difference within the leader's term stands for an order that arrived without delay.
 #[derive(Debug, Default)]
 pub struct CarryDelay {
     term: u64,
-    /// When the span of `min_ms` began, on this core's clock in milliseconds.
+    /// When the window of `min_ms` started, on this core's clock in milliseconds.
     window_start_ms: u64,
     min_ms: Option<i128>,
-    /// The same of the span before. It stays while no orders come, so that the first ones after this VM stood still are compared with it.
+    /// Minimum of the previous window. It stays while no orders arrive, so that the first orders after a suspension of this VM are compared
+    /// with it.
     previous_min_ms: Option<i128>,
 }
 
 impl CarryDelay {
-    /// Notes an order of the leader of `term`, sent at `sent_ms` of its clock and here at `now_ms` of this core's; returns by how many
-    /// milliseconds it is later than the quickest one.
+    /// Records an order of the leader of `term`, sent at `sent_ms` on the leader's clock and received at `now_ms` on this core's clock.
+    /// Returns how many milliseconds later it is than the fastest one.
     pub fn note(&mut self, term: u64, sent_ms: u64, now_ms: u64) -> u64 {
         if term != self.term {
             *self = Self {
--- a/crates/bh-control/src/core/core_node.rs
+++ b/crates/bh-control/src/core/core_node.rs
@@ -1,4 +1,4 @@
-//! A core process: its replica, its links, and what it does while it leads.
+//! A core process: its replica, its links, and its state while it leads.
 
 use super::carriers;
 use super::carriers::Carrier;
@@ -30,7 +30,7 @@
 pub struct CoreNode {
     /// Its file.
     pub config: LocalConfig,
-    /// How calls and orders are written.
+    /// Translates calls and orders to and from the wire format.
     pub dialect: Dialect,
     /// Its clock.
     pub clock: Clock,
@@ -38,36 +38,36 @@
     pub group: Group<Workload>,
     /// Links to other cores.
     pub mesh: Rc<Mesh>,
-    /// Links from other cores and entries.
+    /// Open links from other cores and entries.
     pub inbound: Rc<Inbound>,
     /// Connections to workers.
     pub workers: WorkerCalls,
-    /// What it does as the leader; `None` while it does not lead.
+    /// The leader's state; `None` while this core does not lead.
     pub leadership: RefCell<Option<Leadership>>,
-    /// When somebody was last known to lead, on the process's clock in milliseconds; `None` since the process began.
+    /// When some core was last known to lead, on the process's clock in milliseconds; `None` if none has been since the process started.
     pub last_led_ms: Cell<Option<u64>>,
-    /// Whether the cores shared the workers when that was last asked.
+    /// Result of the last check whether the cores share the workers.
     pub shared_workers: Cell<bool>,
-    /// How long orders that it carries were on their way.
+    /// Measures the transit time of orders that this core carries.
     pub carry_delay: RefCell<CarryDelay>,
-    /// Heartbeats that came while nobody led.
+    /// Heartbeats received while there was no leader.
     pub undelivered_heartbeats: RefCell<UndeliveredHeartbeats>,
-    /// Heartbeats that the leader has not heard of yet, by worker.
+    /// Heartbeats that are to be relayed to the leader, by worker.
     pub heartbeats_to_relay: RefCell<BTreeMap<Incarnation, ReceivedHeartbeat>>,
     /// Cancelled when the process is told to stop.
     pub draining: CancellationToken,
-    /// Counters and times.
+    /// Counters, gauges and latency histograms.
     pub metrics: Rc<Metrics>,
-    /// Calls in progress.
+    /// Number of calls in progress.
     pub in_progress: Cell<usize>,
-    /// Wakes the leader's loop.
+    /// Wakes the leader's main loop.
     pub wake: unbounded::Tx<()>,
-    /// Whether a wake is on its way already.
+    /// Whether a wake-up is already queued.
     pub wake_pending: Cell<bool>,
 }
 
 impl CoreNode {
-    /// What this core says of itself.
+    /// What this core reports about itself on its links.
     pub fn status(&self) -> CoreStatus {
         let status = self.group.status();
         let rules_version = self
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Whether the cores share the workers.
+    /// Whether the cores share the workers, instead of the leader talking to all of them.
     pub fn shares_workers(&self) -> bool {
         let workers = self.group.machine.read().worker_count();
         let shared = carriers::should_share_workers(
@@ -112,7 +112,7 @@
         shared
     }
 
-    /// The cores that can be reached now, this one among them.
+    /// The cores that are reachable now, including this one.
     pub fn cores(&self) -> Vec<Carrier> {
         let now_ms = self.clock.now_ms();
         let peers = self.mesh.peers();
@@ -134,7 +134,7 @@
         cores
     }
 
-    /// The other core that talks to a worker; `None` when this one shall.
+    /// The other core that talks to a worker; `None` if this core does.
     pub fn carrier_of(&self, worker: &WorkerInfo) -> Option<Carrier> {
         if !self.shares_workers() {
             return None;
@@ -145,7 +145,7 @@
             .cloned()
     }
 
-    /// Wakes the leader's loop, once for many reasons at a time.
+    /// Wakes the leader's main loop; several calls before the next iteration count as one.
     pub fn wake(&self) {
         if !self.wake_pending.replace(true) {
             // The loop ends only with the process.
--- a/crates/bh-control/src/core/departures.rs
+++ b/crates/bh-control/src/core/departures.rs
@@ -1,4 +1,4 @@
-//! What is told of workers that are gone, and of what ran on them.
+//! Log lines about workers that are gone and the runs on them.
 
 use super::core_node::CoreNode;
 use super::detection::Detection;
@@ -13,8 +13,8 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// One line for each worker that `command` says to be gone, and for each run that is lost with it or may be the cause. The ends of runs on
-/// a worker that left are not recorded one by one, so without these lines nothing would tell why their tasks begin anew.
+/// Logs each worker that `command` removes, and each run that is lost with it or may have crashed it. The ends of runs on a worker that
+/// left are not recorded one by one, so without these lines nothing would explain why their tasks restart.
 pub(super) fn log_departures(
     core: &Rc<CoreNode>,
     term: u64,
@@ -64,7 +64,7 @@
     }
 }
 
-/// What speaks against each run that may have crashed the worker, with the crashes counted before this one.
+/// Logs the evidence against each run that may have crashed the worker, with the number of crashes counted before this one.
 fn log_suspects(core: &Rc<CoreNode>, term: u64, worker: &Incarnation, suspects: &[Suspect]) {
     let workload = core.group.machine.read();
     for Suspect { run, evidence } in suspects {
@@ -73,7 +73,7 @@
     }
 }
 
-/// One line for each job that was given up since a worker crashed under these runs.
+/// Logs each job that was given up because a worker crashed while running one of these runs.
 pub(super) fn log_given_up(core: &Rc<CoreNode>, suspects: &[Suspect]) {
     let workload = core.group.machine.read();
     let jobs: BTreeSet<JobId> = suspects.iter().map(|s| s.run.task.step.job).collect();
--- a/crates/bh-control/src/core/detection.rs
+++ b/crates/bh-control/src/core/detection.rs
@@ -1,26 +1,26 @@
-//! How the leader learnt that a run or a worker is over.
+//! How the leader found out that a run has ended or that a worker is gone.
 
-/// The message, or the want of one, behind an end.
+/// The message, or the lack of one, that shows the end of a run or the loss of a worker.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Detection {
-    /// The worker listed the end.
+    /// The worker listed the end of the run.
     Listed,
-    /// The worker had confirmed the start or a stop, and neither runs nor lists the run.
+    /// The worker had confirmed the start or a stop of the run, and now neither runs nor lists it.
     NotListed,
-    /// The worker refused the start, and no earlier send of it can have been carried out.
+    /// The worker refused the start, and no earlier attempt to send it can have been carried out.
     Refused,
     /// The start was never sent.
     NeverSent,
-    /// The worker's lease ran out unheard.
+    /// The worker's lease expired without an answer.
     Lapsed,
-    /// The other members of the gang ended, and the worker has had the time to end this one.
+    /// The other members of the gang ended, and the worker has had enough time to stop this run.
     BrokenGang,
-    /// The worker said that it leaves.
+    /// The worker announced that it leaves.
     Leave,
     /// Another incarnation answered at the worker's address.
     OtherIncarnation,
     /// Another incarnation with the same worker id answered.
     Restarted,
-    /// The upkeep of the worker's VM began.
+    /// Maintenance of the worker's VM started.
     Upkeep,
 }
--- a/crates/bh-control/src/core/driver.rs
+++ b/crates/bh-control/src/core/driver.rs
@@ -1,4 +1,4 @@
-//! The core's replica of the record: how it is set up, and what it tells the core.
+//! Sets up the core's replica of the replicated state and connects it to the core.
 
 use super::core_node::CoreNode;
 use crate::config::LocalConfig;
@@ -19,27 +19,29 @@
 
 /// Name of the replicated group.
 const GROUP: &str = "workload";
-/// Time between a leader's heartbeats, in milliseconds. Cores stand milliseconds apart; the rest is room for a busy processor.
+/// Time between a leader's heartbeats, in milliseconds. The latency between cores is a few milliseconds; the rest is margin for a busy
+/// processor.
 const HEARTBEAT_INTERVAL_MS: u64 = 120;
-/// Least silence before an election, in milliseconds: a sync may take tens of milliseconds, and a small VM's share of a processor may
-/// pause for a tenth of a second.
+/// Minimum silence before an election, in milliseconds: a sync may take tens of milliseconds, and a small VM may be paused for a tenth of a
+/// second.
 const ELECTION_TIMEOUT_MS: u64 = 700;
-/// The same for a core that has heard no leader since it started, in milliseconds: two heartbeats, in which a leader would have shown itself.
+/// Election timeout of a core that has not heard from a leader since it started, in milliseconds: two heartbeats, within which a leader
+/// would have been heard.
 const FIRST_ELECTION_TIMEOUT_MS: u64 = 2 * HEARTBEAT_INTERVAL_MS;
-/// Silence after which a core's vote passes to another one that has caught up, in milliseconds. A restart is over sooner; a core that is
-/// gone for good must be replaced before the next one may be lost.
+/// Silence after which a core's vote passes to another one that has caught up, in milliseconds. A restart takes less; a core that is
+/// permanently lost must be replaced before the next one may fail.
 const REPLACE_AFTER_MS: u64 = 2_000;
-/// Commands after which the record is written as a whole.
+/// Number of commands after which a snapshot is written.
 const SNAPSHOT_ENTRIES: u64 = 4_000;
 
-/// The core once it is built; the driver's hooks exist before.
+/// A core that is set after it is built. The driver's hooks are created before the core.
 #[derive(Clone, Default)]
 pub(super) struct DeferredCore {
     core: Rc<RefCell<Option<Rc<CoreNode>>>>,
 }
 
 impl DeferredCore {
-    /// Makes the core known.
+    /// Sets the core.
     pub fn set(&self, core: Rc<CoreNode>) {
         *self.core.borrow_mut() = Some(core);
     }
@@ -63,7 +65,7 @@
     let consensus = Config {
         group: Arc::from(GROUP),
         id: folder.replica(),
-        // A VM is named by its address: a replaced one comes back under another, a wiped one under the same.
+        // A VM is identified by its address: a replaced VM comes back under another one, a wiped VM under the same.
         name: Arc::from(config.ip.to_string()),
         durable: true,
         wanted_voters: Wanted::Count {
--- a/crates/bh-control/src/core/evacuations.rs
+++ b/crates/bh-control/src/core/evacuations.rs
@@ -1,4 +1,4 @@
-//! Evacuations of data centres, as operators order and read them.
+//! Evacuations of data centres: the operator's commands and the list.
 
 use super::core_node::CoreNode;
 use super::incoming;
@@ -18,22 +18,22 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Wait for the order to be recorded, in milliseconds: an operator at a command line waits for longer than a program, and an election may be
-/// going on.
+/// Timeout for recording the command, in milliseconds. An operator at a command line waits longer than a program, and an election may be in
+/// progress.
 const ORDER_TIMEOUT_MS: u64 = 5_000;
 
-/// An evacuation that goes on.
+/// An evacuation in progress.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuation {
     /// The data centre.
     pub data_centre: Arc<str>,
-    /// How long it has gone on, in milliseconds.
+    /// How long it has been in progress, in milliseconds.
     pub for_ms: u64,
-    /// Runs that began there before it and go on.
+    /// Number of runs that started there before the evacuation and have not ended.
     pub runs: usize,
 }
 
-/// What an operator is told of an order that is recorded.
+/// Answer to an operator's evacuation command, once it is recorded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuationStatus {
     /// The data centre.
@@ -42,7 +42,7 @@
     pub is_evacuated: bool,
 }
 
-/// The evacuations that go on at `wall_ms` since 1970.
+/// The evacuations in progress at `wall_ms`, in milliseconds since 1970.
 pub(super) fn list(wall_ms: u64, workload: &Workload) -> Vec<Evacuation> {
     let runs_in = |data_centre: &Arc<str>| {
         let inside = workload
@@ -60,7 +60,7 @@
         .collect()
 }
 
-/// Begins or ends an evacuation by the product's own interface; `None` for another method.
+/// Starts or ends an evacuation through the operator's interface; `None` for an unknown method.
 pub(super) async fn order(
     core: &Rc<CoreNode>,
     method: &Method,
--- a/crates/bh-control/src/core/formation.rs
+++ b/crates/bh-control/src/core/formation.rs
@@ -1,4 +1,4 @@
-//! How the cores of a new deployment come to be a group.
+//! Bootstrap: how the cores of a new deployment form the replicated group.
 
 use super::core_node::CoreNode;
 use bh_group::Formation;
@@ -14,10 +14,10 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Wait for an answer, in milliseconds.
+/// Time to wait for an answer, in milliseconds.
 const ANSWER_TIMEOUT_MS: u64 = 500;
-/// File with the first voters. It outlives a crash between the first start and the forming, and goes with an emptied disk: a core
-/// that lost its disk must not form a second group beside the one it forgot.
+/// File with the first voters. It survives a crash between the first start and the end of the bootstrap, and is lost with the disk's
+/// contents: a core that lost its disk must not form a second group beside the one that it no longer knows.
 const FIRST_VOTERS_FILE: &str = "first-voters";
 
 /// Addresses of the first voters, when this core may still take part in forming the group.
@@ -47,7 +47,7 @@
     Ok(Some(voters))
 }
 
-/// Takes part in forming the group of `voters`.
+/// Takes part in the bootstrap of the group of `voters`.
 pub async fn form(core: Rc<CoreNode>, replica: u64, voters: BTreeSet<IpAddr>) {
     let names: BTreeSet<Arc<str>> = voters.iter().map(|ip| Arc::from(ip.to_string())).collect();
     let own: Arc<str> = Arc::from(core.config.ip.to_string());
--- a/crates/bh-control/src/core/heartbeats.rs
+++ b/crates/bh-control/src/core/heartbeats.rs
@@ -16,14 +16,15 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Time for which heartbeats that change nothing are gathered before the leader hears of them, in milliseconds. It is a small part of
-/// the time after which a worker counts as silent, and makes one message of some hundred.
+/// Time for which heartbeats without changes are collected before they are sent to the leader, in milliseconds. It is a small part of the
+/// time after which a worker counts as silent, and combines some hundred heartbeats into one message.
 const RELAY_INTERVAL_MS: u64 = 100;
-/// Wait for the leader to take them, in milliseconds. Those that it did not take are followed by the workers' next ones.
+/// Time to wait for the leader's answer, in milliseconds. Heartbeats that did not reach the leader are not sent again, since newer ones
+/// follow.
 const RELAY_TIMEOUT_MS: u64 = 500;
 
-/// Takes a worker's heartbeat as the leader. What changes what may run there is recorded before the worker is answered: whoever leads
-/// next must not give work to a worker whose leaving was acknowledged.
+/// Handles a worker's heartbeat as the leader. Changes that affect what may run on the worker are recorded before the worker gets its
+/// answer: the next leader must not give work to a worker whose leaving was acknowledged.
 pub(super) async fn handle_heartbeat(core: &Rc<CoreNode>, heartbeat: WorkerHeartbeat) -> Answer {
     let id = heartbeat.info.id.clone();
     let heard = Answer::Heard {
@@ -53,7 +54,8 @@
     }
 }
 
-/// Notes a sign of life; returns whether it is the newest of a worker that has not ended, or `None` when this core does not lead.
+/// Passes a heartbeat to the dispatcher. Returns whether it is the newest one of a worker that has not ended, or `None` if this core does
+/// not lead.
 fn note_heartbeat(
     core: &Rc<CoreNode>,
     worker: &Incarnation,
@@ -92,7 +94,7 @@
     let workload = core.group.machine.read();
     let known = workload.worker(id);
     let mut changes = Vec::new();
-    // A core of an older version hands heartbeats on without the number in the info.
+    // Cores of an older version forward heartbeats without the sequence number in the info.
     let info = WorkerInfo {
         sequence: heartbeat.sequence,
         ..heartbeat.info.clone()
@@ -109,16 +111,17 @@
     changes
 }
 
-/// Where a worker's next heartbeats go: to the core that talks to it.
+/// Address for the worker's next heartbeats: that of the core that talks to the worker.
 fn next_address(core: &Rc<CoreNode>, worker: &WorkerInfo) -> Option<SocketAddr> {
     core.carrier_of(worker)
         .and_then(|carrier| carrier.control_address)
         .or(core.config.control_address)
 }
 
-/// Takes a heartbeat that changes nothing for the leader, which is told of many at a time; `None` when the leader must see it itself.
+/// Accepts a heartbeat that changes nothing on behalf of the leader, to be relayed together with others. Returns `None` if the leader must
+/// handle it itself.
 ///
-/// A fleet of thousands of workers sends thousands of heartbeats a second, nearly all of which say nothing but that the worker is there.
+/// A fleet of thousands of workers sends thousands of heartbeats a second, and nearly all of them only say that the worker is alive.
 pub(super) fn accept_for_leader(
     core: &Rc<CoreNode>,
     heartbeat: &WorkerHeartbeat,
@@ -137,7 +140,7 @@
     })
 }
 
-/// Tells the leader of the heartbeats that came here, until the process ends.
+/// Relays the heartbeats received by this core to the leader, until the process ends.
 pub(super) async fn relay_to_leader(core: Rc<CoreNode>) {
     loop {
         sleep_ms(RELAY_INTERVAL_MS).await;
@@ -166,7 +169,7 @@
     }
 }
 
-/// Takes the heartbeats that came to another core.
+/// Handles heartbeats that another core received and relayed.
 pub(super) fn handle_relayed(core: &Rc<CoreNode>, body: &[u8]) {
     let heartbeats = match RelayedHeartbeats::decode(body) {
         Ok(signs) => signs.signs,
@@ -189,7 +192,7 @@
                 cold_ms: relayed.cold_ms,
                 leaves_in_ms: relayed.leaves_in_ms,
             };
-            // The next one of a core that no longer leads goes to another.
+            // If this core no longer leads, the worker's next heartbeat goes to the new leader.
             let _ = note_heartbeat(core, &worker, &heartbeat);
         }
     }
--- a/crates/bh-control/src/core/incoming.rs
+++ b/crates/bh-control/src/core/incoming.rs
@@ -1,4 +1,4 @@
-//! Calls that come to a core: over links from other processes, and over HTTP from workers and operators.
+//! Incoming calls of a core: over links from other processes, and over HTTP from workers and operators.
 
 use super::answer_call::answer_call;
 use super::carry;
@@ -17,11 +17,10 @@
 use http::Response;
 use std::rc::Rc;
 
-/// Longest time that a call is worked on when its sender does not say how long it waits, in milliseconds; workers and operators turn to
-/// another core after a second.
+/// Timeout of a call whose sender does not give one, in milliseconds. Workers and operators try another core after a second.
 const DEFAULT_TIMEOUT_MS: u64 = 900;
 
-/// What this core does with what comes over links.
+/// Creates the handlers for messages that arrive over links.
 pub(super) fn link_handler(core: &Rc<CoreNode>) -> LinkHandler {
     let (delivering, answering, telling) = (core.clone(), core.clone(), core.clone());
     LinkHandler {
@@ -53,7 +52,7 @@
     serde_json::to_vec(&answer).unwrap_or_default()
 }
 
-/// Counts a call as in progress, so that a graceful end waits for it.
+/// Counts a call as in progress while `work` runs, so that a graceful shutdown waits for it.
 async fn count_in_progress<T>(core: &Rc<CoreNode>, work: impl Future<Output = T>) -> T {
     core.in_progress.set(core.in_progress.get() + 1);
     let result = work.await;
@@ -61,7 +60,7 @@
     result
 }
 
-/// A call of a worker or operator: answered here when this core leads, else handed on.
+/// Handles a call of a worker or an operator: answers it if this core leads, and forwards it otherwise.
 pub(super) async fn handle(core: Rc<CoreNode>, request: Request<Bytes>) -> Response<Bytes> {
     let received = match (core.dialect.read_control)(&request) {
         Ok(received) => received,
@@ -82,7 +81,7 @@
     (core.dialect.write_answer)(&received.call, &answer)
 }
 
-/// What is decided of a call, here when this core leads, else by the leader, within `timeout_ms`.
+/// Has a call decided by this core if it leads, or else by the leader, within `timeout_ms`.
 pub(super) async fn decide(core: &Rc<CoreNode>, call: &Call, timeout_ms: u64) -> Answer {
     let decided = async {
         match answer_call(core, call.clone()).await {
@@ -95,7 +94,7 @@
     answer
 }
 
-/// A call that came to a core that does not lead.
+/// Handles a call while this core does not lead.
 async fn handle_as_follower(core: &Rc<CoreNode>, call: &Call, timeout_ms: u64) -> Answer {
     if let Call::Heartbeat(heartbeat) = call
         && let Some(answer) = heartbeats::accept_for_leader(core, heartbeat)
--- a/crates/bh-control/src/core/inherited_runs.rs
+++ b/crates/bh-control/src/core/inherited_runs.rs
@@ -1,4 +1,4 @@
-//! Runs that a leader took over and has not heard of yet.
+//! Runs started under an earlier leader and not yet confirmed to this one.
 
 use bh_protocol::Incarnation;
 use bh_workload::dispatch::Dispatcher;
@@ -7,14 +7,14 @@
 use bh_workload::state::Workload;
 use std::collections::BTreeSet;
 
-/// Recorded runs that an earlier leader ordered, until each is over or its worker says that it has it.
+/// Runs that an earlier leader recorded. Each is kept until it has ended or its worker confirms it.
 #[derive(Clone, Debug, Default)]
 pub struct InheritedRuns {
     runs: BTreeSet<(Incarnation, RunId)>,
 }
 
 impl InheritedRuns {
-    /// All runs in the record.
+    /// All runs in the replicated state.
     pub fn new(workload: &Workload) -> Self {
         let workers = workload.workers();
         let runs = workers.flat_map(|worker| {
@@ -26,12 +26,12 @@
         }
     }
 
-    /// Runs that are left.
+    /// Number of runs that are not settled yet.
     pub fn count(&self) -> usize {
         self.runs.len()
     }
 
-    /// Drops what has been heard of; returns one of the last when none is left that was left before.
+    /// Removes the runs that have ended or are confirmed. If none is left then, returns one of those that were just removed.
     pub fn remove_settled(
         &mut self,
         workload: &Workload,
--- a/crates/bh-control/src/core/job_ends.rs
+++ b/crates/bh-control/src/core/job_ends.rs
@@ -1,4 +1,4 @@
-//! What is told of jobs that ended.
+//! Log lines about jobs that have ended.
 
 use super::core_node::CoreNode;
 use super::leadership::Leadership;
@@ -7,8 +7,8 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// One line for each job that ended: how, how long it took since it was accepted, and within which time it was on time. A job with a schedule has no
-/// objective of its own: each of its occurrences has.
+/// Logs each job that has ended: its outcome, the time since it was accepted, and its objective for that time. A job with a schedule has no
+/// objective of its own; each of its occurrences has one.
 pub(super) fn log_job_ends(
     core: &Rc<CoreNode>,
     leadership: &Leadership,
--- a/crates/bh-control/src/core/job_stall.rs
+++ b/crates/bh-control/src/core/job_stall.rs
@@ -1,28 +1,28 @@
-//! What is told of a job that stands still.
+//! A stalled job, as it is reported in the log.
 
 use bh_workload::job::JobId;
 use bh_workload::plan::RunnableStep;
 
-/// Why a stretch in which a job stood still is over.
+/// Why a job no longer counts as stalled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StallEnd {
-    /// Something of the job runs, or has run.
+    /// A run of the job is in progress or has finished since.
     Runs,
-    /// The job is over.
+    /// The job has ended.
     JobOver,
-    /// There is no longer room for it twice over, or half of its pool is in use.
+    /// There is no longer free capacity for the job twice over, or half of its pool is in use.
     LessRoom,
 }
 
-/// A stretch in which a job stood still.
+/// A period in which a job is stalled: none of its tasks runs although there is free capacity.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobStall {
     /// The job.
     pub job: JobId,
-    /// How long it has stood still since this leader first saw it so, in milliseconds.
+    /// How long the job has been stalled since this leader first saw it, in milliseconds.
     pub stalled_ms: u64,
-    /// What was last known of one of its steps.
+    /// Last known state of one of the job's steps.
     pub step: RunnableStep,
-    /// Why it is over; `None` while it lasts.
+    /// Why the stall ended; `None` while it lasts.
     pub end: Option<StallEnd>,
 }
--- a/crates/bh-control/src/core/leader_loop.rs
+++ b/crates/bh-control/src/core/leader_loop.rs
@@ -1,4 +1,4 @@
-//! The leader's loop: takes over what is recorded, gives orders, plans.
+//! The leader's main loop: takes over the replicated state, sends orders and plans.
 
 use super::core_node::CoreNode;
 use super::inherited_runs::InheritedRuns;
@@ -23,26 +23,26 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Longest time between two turns of the loop while leading, in milliseconds: what is due by time alone is late by no more.
+/// Maximum time between two iterations of the loop while leading, in milliseconds. Timers fire late by at most this much.
 const LOOP_INTERVAL_MS: u64 = 50;
-/// The same while not leading.
+/// Maximum time between two iterations while not leading, in milliseconds.
 const IDLE_LOOP_INTERVAL_MS: u64 = 250;
 /// Time between checks for overdue runs, in milliseconds.
 const OVERDUE_CHECK_MS: u64 = 400;
-/// Time since a majority was heard after which a leader gives no more orders, in milliseconds. Another may have been elected without its
-/// knowing, for instance while this VM was suspended.
+/// Time since the last contact with a majority after which a leader sends no more orders, in milliseconds. Another leader may have been
+/// elected without its knowledge, for instance while this VM was suspended.
 const QUORUM_TIMEOUT_MS: u64 = 1_500;
-/// Time between looks for runs that were taken over and have been heard of, in milliseconds.
+/// Time between checks whether inherited runs are confirmed or have ended, in milliseconds.
 const INHERITED_CHECK_MS: u64 = 100;
-/// Time between looks for ended jobs that nobody asks for any more and for connections that nobody uses, in milliseconds.
+/// Time between removals of ended jobs past their retention time and of idle connections, in milliseconds.
 const CLEANUP_INTERVAL_MS: u64 = 10_000;
 
-/// Time without a leader, in milliseconds, after which workers must be heard before they get work. A worker's room may change at any time,
-/// and what it said of itself is good for some three heartbeats: one since the last, and this time. Most losses of all cores are over
-/// sooner.
+/// Time without a leader, in milliseconds, after which a worker must be heard from before it gets work. A worker's capacity may change at
+/// any time, and what it last reported is trusted for about three heartbeats: one for the time since the last heartbeat, the rest for this
+/// time. Most outages of all cores are shorter.
 const MAX_TRUSTED_GAP_MS: u64 = 2_500;
 
-/// Runs until the process ends.
+/// Runs the loop until the process ends.
 pub async fn run(core: Rc<CoreNode>, mut wakes: unbounded::Rx<()>) {
     let mut cleaned_up_ms = core.clock.now_ms();
     loop {
@@ -109,7 +109,7 @@
     core.inbound.broadcast(&core.status());
 }
 
-/// Waits until everything that earlier leaders recorded is applied, then takes it over.
+/// Waits until everything that earlier leaders recorded is applied, then starts to lead.
 async fn take_over(core: &Rc<CoreNode>, term: u64) {
     if core.group.read(RECORD_TIMEOUT_MS).await.is_err() || core.group.status().term != term {
         return;
@@ -159,7 +159,8 @@
     core.inbound.broadcast(&core.status());
 }
 
-/// How long nobody has led, in milliseconds. A core that was restarted with all others knows it by the last time in the record.
+/// How long there was no leader, in milliseconds. A core that was restarted together with all others derives it from the last time in the
+/// replicated state.
 fn leaderless_ms(core: &CoreNode, now_ms: u64, workload: &Workload) -> u64 {
     match core.last_led_ms.get() {
         Some(last_led_ms) => now_ms.saturating_sub(last_led_ms),
@@ -167,7 +168,7 @@
     }
 }
 
-/// Tells when the last of the runs that were taken over is known to be at work or over.
+/// Logs and times the moment when the last inherited run is confirmed or has ended.
 fn check_inherited_runs(core: &Rc<CoreNode>, now_ms: u64) {
     let mut held = core.leadership.borrow_mut();
     let Some(leadership) = held.as_mut() else {
@@ -206,7 +207,7 @@
         core.metrics.count("runs_overdue", 1);
         log::info!(run = late.run.to_string(), worker = late.worker.to_string(), why:? = late.why; "run begun anew elsewhere");
         leadership.dispatcher.give_up(&late.worker, late.run);
-        // A worker on which a run stands still does the same to the next one.
+        // A worker on which a run makes no progress is likely to do the same to the next run.
         if late.why == Overdue::Still && !late.gang {
             leadership.dispatcher.set_aside(now_ms, &late.worker);
         }
@@ -218,7 +219,7 @@
     let Some(term) = term else {
         return;
     };
-    /// Kept longer than promised by this much, in milliseconds: wall clocks of cores differ and may jump.
+    /// Ended jobs are kept this much longer than promised, in milliseconds: the cores' wall clocks differ and may jump.
     const CLOCK_MARGIN_MS: u64 = 60_000;
     let before_ms = core
         .wall_ms()
--- a/crates/bh-control/src/core/leadership.rs
+++ b/crates/bh-control/src/core/leadership.rs
@@ -1,4 +1,4 @@
-//! What a core holds while it leads.
+//! State of a core while it leads.
 
 use super::inherited_runs::InheritedRuns;
 use super::runnable_tracker::RunnableTracker;
@@ -9,17 +9,17 @@
 use bh_workload::upkeep::Keeper;
 use std::collections::BTreeMap;
 
-/// A leader's own state; gone with the leadership.
+/// State that only the leader has. It is dropped when the core stops leading.
 pub struct Leadership {
     /// Its term.
     pub term: u64,
-    /// Upkeep of VMs.
+    /// Schedules maintenance of VMs.
     pub keeper: Keeper,
-    /// Orders to workers.
+    /// Sends orders to workers and tracks what they run.
     pub dispatcher: Dispatcher,
-    /// The plan.
+    /// Plans starts and stops of runs.
     pub planner: Planner,
-    /// The record of the last planned starts.
+    /// Whether the last planned starts are still being recorded.
     pub starts_record: StartsRecord,
     /// Whether something has changed since the last plan.
     pub plan_due: bool,
@@ -27,24 +27,24 @@
     pub last_plan_ms: u64,
     /// Earliest time of the next plan, on the process's clock in milliseconds.
     pub next_plan_ms: u64,
-    /// Runs that it took over and has not heard of yet.
+    /// Runs of earlier leaders that are not confirmed yet.
     pub inherited_runs: InheritedRuns,
-    /// When these were last looked through, on the process's clock in milliseconds.
+    /// When the inherited runs were last checked, on the process's clock in milliseconds.
     pub last_inherited_check_ms: u64,
-    /// What its surveys of waiting work have shown.
+    /// How long runnable work has waited, and which jobs are stalled.
     pub runnable: RunnableTracker,
     /// Earliest time of the next survey, on the process's clock in milliseconds.
     pub next_survey_ms: u64,
-    /// When all workers were last looked through, on the process's clock in milliseconds.
+    /// When all workers were last checked for due orders, on the process's clock in milliseconds.
     pub last_sweep_ms: u64,
     /// When runs were last checked for being overdue, on the process's clock in milliseconds.
     pub last_overdue_check_ms: u64,
-    /// Highest number of a heartbeat heard from each worker.
+    /// Highest heartbeat sequence number received from each worker.
     pub heartbeat_sequences: BTreeMap<Incarnation, u64>,
 }
 
 impl Leadership {
-    /// Time since the last plan was begun, or since the election before the first one, in milliseconds.
+    /// Time since the last plan started, or since the election if there was none yet, in milliseconds.
     pub fn plan_age_ms(&self, now_ms: u64) -> u64 {
         let since_ms = self.last_plan_ms.max(self.dispatcher.elected_ms());
         now_ms.saturating_sub(since_ms)
--- a/crates/bh-control/src/core/mod.rs
+++ b/crates/bh-control/src/core/mod.rs
@@ -1,4 +1,4 @@
-//! Cores: the replicated record and its leader.
+//! Cores: the replicated state and its leader.
 
 mod advice;
 mod answer_call;
--- a/crates/bh-control/src/core/operator.rs
+++ b/crates/bh-control/src/core/operator.rs
@@ -1,4 +1,4 @@
-//! What operators read from a core, in the product's own words: JSON at the metrics address.
+//! The operator's interface of a core: JSON at the metrics address.
 
 use super::core_node::CoreNode;
 use super::evacuations;
@@ -26,45 +26,45 @@
 const JOB_PATH: &str = "/v1/jobs/";
 const EVACUATION_PATH: &str = "/v1/evacuations/";
 
-/// What a core is and holds.
+/// State of a core, as operators read it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CoreReport {
     /// Name of its VM.
     pub core: Arc<str>,
     /// Whether it leads.
     pub leads: bool,
-    /// Address of the leader's links, as far as known.
+    /// Address of the leader's links, if known.
     pub leader: Option<String>,
-    /// Term.
+    /// Current term.
     pub term: u64,
-    /// Whether its vote counts.
+    /// Whether it is a voter.
     pub is_voter: bool,
     /// Addresses of the voters.
     pub voters: Vec<String>,
-    /// Last change that it has applied.
+    /// Index of the last applied change.
     pub applied: u64,
-    /// How long ago it heard from the leader, in milliseconds.
+    /// Time since it last heard from the leader, in milliseconds.
     pub heard_ms_ago: Option<u64>,
     /// Version of the rules in force.
     pub rules_version: u64,
-    /// Jobs that have not ended.
+    /// Number of jobs that have not ended.
     pub active_jobs: usize,
-    /// Workers that are known.
+    /// Number of recorded workers.
     pub workers: usize,
-    /// Recorded runs.
+    /// Number of recorded runs.
     pub runs: usize,
-    /// Accelerators of all workers.
+    /// Number of accelerators of all workers.
     pub accelerators: u64,
-    /// Those that no recorded run takes.
+    /// Number of accelerators that no recorded run uses.
     pub free_accelerators: u64,
-    /// Waves of upkeep that are not over, by number.
+    /// Numbers of the maintenance waves in progress.
     pub waves: Vec<u64>,
     /// Data centres under evacuation.
     #[serde(default)]
     pub evacuations: Vec<Evacuation>,
 }
 
-/// What operators read from a core beside its counters.
+/// Creates the operator's interface: gauges that are refreshed on each read, and the paths beside the metrics.
 pub(super) fn operator_hooks(core: &Rc<CoreNode>) -> OperatorHooks {
     let (gauged, asked) = (core.clone(), core.clone());
     let refresh = move |metrics: &Metrics| {
@@ -138,7 +138,7 @@
     metrics.gauge("runs_stopping", size(counts.runs_stopping));
 }
 
-/// Answers an operator's call; `None` when it is none.
+/// Answers an operator's request; `None` for an unknown path or method.
 async fn answer_call(core: Rc<CoreNode>, request: Request<Bytes>) -> Option<Response<Bytes>> {
     let path = request.uri().path();
     if let Some(data_centre) = path.strip_prefix(EVACUATION_PATH) {
@@ -157,7 +157,7 @@
     })
 }
 
-/// What this core is and holds now.
+/// The current state of this core.
 fn report(core: &Rc<CoreNode>) -> CoreReport {
     let status = core.group.status();
     let workload = core.group.machine.read();
--- a/crates/bh-control/src/core/orders.rs
+++ b/crates/bh-control/src/core/orders.rs
@@ -1,4 +1,4 @@
-//! The leader's orders to workers and their answers.
+//! Sends the leader's orders to workers and handles the answers.
 
 use super::carry;
 use super::carry::SendOutcome;
@@ -25,7 +25,7 @@
 /// Time between passes over all workers, in milliseconds.
 const SWEEP_INTERVAL_MS: u64 = 100;
 
-/// Sends the orders that are due, and records ends that are certain without any.
+/// Sends the orders that are due, and records the ends that are certain without an answer.
 pub(super) fn send_due_orders(core: &Rc<CoreNode>, now_ms: u64) {
     let news = core.group.machine.with_local(Workload::take_news);
     let mut held = core.leadership.borrow_mut();
@@ -69,7 +69,7 @@
             if repeated {
                 note_repeated(&core, &order, response.status());
             }
-            // A look waits for an end; how long says nothing of the worker.
+            // A probe waits for a run to end; its duration says nothing about the worker.
             if !matches!(order.body, OrderBody::Look { .. }) {
                 let took_ms = core.clock.now_ms().saturating_sub(began_ms);
                 core.metrics.time_ms("order", took_ms);
@@ -98,7 +98,7 @@
     note_answer(&core, &order, &answer);
 }
 
-/// Notes that the answer to an order is that to its second send.
+/// Logs and counts an order that was sent twice, and tells the dispatcher.
 fn note_repeated(core: &CoreNode, order: &Order, status: StatusCode) {
     core.metrics.count("orders_repeated", 1);
     log::info!(
@@ -108,7 +108,7 @@
     note_earlier_send(core, order);
 }
 
-/// Notes that an earlier send of an order may have been carried out.
+/// Tells the dispatcher that an earlier attempt to send the order may have been carried out.
 fn note_earlier_send(core: &CoreNode, order: &Order) {
     let mut held = core.leadership.borrow_mut();
     if let Some(leadership) = held.as_mut().filter(|held| held.term == order.token) {
--- a/crates/bh-control/src/core/planning.rs
+++ b/crates/bh-control/src/core/planning.rs
@@ -1,4 +1,4 @@
-//! Carries the leader's plan out.
+//! Makes the leader's plans and carries them out.
 
 use super::advice;
 use super::core_node::CoreNode;
@@ -14,9 +14,9 @@
 use bh_workload::state::Workload;
 use std::rc::Rc;
 
-/// Longest time between plans while jobs wait, in milliseconds: patience runs out and times come due without any other event.
+/// Maximum time between plans, in milliseconds: waiting limits expire and start times are reached without any other event.
 const MAX_PLAN_INTERVAL_MS: u64 = 200;
-/// Plans when there is reason to, records what shall start and stops what gives way.
+/// Makes a plan if one is due, records the runs to start and stops the runs that are to make room.
 pub(super) fn plan(core: &Rc<CoreNode>) {
     let now_ms = core.clock.now_ms();
     let mut held = core.leadership.borrow_mut();
@@ -93,7 +93,7 @@
     });
 }
 
-/// Stops what cannot end on workers that leave.
+/// Stops runs on leaving workers that cannot finish before their worker leaves.
 fn stop_runs_cut_short(
     core: &CoreNode,
     leadership: &mut Leadership,
@@ -111,7 +111,8 @@
     }
 }
 
-/// One line for each start, with what decided it and how old that was: how long the job has waited, the rules, and when the worker was last heard.
+/// Logs each start with the inputs of the decision: how long the job has waited, the rules version, and when the worker was last heard
+/// from.
 fn log_starts(core: &Rc<CoreNode>, leadership: &Leadership, now_ms: u64, starts: &[Start]) {
     let workload = core.group.machine.read();
     let wall_ms = core.wall_ms();
--- a/crates/bh-control/src/core/received_heartbeat.rs
+++ b/crates/bh-control/src/core/received_heartbeat.rs
@@ -1,24 +1,24 @@
-//! A heartbeat, but for what is recorded of it.
+//! The part of a heartbeat that is not recorded.
 
 use crate::calls::WorkerHeartbeat;
 
-/// A heartbeat that the leader has not heard of yet.
+/// A heartbeat of a worker and when it was received, without the worker info that is in the replicated state.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceivedHeartbeat {
     /// The worker's clock in milliseconds.
     pub clock_ms: Option<u64>,
-    /// Number of the heartbeat.
+    /// Sequence number of the heartbeat.
     pub sequence: u64,
-    /// When it came, on this core's clock in milliseconds.
+    /// When it was received, on this core's clock in milliseconds.
     pub received_ms: u64,
-    /// How much longer the worker was slow then, in milliseconds.
+    /// How much longer the worker was slow after its start at that time, in milliseconds.
     pub cold_ms: u64,
-    /// Shortest time for which it still ran then, in milliseconds, if it is leaving.
+    /// Minimum time for which the worker would still run at that time, in milliseconds, if it is leaving.
     pub leaves_in_ms: Option<u64>,
 }
 
 impl ReceivedHeartbeat {
-    /// What a heartbeat that came at `received_ms` says beside what is recorded.
+    /// The unrecorded part of `heartbeat`, received at `received_ms`.
     pub fn new(heartbeat: &WorkerHeartbeat, received_ms: u64) -> Self {
         Self {
             clock_ms: heartbeat.clock_ms,
--- a/crates/bh-control/src/core/records.rs
+++ b/crates/bh-control/src/core/records.rs
@@ -1,4 +1,4 @@
-//! What the leader records.
+//! Commands that the leader replicates.
 
 use super::core_node::CoreNode;
 use super::departures::log_given_up;
@@ -12,19 +12,19 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// Wait for a record to be committed, in milliseconds. What takes longer may still be, and shows in the record then.
+/// Time to wait for a commit, in milliseconds. A command that takes longer may still be committed, and then shows in the replicated state.
 pub(super) const RECORD_TIMEOUT_MS: u64 = 3_000;
 
-/// What a record follows from.
+/// Where a recorded command comes from.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Origin {
-    /// Term of the leader whose record it is; a later one has its own.
+    /// Term of the leader that records it. A later leader is not told of the result.
     pub term: u64,
-    /// Up to which number a worker listed the ends in it; `None` for ends that it did not list.
+    /// Highest number up to which a worker listed the ends in it; `None` for ends that no worker listed.
     pub listed_to: Option<u64>,
 }
 
-/// Records a command of the leader's own, and tells the dispatcher what became of it.
+/// Replicates a command of the leader itself, and passes the result to the dispatcher.
 pub(super) fn record(core: &Rc<CoreNode>, command: Command, origin: Origin) {
     let core = core.clone();
     monoio::spawn(async move {
@@ -63,7 +63,7 @@
     }
 }
 
-/// Replicates a command, with the time filled in.
+/// Replicates a command with the current wall time filled in.
 ///
 /// # Errors
 ///
--- a/crates/bh-control/src/core/run_ends.rs
+++ b/crates/bh-control/src/core/run_ends.rs
@@ -1,4 +1,4 @@
-//! What is told of runs that are over, and of runs that no record explains.
+//! Log lines about runs that have ended, and about runs that the replicated state does not explain.
 
 use super::core_node::CoreNode;
 use super::detection::Detection;
@@ -14,9 +14,9 @@
 use bh_workload::state::Worker;
 use bh_workload::state::Workload;
 
-/// One line for each end that is about to be recorded: how it became known, whether the record still had the run open, and the failures
-/// counted before it. An end of a run that is over in the record counts as no failure, so without `open` a task that is begun too often looks
-/// like any other.
+/// Logs each end that is about to be recorded: how it was detected, whether the run was still open in the replicated state, and the
+/// failures counted before it. The end of a run that is no longer open does not count as a failure, so without `open` a task that is
+/// restarted too often would look like any other.
 pub(super) fn log_run_ends(
     core: &CoreNode,
     term: u64,
@@ -42,7 +42,7 @@
     }
 }
 
-/// How an end became known for which no answer was needed.
+/// How an end was detected that is certain without a worker's answer.
 pub(super) fn detected_without_answer(dispatcher: &Dispatcher, end: &End) -> Detection {
     if end.kind == EndKind::NotStarted {
         return Detection::NeverSent;
@@ -56,7 +56,7 @@
     }
 }
 
-/// How an end became known by an answer.
+/// How an end was detected from a worker's answer.
 pub(super) fn detected_by_answer(order: &Order, answer: &Answer, end: &End) -> Detection {
     match answer {
         Answer::OtherIncarnation => Detection::OtherIncarnation,
@@ -69,7 +69,7 @@
     }
 }
 
-/// The report in an answer, and its worker as recorded; `None` without either.
+/// The report in an answer and the recorded worker that it comes from; `None` if either is missing.
 fn reported<'a>(
     order: &Order,
     answer: &'a Answer,
@@ -81,8 +81,8 @@
     Some((report.as_ref()?, workload.worker(&order.to.worker)?))
 }
 
-/// One line for each run that a worker reports and that the record does not have there: it began by an order that was taken to have come to
-/// nothing.
+/// Logs each run that a worker reports although the replicated state does not have it there. It was started by an order that was considered
+/// not to have been carried out.
 pub(super) fn log_unrecorded(core: &CoreNode, order: &Order, answer: &Answer, workload: &Workload) {
     let Some((report, worker)) = reported(order, answer, workload) else {
         return;
@@ -107,8 +107,8 @@
         .map_or(0, |target| target.recorded_to)
 }
 
-/// Logs a warning for each reported end that is skipped because its number counts as recorded while its run is still open in the record.
-/// The warning explains why a task starts again after its run has ended.
+/// Logs a warning for each reported end that is skipped because its number counts as recorded while its run is still open in the replicated
+/// state. The warning explains why a task restarts after its run has ended.
 pub(super) fn log_skipped_ends(
     core: &CoreNode,
     order: &Order,
@@ -133,7 +133,7 @@
     }
 }
 
-/// Failures counted so far for a task, or for the gang that it is a member of.
+/// Number of failures counted so far for a task, or for its gang.
 pub(super) fn failures(workload: &Workload, task: TaskId) -> u32 {
     let of_task = workload.task(task).map_or(0, |task| task.failures);
     let step = workload
@@ -142,7 +142,7 @@
     step.map_or(0, |step| step.failures).max(of_task)
 }
 
-/// Counter of the runs that ended so.
+/// Name of the counter for runs that ended in this way.
 fn counter(kind: EndKind) -> &'static str {
     match kind {
         EndKind::Done => "runs_done",
--- a/crates/bh-control/src/core/runnable_tracker.rs
+++ b/crates/bh-control/src/core/runnable_tracker.rs
@@ -1,4 +1,4 @@
-//! How long work has waited whose turn has come, and which jobs stand still.
+//! Tracks how long runnable work has waited and which jobs are stalled.
 
 use super::job_stall::JobStall;
 use super::job_stall::StallEnd;
@@ -9,63 +9,63 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Time after which a job that stands still is told of, in milliseconds: starts and ends that take their usual way are over sooner.
+/// Time after which a stalled job is reported, in milliseconds. Normal starts and ends take less.
 const REPORT_AFTER_MS: u64 = 2_000;
-/// Lines that follow from one survey, at most.
+/// Maximum number of log lines per survey.
 const MAX_LINES: usize = 4;
 
 /// A job that stands still.
 #[derive(Clone, Debug)]
 struct OngoingStall {
     since_ms: u64,
-    /// What it was when this was last looked at.
+    /// State of the step at the last survey.
     step: RunnableStep,
-    /// Whether it has lasted for long enough to be told.
+    /// Whether the stall has lasted long enough to be reported.
     is_long: bool,
-    /// Whether it was told.
+    /// Whether the stall was reported.
     is_reported: bool,
 }
 
-/// What the surveys of one leader have shown.
+/// State that is kept between the surveys of one leader.
 #[derive(Clone, Debug, Default)]
 pub struct RunnableTracker {
-    /// Since when each step has been runnable, on the leader's clock in milliseconds, and the results of its job then.
+    /// Since when each step has been runnable, on the leader's clock in milliseconds, and its number of results at that time.
     steps: BTreeMap<StepId, (u64, u64)>,
     stalls: BTreeMap<JobId, OngoingStall>,
-    /// Runnable tasks by reason, when last surveyed.
+    /// Number of runnable tasks by reason, as of the last survey.
     pub tasks: BTreeMap<&'static str, u64>,
-    /// How long the step that has been runnable for longest has been so, in milliseconds.
+    /// How long the longest-waiting step has been runnable, in milliseconds.
     pub oldest_ms: u64,
-    /// Steps of which the reason was not looked up.
+    /// Number of steps for which no reason was determined.
     pub omitted_steps: usize,
 }
 
-/// What a survey leads to.
+/// What changed with a survey.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SurveyChanges {
-    /// Stretches to tell of, begun or over.
+    /// Stalls to log, started or ended.
     pub lines: Vec<JobStall>,
-    /// Stretches that became long enough to be told, whether in a line or not.
+    /// Number of stalls that became long enough to be reported, including those without a log line.
     pub started: usize,
-    /// How long those lasted that were long enough and are over, in milliseconds.
+    /// Durations of the reportable stalls that ended, in milliseconds.
     pub ended_durations_ms: Vec<u64>,
-    /// Lines beyond those that one survey may lead to.
+    /// Number of log lines dropped because of the limit per survey.
     pub omitted_lines: usize,
 }
 
 impl RunnableTracker {
-    /// Nothing was surveyed yet.
+    /// Creates a tracker without any survey.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Jobs that have stood still for long enough to be told.
+    /// Number of jobs that have been stalled long enough to be reported.
     pub fn stalled_jobs(&self) -> usize {
         let stalls = self.stalls.values();
         stalls.filter(|stall| stall.is_long).count()
     }
 
-    /// Takes a survey made at `now_ms`; `is_over` tells whether a job has ended.
+    /// Updates the state with a survey made at `now_ms`; `is_over` tells whether a job has ended.
     pub fn update(
         &mut self,
         now_ms: u64,
@@ -83,7 +83,7 @@
         }
         let mut changes = SurveyChanges::default();
         let mut ended = Vec::new();
-        // Jobs are surveyed in order of their names: of those from the last one on, nothing is known if some were left out.
+        // Jobs are surveyed in order of their ids. If the survey left some out, nothing is known of the jobs from the last surveyed one on.
         let last = survey.steps.last().map(|step| step.step.job);
         let unknown_from = last.filter(|_| survey.left_out > 0);
         self.stalls.retain(|job, stall| {
@@ -144,7 +144,7 @@
         changes
     }
 
-    /// Leaves out lines beyond the bound, those of the shortest stalls first.
+    /// Drops log lines beyond the limit, those of the shortest stalls first.
     fn limit_lines(&mut self, changes: &mut SurveyChanges) {
         changes.lines.sort_by_key(|line| Reverse(line.stalled_ms));
         changes.omitted_lines = changes.lines.len().saturating_sub(MAX_LINES);
--- a/crates/bh-control/src/core/serve.rs
+++ b/crates/bh-control/src/core/serve.rs
@@ -1,4 +1,4 @@
-//! Starts a core, keeps it running, and ends it gracefully.
+//! Starts a core, runs it, and shuts it down gracefully.
 
 use super::carry_delay::CarryDelay;
 use super::core_node::CoreNode;
@@ -36,18 +36,18 @@
 use std::rc::Rc;
 use tokio_util::sync::CancellationToken;
 
-/// Share of the grace within which calls in progress must end, in percent.
+/// Percentage of the grace period within which calls in progress must end.
 const FINISH_PERCENT: u64 = 50;
-/// Time between looks at the calls in progress at the end, in milliseconds.
+/// Time between checks for calls in progress during shutdown, in milliseconds.
 const POLL_MS: u64 = 10;
-/// File with the addresses of the cores that were last known.
+/// File with the addresses of the last known cores.
 const CORES_FILE: &str = "cores";
 
 /// Runs a core until it is told to stop.
 ///
 /// # Errors
 ///
-/// What keeps it from starting or going on: an address in use, a damaged log, a failed disk.
+/// Whatever prevents it from starting or continuing: an address in use, a damaged log, a failed disk.
 pub async fn serve(config: LocalConfig, dialect: Dialect) -> Result<(), Failure> {
     let missing = |key: &str| Failure::new(Code::BadConfigFile, format!("`{key}` is missing"));
     let path = config
@@ -147,10 +147,10 @@
     Ok(())
 }
 
-/// Dials the seeds and the cores that were last known, and keeps the list on the disk: seeds may be wrong by the next start.
+/// Dials the seeds and the last known cores, and saves the list of cores to disk: the seeds may be wrong at the next start.
 fn dial_known_cores(core: &Rc<CoreNode>, folder: &std::path::Path) {
     let file = folder.join(CORES_FILE);
-    // A list that is missing or damaged only means that the seeds alone are asked.
+    // If the list is missing or damaged, only the seeds are dialled.
     let kept = std::fs::read_to_string(&file).unwrap_or_default();
     let known: Vec<SocketAddr> = kept.lines().filter_map(|line| line.parse().ok()).collect();
     core.mesh.on_cores_added(move |cores| {
@@ -163,7 +163,7 @@
     core.mesh.add_cores(core.config.seed_peers());
 }
 
-/// Ends gracefully: no new connections, and the calls in progress are answered.
+/// Shuts down gracefully: accepts no new connections and waits for the calls in progress.
 async fn drain(core: &Rc<CoreNode>) {
     log::info!(core = &*core.config.name, in_progress = core.in_progress.get(); "core drains");
     core.draining.cancel();
--- a/crates/bh-control/src/core/surveys.rs
+++ b/crates/bh-control/src/core/surveys.rs
@@ -1,4 +1,4 @@
-//! The leader's surveys of work that waits: gauges, and lines about jobs that stand still.
+//! The leader's regular surveys of waiting work: gauges, and log lines about stalled jobs.
 
 use super::core_node::CoreNode;
 use super::job_stall::JobStall;
@@ -7,12 +7,12 @@
 use bh_workload::plan::Wait;
 use std::rc::Rc;
 
-/// Time between surveys, in milliseconds: short against the seconds after which a wait is worth telling.
+/// Minimum time between surveys, in milliseconds: short compared with the seconds after which a wait is worth reporting.
 const MIN_SURVEY_GAP_MS: u64 = 500;
-/// The same as a multiple of what the last one took: surveys take at most a fiftieth of the leader's processor.
+/// Time between surveys as a multiple of the duration of the last one: surveys take at most a fiftieth of the leader's processor time.
 const SURVEY_GAP_FACTOR: u64 = 50;
 
-/// Surveys the work that waits when that is due.
+/// Surveys the waiting work if a survey is due.
 pub(super) fn survey(core: &Rc<CoreNode>, confirmed: bool) {
     let now_ms = core.clock.now_ms();
     let mut held = core.leadership.borrow_mut();
@@ -54,7 +54,7 @@
     leadership.next_survey_ms = over_ms + (took_ms * SURVEY_GAP_FACTOR).max(MIN_SURVEY_GAP_MS);
 }
 
-/// One line when a job has stood still for long, and one when it no longer does.
+/// Logs that a job has been stalled for long, or that it no longer is.
 fn log_stall(
     leadership: &Leadership,
     (now_ms, wall_ms): (u64, u64),
@@ -84,7 +84,7 @@
     );
 }
 
-/// Sets the gauges of the last survey. On a core that does not lead they are 0.
+/// Sets the gauges to the values of the last survey. On a core that does not lead they are 0.
 pub(super) fn set_gauges(leadership: Option<&Leadership>, metrics: &Metrics) {
     let tracker = leadership.map(|leadership| &leadership.runnable);
     for reason in Wait::REASONS {
--- a/crates/bh-control/src/core/undelivered_heartbeats.rs
+++ b/crates/bh-control/src/core/undelivered_heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats that came to a core while nobody led.
+//! Heartbeats received while there was no leader.
 
 use crate::calls::Answer;
 use crate::calls::WorkerHeartbeat;
@@ -7,21 +7,21 @@
 use bh_workload::state::Workload;
 use std::collections::BTreeMap;
 
-/// Workers remembered at a time; about as many as a fleet has.
+/// Maximum number of workers remembered: about the size of a large fleet.
 const MAX_WORKERS: usize = 20_000;
 
-/// The last heartbeat of each worker that no leader took, and when it came on this core's clock, in milliseconds.
+/// The last heartbeat of each worker that no leader has accepted, with its receive time on this core's clock in milliseconds.
 ///
-/// A worker whose heartbeat is not taken turns to core after core, so when one of them is elected it has heard most workers itself. It may
-/// give them work at once where they say what the record says; were each to be waited for until its next heartbeat, urgent work would wait
-/// for a second or more after each longer time without a leader.
+/// A worker whose heartbeat is not accepted tries one core after another, so a newly elected core has heard from most workers itself. It
+/// may give work at once to those whose heartbeat matches the replicated state. If it had to wait for each worker's next heartbeat, urgent
+/// work would be delayed by a second or more after every longer period without a leader.
 #[derive(Clone, Debug, Default)]
 pub struct UndeliveredHeartbeats {
     by_worker: BTreeMap<Incarnation, (u64, WorkerHeartbeat)>,
 }
 
 impl UndeliveredHeartbeats {
-    /// Notes what became of a heartbeat that came at `now_ms`.
+    /// Records the result of a heartbeat received at `now_ms`: an accepted one is forgotten, any other is kept.
     pub fn note(&mut self, now_ms: u64, heartbeat: &WorkerHeartbeat, answer: &Answer) {
         let id = &heartbeat.info.id;
         if matches!(answer, Answer::Heard { .. }) {
@@ -32,7 +32,8 @@
         }
     }
 
-    /// Tells a new leader of the heartbeats that say what the record says; any other must be recorded first, and comes again.
+    /// Passes the heartbeats that match the replicated state to a new leader's dispatcher. Any other heartbeat must be recorded first, and
+    /// the worker sends it again.
     pub fn replay(&mut self, dispatcher: &mut Dispatcher, workload: &Workload) {
         for (id, (received_ms, heartbeat)) in std::mem::take(&mut self.by_worker) {
             let matches_record = workload.worker(&id).is_some_and(|worker| {
--- a/crates/bh-control/src/core/upkeep.rs
+++ b/crates/bh-control/src/core/upkeep.rs
@@ -1,4 +1,4 @@
-//! Carries waves of upkeep out.
+//! Carries out waves of upkeep, the rolling maintenance of VMs.
 
 use super::core_node::CoreNode;
 use super::departures::log_departures;
@@ -13,10 +13,10 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Wait for the answer of the service that keeps the VMs, in milliseconds: it answers within some tens when it is well.
+/// Timeout for an answer of the VM service, in milliseconds. It normally answers within some tens of milliseconds.
 const ORDER_TIMEOUT_MS: u64 = 1_500;
 
-/// Does what the waves need now.
+/// Takes the next steps of all waves.
 pub(super) fn advance_waves(core: &Rc<CoreNode>, now_ms: u64) {
     let Some(address) = core.config.vm_service_address else {
         return;
--- a/crates/bh-control/src/core/worker_calls.rs
+++ b/crates/bh-control/src/core/worker_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to workers over connections that are kept open.
+//! Calls to workers over kept-alive connections.
 
 use bh_net::Clock;
 use bh_net::http_client::Connection;
@@ -11,46 +11,46 @@
 use std::cell::Cell;
 use std::net::SocketAddr;
 
-/// Time to open a connection, in milliseconds. Within a region it takes a few; a VM without power never answers.
+/// Timeout for opening a connection, in milliseconds. Within a region it takes a few; a VM without power never answers.
 const CONNECT_TIMEOUT_MS: u64 = 600;
-/// Largest answer of a worker in bytes: some hundred ends with their checkpoints.
+/// Maximum size of a worker's answer in bytes: some hundred ends with their checkpoints.
 const MAX_ANSWER_BYTES: u64 = 4 << 20;
-/// Time after which an unused connection is closed, in milliseconds. Opening one costs the worker more than keeping it.
+/// Time after which an idle connection is closed, in milliseconds. Opening one costs the worker more than keeping it.
 const IDLE_TIMEOUT_MS: u64 = 60_000;
-/// Unused connections kept to one worker: one for the look that always waits, and some for starts that come together. Eight to each of
-/// 350 workers took two thirds of a small VM's descriptors, and without descriptors every worker seems lost.
+/// Maximum number of idle connections per worker: one for the probe that is always waiting, and some for starts that come together. Eight
+/// for each of 350 workers took two thirds of a small VM's descriptors, and without descriptors every worker seems lost.
 const MAX_IDLE_PER_WORKER: usize = 4;
 
-/// Share of the process's descriptors that unused connections to workers take at most, in percent. A process without descriptors can neither call
-/// a worker nor write its record.
+/// Maximum percentage of the process's descriptors for idle connections to workers. A process without descriptors can neither call a worker
+/// nor write its log.
 const MAX_IDLE_PERCENT: usize = 25;
 
-/// Share of the process's descriptors that calls in progress take at most, in percent.
+/// Maximum percentage of the process's descriptors for calls in progress.
 const MAX_IN_PROGRESS_PERCENT: usize = 25;
-/// Calls in progress at least, however few descriptors there are.
+/// Lower bound of the limit on calls in progress, however few descriptors there are.
 const MIN_IN_PROGRESS_LIMIT: usize = 8;
-/// Time between looks for a call that has ended, in milliseconds, while as many are in progress as may be.
+/// Time between checks for a free slot while the limit on calls in progress is reached, in milliseconds.
 const POLL_MS: u64 = 5;
 
 /// An answer of a worker.
 pub struct Answered {
-    /// The answer.
+    /// The response.
     pub response: Response<Bytes>,
-    /// Whether the request was sent again, since a kept connection broke after it had been sent there.
+    /// Whether the request was sent twice, since a kept-alive connection broke after the first attempt.
     pub repeated: bool,
 }
 
-/// A call that had no answer.
+/// A call without an answer.
 #[derive(Debug)]
 pub struct Unanswered {
-    /// Why.
+    /// The error of the last attempt.
     pub error: SendError,
-    /// Whether the request was sent before, on a kept connection that broke then: it may have been carried out, whatever the error says of the
-    /// last send.
+    /// Whether the request was sent before, on a kept-alive connection that then broke. In that case it may have been carried out, whatever
+    /// the error of the last attempt says.
     pub repeated: bool,
 }
 
-/// Connections to workers.
+/// Pool of connections to workers, with a limit on calls in progress.
 pub struct WorkerCalls {
     pool: Pool,
     clock: Clock,
@@ -59,7 +59,7 @@
 }
 
 impl WorkerCalls {
-    /// No connections yet; the process may have `descriptors` open files and connections.
+    /// Creates an empty pool for a process that may have `descriptors` open files and connections.
     pub fn new(clock: Clock, descriptors: usize) -> Self {
         Self {
             pool: Pool::new()
@@ -73,18 +73,18 @@
         }
     }
 
-    /// Calls in progress.
+    /// Number of calls in progress.
     pub fn in_progress(&self) -> usize {
         self.in_progress.get()
     }
 
-    /// Closes the connections that nothing is sent on: a core that stops leading calls no workers, and each takes descriptors and memory
-    /// at both ends.
+    /// Closes the idle connections. A core that stops leading calls no workers, and each connection takes descriptors and memory at both
+    /// ends.
     pub fn close(&self) {
         self.pool.clear();
     }
 
-    /// Closes the connections that were not used for long.
+    /// Closes the connections that have been idle for too long.
     pub fn age_out(&self) {
         self.pool.age_out(self.clock.now_ms());
     }
@@ -105,7 +105,7 @@
         limit_ms: u64,
     ) -> Result<Answered, Unanswered> {
         let until_ms = self.clock.now_ms() + limit_ms;
-        // A process without descriptors can do nothing any more, so calls wait for each other instead.
+        // A process that runs out of descriptors can do nothing any more, so calls wait for each other instead.
         while self.in_progress.get() >= self.max_in_progress {
             if self.clock.now_ms() >= until_ms {
                 return Err(Unanswered {
--- a/crates/bh-control/src/lib.rs
+++ b/crates/bh-control/src/lib.rs
@@ -1,4 +1,4 @@
-//! The processes of a deployment: entries, which take callers, and cores, which keep the record and lead.
+//! The processes of a deployment: entries, which accept callers' connections, and cores, which replicate the state and elect a leader.
 
 pub mod calls;
 pub mod config;
--- a/crates/bh-control/src/mesh/dial.rs
+++ b/crates/bh-control/src/mesh/dial.rs
@@ -70,7 +70,7 @@
     mut reader: link::Reader<OwnedReadHalf<TcpStream>>,
 ) {
     while let Some(Ok(Some(frame))) = within_ms(LINK_TIMEOUT_MS, reader.next()).await {
-        mesh.note_contact(|| {
+        mesh.observe_contact(|| {
             peer.note_contact(mesh.now_ms());
             if let Some(Payload::Core(status)) = &frame.payload {
                 *peer.status.borrow_mut() = status.clone();
--- a/crates/bh-control/src/mesh/mesh.rs
+++ b/crates/bh-control/src/mesh/mesh.rs
@@ -35,7 +35,7 @@
     /// Cancelled when the process ends.
     pub(super) stop: CancellationToken,
     peers: RefCell<BTreeMap<SocketAddr, Rc<Peer>>>,
-    on_cores_added: RefCell<OnCoresAdded>,
+    cores_added_callback: RefCell<OnCoresAdded>,
     leader_last_contact_ms: Cell<u64>,
     /// Cancelled, and replaced, when another core can be sent calls as the leader than before.
     leader_change: RefCell<CancellationToken>,
@@ -52,7 +52,7 @@
             clock,
             stop,
             peers: RefCell::new(BTreeMap::new()),
-            on_cores_added: RefCell::new(Box::new(|_| {})),
+            cores_added_callback: RefCell::new(Box::new(|_| {})),
             leader_last_contact_ms: Cell::new(0),
             leader_change: RefCell::new(CancellationToken::new()),
         })
@@ -60,7 +60,7 @@
 
     /// Calls `learnt` with all known cores whenever another one is learnt of.
     pub fn on_cores_added(&self, callback: impl Fn(&[SocketAddr]) + 'static) {
-        *self.on_cores_added.borrow_mut() = Box::new(callback);
+        *self.cores_added_callback.borrow_mut() = Box::new(callback);
     }
 
     /// What this process says of itself.
@@ -88,7 +88,7 @@
             added = true;
         }
         if added {
-            (self.on_cores_added.borrow())(&self.known());
+            (self.cores_added_callback.borrow())(&self.known());
         }
     }
 
@@ -162,7 +162,7 @@
     }
 
     /// Takes a sign of life of a core with `note`, and lets those go on who wait for a leader when there is another one now.
-    pub(super) fn note_contact(&self, note: impl FnOnce()) {
+    pub(super) fn observe_contact(&self, note: impl FnOnce()) {
         let before = self.fresh_term();
         note();
         if self.fresh_term() != before {
