--- a/crates/bh-control/src/calls/forward.rs
+++ b/crates/bh-control/src/calls/forward.rs
@@ -80,7 +80,7 @@
 ///
 /// A suspended leader answers nothing, and its link is recognized as silent only after its successor is elected. A call that kept waiting
 /// for it would be decided later than calls that arrived half a second after it and were decided on newer rules, so an entry would seem to
-/// go back to older rules. A repeated call may be recorded already; the leader recognizes it by the name of its job.
+/// go back to older rules. A repeated call may be recorded already; it is recognized by its name.
 async fn ask(
     mesh: &Rc<Mesh>,
     leader: &Rc<Peer>,
--- a/crates/bh-control/tests/carriers.rs
+++ b/crates/bh-control/tests/carriers.rs
@@ -1,4 +1,4 @@
-//! Which core talks to which worker.
+//! Assignment of workers to cores, and detection of delayed orders.
 #![expect(
     clippy::unwrap_used,
     reason = "a test that meets the unexpected shall end"
@@ -44,8 +44,8 @@
     (0..DATA_CENTRES).map(|place| core(place, 1)).collect()
 }
 
-/// One leader holds some three connections to each worker. With three thousand workers and four thousand descriptors it could no longer open its
-/// own files, and ended; with a few dozen a second core in between is only one more that can be lost.
+/// The leader has about three connections to each worker. With 3,000 workers and 4,096 descriptors it could no longer open its own files
+/// and ended; with a few dozen workers a second core in between would only be one more that can fail.
 #[test]
 fn workers_are_shared_when_they_would_take_much_of_a_cores_descriptors() {
     assert!(!should_share_workers(48, 4_096, false));
@@ -54,8 +54,8 @@
     assert!(!should_share_workers(3_000, usize::MAX / 100, false));
 }
 
-/// Workers come and go, and their number crosses the limit again and again. Were each crossing followed, all connections would be opened anew each
-/// time; so they stay shared until the fleet is well below it.
+/// The number of workers crosses the limit again and again. If the cores followed each crossing, all connections would be reopened each
+/// time, so the workers stay shared until the fleet is well below the limit.
 #[test]
 fn workers_stay_shared_while_their_number_goes_up_and_down() {
     assert!(!should_share_workers(340, 4_096, false));
@@ -74,8 +74,8 @@
     }
 }
 
-/// A core is lost. Its workers are spread over the others, so that none takes all of them, and no other worker moves: each that does costs a
-/// connection and a look.
+/// A core is lost. Its workers are spread over the other cores so that none takes all of them, and no other worker moves: each move costs a
+/// connection and a probe.
 #[test]
 fn the_workers_of_a_lost_core_are_spread_and_no_others_move() {
     let all = cores();
@@ -95,22 +95,23 @@
     assert!(taken_over.values().all(|count| (10..=45).contains(count)));
 }
 
-/// The leader's VM is suspended for two seconds and goes on leading. Its clock stood still, so all its orders look two seconds late from
-/// then on. Were they refused for the rest of its term, it would have to talk to every worker itself.
+/// The leader's VM is suspended for two seconds and continues to lead. Its clock was stopped, so all its later orders look two seconds
+/// late. If they were refused for the rest of its term, it would have to talk to every worker itself.
 #[test]
-fn a_leader_whose_clock_stood_still_is_refused_for_seconds_only() {
+fn a_leader_whose_clock_stopped_is_refused_for_seconds_only() {
     let mut delay = CarryDelay::default();
     let mut refused = 0;
     for order in 0..300 {
         let now_ms = 1_000 + order * 100;
-        let stood_still_ms = if order < 50 { 0 } else { 2_000 };
-        let late_ms = delay.note(3, now_ms - stood_still_ms + 60_000, now_ms);
+        let stopped_ms = if order < 50 { 0 } else { 2_000 };
+        let late_ms = delay.note(3, now_ms - stopped_ms + 60_000, now_ms);
         refused += u64::from(late_ms > 500);
     }
     assert!((1..=100).contains(&refused), "{refused} orders of 250");
 }
 
-/// Clocks of two machines differ by a second in an hour. An order that comes at once must not look late for that, however long a leader leads.
+/// The clocks of two machines drift apart by a second per hour. An order without delay must not look late because of that, however long a
+/// leader leads.
 #[test]
 fn clocks_that_run_apart_make_no_order_late() {
     let mut delay = CarryDelay::default();
@@ -121,17 +122,17 @@
     }
 }
 
-/// A core is suspended with an order in its buffers, and reads it seconds later. Its sender has given the order up by then; a start that was sent
-/// on all the same could begin a run whose job was taken back meanwhile.
+/// A core is suspended with an order in its buffers and reads it seconds later. The sender has given the order up by then; a start that was
+/// passed on could start a run whose job has been cancelled in the meantime.
 #[test]
-fn an_order_that_was_held_up_is_told_from_one_that_came_at_once() {
+fn a_delayed_order_is_told_from_one_without_delay() {
     let mut delay = CarryDelay::default();
     // The clocks differ by an hour.
     assert_eq!(delay.note(3, 3_600_000, 500), 0);
     assert_eq!(delay.note(3, 3_601_000, 1_502), 2);
     assert_eq!(delay.note(3, 3_602_000, 5_500), 3_000);
     assert_eq!(delay.note(3, 3_605_000, 5_501), 1);
-    // Long after, without an order between, the first one is compared with what was quick before.
+    // After a long time without orders, the first one is compared with the previous minimum.
     assert_eq!(delay.note(3, 3_606_000, 20_500), 13_999);
     // Another leader has another clock.
     assert_eq!(delay.note(4, 10, 6_000), 0);
--- a/crates/bh-control/tests/config_problems.rs
+++ b/crates/bh-control/tests/config_problems.rs
@@ -1,4 +1,4 @@
-//! What an operator is told of a process's file.
+//! Validation of a process's config file.
 
 use bh_control::config::LocalConfig;
 use bh_control::config::is_deployment_config;
@@ -14,7 +14,7 @@
     assert!(LocalConfig::parse(CORE.as_bytes()).is_ok());
 }
 
-/// Five mistakes in one file. Told of one at a time, an operator would start the process five times to find them all.
+/// A file has five mistakes. If they were reported one at a time, an operator would have to start the process five times to find them all.
 #[test]
 fn every_mistake_is_told_at_once() {
     let file = CORE
@@ -39,8 +39,7 @@
     assert_eq!(found.len(), 5, "{found:#?}");
 }
 
-/// A deployment may give any of its bounds with a fraction, or not at all. A process that refused to start because of it would be of no use
-/// there.
+/// A deployment may give any of its bounds with a fraction, or without a value. A process must not refuse to start because of that.
 #[test]
 fn bounds_may_have_a_fraction_or_no_value() {
     let file = CORE.replace(
@@ -61,7 +60,8 @@
     assert!(!is_deployment_config(b"- a\n"));
 }
 
-/// A core's file lists the data centres of the deployment in one text; one that does not say knows them by their workers only.
+/// A core's file lists the data centres of the deployment in one comma-separated text. Without the list a core knows them only from its
+/// workers.
 #[test]
 fn data_centres_are_listed_in_one_text() {
     let file = CORE.to_owned() + "data_centres: 'ulemiste, mustamae,kadaka'\n";
--- a/crates/bh-control/tests/inherited_runs.rs
+++ b/crates/bh-control/tests/inherited_runs.rs
@@ -1,4 +1,4 @@
-//! Runs that a new leader takes over.
+//! Runs that a new leader inherits from an earlier one.
 
 #[path = "../../bh-workload/tests/support/mod.rs"]
 mod support;
@@ -9,9 +9,9 @@
 use support::Site;
 use support::step;
 
-/// Guards against a take-over that counts as settled while a run is unheard of, or is told of twice.
+/// Guards against a takeover that counts as settled while a run is unconfirmed, or that is reported twice.
 #[test]
-fn a_take_over_is_settled_once_every_run_is_heard_of() {
+fn a_takeover_is_settled_once_every_run_is_confirmed() {
     let mut site = Site::new(3, 3);
     site.advance(60_000);
     site.submit(2, "other", vec![step(3, 8)]);
@@ -41,7 +41,8 @@
     );
 }
 
-/// Guards against a gang that waits for some of its runs being counted as whole, or one that waits for room as broken.
+/// Guards against a gang that waits for some of its runs being counted as whole, and one that waits for free capacity being counted as
+/// broken.
 #[test]
 fn broken_gangs_are_counted() {
     let mut site = Site::new(4, 4);
--- a/crates/bh-control/tests/job_stalls.rs
+++ b/crates/bh-control/tests/job_stalls.rs
@@ -1,4 +1,4 @@
-//! What is told of jobs that stand still, and the gauges of work that waits.
+//! Reports of stalled jobs, and gauges of waiting work.
 #![expect(
     clippy::unwrap_used,
     reason = "a test that meets the unexpected shall end"
@@ -22,7 +22,7 @@
 
 const SURVEY_MS: u64 = 500;
 
-/// One of two tasks in a pool of which nothing is in use, held by a run that its worker does not report.
+/// One of two tasks in an unused pool, held by a run that its worker does not report.
 fn step(job: u64) -> RunnableStep {
     RunnableStep {
         step: StepId {
@@ -59,7 +59,7 @@
     Survey { steps, left_out: 0 }
 }
 
-/// What follows from the same survey made every half second from `from_ms` on, for `for_ms`.
+/// Results of the same survey made every half second from `from_ms` on, for `for_ms`.
 fn survey_repeatedly(
     tracker: &mut RunnableTracker,
     (from_ms, for_ms): (u64, u64),
@@ -75,9 +75,9 @@
     changes.iter().map(|changes| changes.lines.len()).sum()
 }
 
-/// Guards against a job that stands still being told of at every survey, too early, or never.
+/// Guards against a stalled job being reported at every survey, too early, or never.
 #[test]
-fn a_stretch_has_one_line_when_it_is_long_and_one_when_it_is_over() {
+fn a_stall_has_one_line_when_it_is_long_and_one_when_it_is_over() {
     let mut tracker = RunnableTracker::new();
     let early = survey_repeatedly(&mut tracker, (10_000, 1_500), &[step(1)]);
     assert_eq!(lines(&early), 0);
@@ -95,7 +95,7 @@
     assert_eq!(after, SurveyChanges::default());
 }
 
-/// Guards against the end of a stretch being told with the wrong cause.
+/// Guards against the end of a stall being reported with the wrong cause.
 #[rstest]
 #[case::it_runs(RunnableStep { standing: Standing { runs: 1, ..step(1).standing }, ..step(1) }, StallEnd::Runs)]
 #[case::it_has_run(RunnableStep { results: 1, ..step(1) }, StallEnd::Runs)]
@@ -110,18 +110,18 @@
     assert_eq!(changes.lines[0].end, Some(cause));
 }
 
-/// Guards against a job that its caller took back being told as running.
+/// Guards against a job that its caller cancelled being reported as running.
 #[test]
-fn a_job_that_is_over_ends_its_stretch() {
+fn a_job_that_has_ended_ends_its_stall() {
     let mut tracker = RunnableTracker::new();
     survey_repeatedly(&mut tracker, (0, 2_000), &[step(1)]);
     let changes = tracker.update(2_500, &Survey::default(), |_| true);
     assert_eq!(changes.lines[0].end, Some(StallEnd::JobOver));
 }
 
-/// Guards against short runs between two surveys going unseen, so that a job that runs them one after the other counts as standing still.
+/// Guards against short runs between two surveys being missed, so that a job with one such run after another counts as stalled.
 #[test]
-fn a_job_that_ran_between_two_surveys_begins_anew() {
+fn a_job_that_ran_between_two_surveys_is_not_stalled() {
     let mut tracker = RunnableTracker::new();
     for results in 0..10 {
         let step = RunnableStep { results, ..step(1) };
@@ -131,7 +131,7 @@
     }
 }
 
-/// Guards against a log that is flooded when everything stands still at once; what is left out is counted.
+/// Guards against flooding the log when all jobs stall at once; the lines left out are counted.
 #[test]
 fn lines_of_many_jobs_are_bounded_and_counted() {
     const JOBS: u64 = 300;
@@ -149,9 +149,9 @@
     assert_eq!(over.omitted_lines, 0);
 }
 
-/// Guards against a job that a survey left out being told as running.
+/// Guards against a job that a survey left out being reported as running.
 #[test]
-fn a_job_that_was_left_out_goes_on_standing_still() {
+fn a_job_left_out_of_a_survey_remains_stalled() {
     let mut tracker = RunnableTracker::new();
     survey_repeatedly(&mut tracker, (0, 2_000), &[step(1), step(2)]);
     let cut = Survey {
@@ -163,7 +163,7 @@
     assert_eq!(tracker.stalled_jobs(), 2);
 }
 
-/// Guards against waits being summed under the wrong reason, and their age beginning anew at every survey.
+/// Guards against waits being summed under the wrong reason, and their age restarting at every survey.
 #[test]
 fn waits_are_summed_by_reason_and_have_an_age() {
     let mut tracker = RunnableTracker::new();
@@ -180,7 +180,7 @@
     assert_eq!(tracker.oldest_ms, 3_000);
 }
 
-/// Guards against gauges of one name that overwrite each other.
+/// Guards against gauges with the same name and different labels overwriting each other.
 #[test]
 fn a_gauge_has_a_value_for_each_label() {
     let metrics = Metrics::new();
--- a/crates/bh-control/tests/plan_gap.rs
+++ b/crates/bh-control/tests/plan_gap.rs
@@ -2,11 +2,11 @@
 
 use bh_control::core::plan_gap_ms;
 
-/// Longest time for which a task may stand still beside free room, in milliseconds.
+/// Maximum time for which a task may be stalled despite free capacity, in milliseconds.
 const MAX_STALL_MS: u64 = 3_000;
 
-/// The leader stands still while it plans, for less than it takes the others to elect another one. The pause counts as time that planning took, and no job
-/// begins for four times as long afterwards.
+/// The leader is paused while it plans, for less time than the other cores need to elect another one. The pause counts as planning time,
+/// and without an upper bound no job would start for four times as long afterwards.
 #[test]
 fn a_pause_of_the_leader_while_it_plans_holds_no_plan_up() {
     for paused_ms in [200, 700, 1_300] {
--- a/crates/bh-control/tests/silent_leader.rs
+++ b/crates/bh-control/tests/silent_leader.rs
@@ -1,4 +1,4 @@
-//! Links that fall silent without being closed.
+//! Links that become silent without being closed.
 #![expect(
     clippy::unwrap_used,
     reason = "a test that meets the unexpected shall end"
@@ -27,18 +27,18 @@
 use std::rc::Rc;
 use tokio_util::sync::CancellationToken;
 
-/// How long a caller waits, in milliseconds: less than it takes to give a silent link up.
-const PATIENCE_MS: u64 = 300;
-/// How long a caller waits that outlives an election, in milliseconds.
-const LONG_PATIENCE_MS: u64 = 3_000;
-/// Time within which a new leader is known and has answered, in milliseconds: a core says what it is five times a second, and a silent link is
-/// given up some 500 ms after the election here.
-const ELECTED_SEEN_MS: u64 = 450;
+/// Timeout of a call, in milliseconds: shorter than the time until a silent link is closed.
+const TIMEOUT_MS: u64 = 300;
+/// Timeout of a call that outlasts an election, in milliseconds.
+const LONG_TIMEOUT_MS: u64 = 3_000;
+/// Time within which a new leader is known and has answered, in milliseconds. Cores report their status five times a second, and in this
+/// test the silent link is closed about 500 ms after the election.
+const MAX_TAKEOVER_MS: u64 = 450;
 
-/// Calls in the order in which a core got them.
+/// Calls in the order in which a core received them.
 type Calls = Rc<RefCell<Vec<Call>>>;
 
-/// A core that says that it leads in `term` once that is not 0, and notes the calls it gets.
+/// Starts a core that reports to lead in `term` once that is not 0, and records the calls it receives.
 fn leader(address: SocketAddr, term: Rc<Cell<u64>>, calls: Calls) {
     let hello = Hello {
         name: format!("leader at {address}"),
@@ -76,9 +76,9 @@
     }
 }
 
-/// A data centre is cut off: the link to the leader stays open and carries nothing. A call that is sent into it may be recorded or not, and
-/// its caller can only be told that nobody knows, which it may not try again. Half a second after the last sign of life nothing is sent any
-/// more, so that the caller is refused and finds another entry.
+/// A data centre is cut off: the link to the leader stays open but carries nothing. A call sent over it may be recorded or not, and its
+/// caller can only be told that the outcome is unknown, so it may not retry. Half a second after the last contact no more calls are sent,
+/// and the caller is refused and can try another entry.
 #[test]
 fn nothing_is_sent_into_a_silent_link() {
     let addresses = ports::free(2);
@@ -91,18 +91,19 @@
         while entry.leader().is_none() {
             sleep_ms(20).await;
         }
-        assert_eq!(forward(&entry, &leave(), PATIENCE_MS).await, Answer::Done);
+        assert_eq!(forward(&entry, &leave(), TIMEOUT_MS).await, Answer::Done);
         link.silence_open_connections();
         sleep_ms(700).await;
-        let answer = forward(&entry, &leave(), PATIENCE_MS).await;
+        let answer = forward(&entry, &leave(), TIMEOUT_MS).await;
         assert!(matches!(answer, Answer::Unavailable { .. }), "{answer:?}");
         assert_eq!(calls.borrow().len(), 1);
     })
     .unwrap();
 }
 
-/// The leader is lost while a caller asks for its job's state, and no other is elected in time. Asking again does no harm, so the caller is told
-/// when to; told that the outcome is unknown it would have to find out what became of something that it never sent.
+/// The leader is lost while a caller asks for the state of its job, and no other is elected in time. A read can be repeated without harm,
+/// so the caller is told when to retry. If it were told that the outcome is unknown, it would have to find out what became of something
+/// that it never sent.
 #[test]
 fn a_question_whose_leader_is_lost_may_be_asked_again() {
     let addresses = ports::free(2);
@@ -116,19 +117,19 @@
             sleep_ms(20).await;
         }
         link.silence_open_connections();
-        let answer = forward(&entry, &Call::GetRules, PATIENCE_MS).await;
+        let answer = forward(&entry, &Call::GetRules, TIMEOUT_MS).await;
         assert!(matches!(answer, Answer::Unavailable { .. }), "{answer:?}");
-        let answer = forward(&entry, &leave(), PATIENCE_MS).await;
+        let answer = forward(&entry, &leave(), TIMEOUT_MS).await;
         assert_eq!(answer, Answer::Unknown);
     })
     .unwrap();
 }
 
-/// The leader is suspended while calls are on their way to it, more calls come, and another core is elected. Each call must reach the new
-/// leader as soon as that is known, and none ahead of an earlier one. Else the first caller is answered later than the second and on newer
-/// rules, and their entry seems to have gone back to older rules for the second.
+/// The leader is suspended while calls are on their way to it, more calls arrive, and another core is elected. Each call must reach the new
+/// leader as soon as that is known, and none before an earlier one. Otherwise the first caller would be answered later than the second and
+/// on newer rules, and their entry would seem to have gone back to older rules for the second.
 #[test]
-fn calls_outwait_no_leader_and_overtake_no_call() {
+fn calls_wait_for_a_new_leader_and_keep_their_order() {
     const CALLS: usize = 20;
     let addresses = ports::free(3);
     let link = Link::start(addresses[0], addresses[1]);
@@ -148,11 +149,11 @@
         for call in 0..CALLS {
             let (entry, answered) = (entry.clone(), answered.clone());
             monoio::spawn(async move {
-                let answer = forward(&entry, &leave_of(call), LONG_PATIENCE_MS).await;
+                let answer = forward(&entry, &leave_of(call), LONG_TIMEOUT_MS).await;
                 assert_eq!(answer, Answer::Done);
                 answered.set(answered.get() + 1);
             });
-            // The later half comes when the silent link gets no calls any more.
+            // The later half arrives when no more calls are sent over the silent link.
             sleep_ms(if call == CALLS / 2 { 600 } else { 7 }).await;
         }
         term.set(2);
@@ -162,7 +163,7 @@
         }
         let took_ms = clock.now_ms() - elected_ms;
         assert!(
-            took_ms < ELECTED_SEEN_MS,
+            took_ms < MAX_TAKEOVER_MS,
             "answered {took_ms} ms after the election"
         );
         assert!(suspended.borrow().is_empty());
@@ -172,11 +173,12 @@
     .unwrap();
 }
 
-/// A data centre is cut off. Its callers get no answers there, and the balancer leads them elsewhere once it has been refused twice, a second
-/// apart. The entry must say that it is not ready as soon as the silence is longer than most elections, not when its links are given up.
+/// A data centre is cut off. Its callers get no answers there, and the balancer sends them elsewhere after two failed checks a second
+/// apart. The entry must report that it is not ready as soon as the silence is longer than most elections, not only when its links are
+/// closed.
 #[test]
 fn an_entry_that_is_cut_off_is_soon_not_ready() {
-    const SOON_MS: u64 = 1_150;
+    const MAX_READY_MS: u64 = 1_150;
     let addresses = ports::free(2);
     let link = Link::start(addresses[0], addresses[1]);
     runtime::run(1, async move {
@@ -195,7 +197,7 @@
             sleep_ms(10).await;
         }
         let took_ms = clock.now_ms() - cut_ms;
-        assert!(took_ms < SOON_MS, "ready for {took_ms} ms");
+        assert!(took_ms < MAX_READY_MS, "ready for {took_ms} ms");
     })
     .unwrap();
 }
--- a/crates/bh-control/tests/starts_record.rs
+++ b/crates/bh-control/tests/starts_record.rs
@@ -1,8 +1,8 @@
-//! The record of planned starts, which keeps the next plan back.
+//! Replication of planned starts, which delays the next plan.
 
 use bh_control::core::StartsRecord;
 
-/// Guards against a plan that waits for a record of starts without a trace, and against one such wait being counted at every turn.
+/// Guards against a plan being delayed by a record of starts without a trace, and against one such delay being counted at every iteration.
 #[test]
 fn a_plan_that_is_kept_back_is_counted_once_for_each_record() {
     let mut record = StartsRecord::new();
--- a/crates/bh-control/tests/undelivered_heartbeats.rs
+++ b/crates/bh-control/tests/undelivered_heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats that come while nobody leads.
+//! Heartbeats received while there is no leader.
 #![expect(
     clippy::unwrap_used,
     reason = "a test that meets the unexpected shall end"
@@ -44,21 +44,21 @@
     }
 }
 
-/// All cores were down for some seconds. Three workers turn to a core that cannot take their heartbeats yet, and is elected a moment later:
-/// one says what the record says, one has shrunk, one turns out to be taken by another leader. The first gets work at once, though nobody
-/// has waited for its next heartbeat; the second only once its new size is recorded.
+/// All cores were down for some seconds. Three workers send heartbeats to a core that cannot accept them yet and is elected a moment later.
+/// One matches the replicated state, one has shrunk, and the heartbeat of the third is then accepted by another leader. The first worker
+/// gets work at once, without waiting for its next heartbeat; the second one only after its new size is recorded.
 #[test]
-fn a_new_leader_knows_what_it_heard_before() {
+fn a_new_leader_uses_the_heartbeats_received_before_its_election() {
     let known = ["same", "shrunk", "taken"].map(|id| WorkerChange::Known(heartbeat(id, 8).info));
     let mut workload = Workload::default();
     workload.apply(Command::Workers(known.to_vec()));
     let mut undelivered = UndeliveredHeartbeats::default();
-    let came_ms = ELECTED_MS - 300;
-    undelivered.note(came_ms, &heartbeat("same", 8), &Answer::NotLeader);
-    undelivered.note(came_ms, &heartbeat("shrunk", 4), &Answer::NotLeader);
-    undelivered.note(came_ms, &heartbeat("taken", 8), &Answer::NotLeader);
+    let received_ms = ELECTED_MS - 300;
+    undelivered.note(received_ms, &heartbeat("same", 8), &Answer::NotLeader);
+    undelivered.note(received_ms, &heartbeat("shrunk", 4), &Answer::NotLeader);
+    undelivered.note(received_ms, &heartbeat("taken", 8), &Answer::NotLeader);
     let heard = Answer::Heard { next_address: None };
-    undelivered.note(came_ms, &heartbeat("taken", 8), &heard);
+    undelivered.note(received_ms, &heartbeat("taken", 8), &heard);
 
     let timing = Timing::DEFAULT;
     let mut dispatcher = Dispatcher::new(timing, 2, ELECTED_MS, &workload).with_old_record();
--- a/crates/bh-control/tests/worker_calls.rs
+++ b/crates/bh-control/tests/worker_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to workers, and how long they take.
+//! Calls to workers and their timeouts.
 #![expect(
     clippy::unwrap_used,
     reason = "a test that meets the unexpected shall end"
@@ -17,10 +17,10 @@
 use std::thread;
 use std::time::Duration;
 
-/// Time that a call may take, in milliseconds.
-const LIMIT_MS: u64 = 500;
-/// Time after which the worker breaks the kept connection off, in milliseconds.
-const BREAKS_MS: u64 = 400;
+/// Timeout of a call, in milliseconds.
+const TIMEOUT_MS: u64 = 500;
+/// Time after which the worker closes the kept-alive connection, in milliseconds.
+const CLOSE_AFTER_MS: u64 = 400;
 
 /// Reads one request without a body.
 fn read_request(stream: &mut TcpStream) {
@@ -32,7 +32,7 @@
     }
 }
 
-/// Answers one request, breaks the connection off while the next one waits, and answers nothing on any later connection.
+/// Answers one request, closes the connection while the next one waits, and answers nothing on any later connection.
 fn answer_once(listener: &TcpListener) {
     let (mut first, _) = listener.accept().unwrap();
     read_request(&mut first);
@@ -40,10 +40,10 @@
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         .unwrap();
     read_request(&mut first);
-    thread::sleep(Duration::from_millis(BREAKS_MS));
+    thread::sleep(Duration::from_millis(CLOSE_AFTER_MS));
     drop(first);
     let _silent = listener.accept().unwrap();
-    thread::sleep(Duration::from_millis(2 * LIMIT_MS));
+    thread::sleep(Duration::from_millis(2 * TIMEOUT_MS));
 }
 
 fn request() -> Request<Bytes> {
@@ -52,29 +52,29 @@
     request
 }
 
-/// A core carries an order to a worker that is lost. Its sender waits for no longer than the limit and a hop; an answer that comes later counts as that of a lost
-/// carrier, and the worker is never found to be silent.
+/// A core carries an order to a lost worker. The sender waits no longer than the timeout and the time for the carrier; if the answer came
+/// later, the carrier would count as lost, and the worker would never be found silent.
 #[test]
 fn a_call_takes_no_longer_than_its_limit() {
-    /// Lateness of timers on a busy machine, in milliseconds.
-    const SLACK_MS: u64 = 100;
+    /// Margin for late timers on a busy machine, in milliseconds.
+    const TIMER_MARGIN_MS: u64 = 100;
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || answer_once(&listener));
     runtime::run(1, async move {
         let clock = Clock::new();
         let calls = WorkerCalls::new(clock.clone(), 1_024);
-        calls.send(address, request(), LIMIT_MS).await.unwrap();
+        calls.send(address, request(), TIMEOUT_MS).await.unwrap();
         let from_ms = clock.now_ms();
-        let answer = calls.send(address, request(), LIMIT_MS).await;
+        let answer = calls.send(address, request(), TIMEOUT_MS).await;
         let took_ms = clock.now_ms() - from_ms;
         assert!(answer.is_err());
-        assert!(took_ms <= LIMIT_MS + SLACK_MS, "took {took_ms} ms");
+        assert!(took_ms <= TIMEOUT_MS + TIMER_MARGIN_MS, "took {took_ms} ms");
     })
     .unwrap();
 }
 
-/// Answers one request, breaks the connection off once the next one is there, and listens no more.
+/// Answers one request, closes the connection once the next one has arrived, and stops listening.
 fn answer_once_and_end(listener: TcpListener) {
     let (mut first, _) = listener.accept().unwrap();
     read_request(&mut first);
@@ -86,7 +86,8 @@
     drop(first);
 }
 
-/// Guards against a start that is taken not to have reached its worker, since nothing listens there any more, though a kept connection had taken it.
+/// Guards against a start that counts as not sent because nothing listens at the worker's address any more, although it was sent over a
+/// kept-alive connection before.
 #[test]
 fn a_call_that_was_sent_before_it_was_refused_says_so() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -94,10 +95,10 @@
     thread::spawn(move || answer_once_and_end(listener));
     runtime::run(1, async move {
         let calls = WorkerCalls::new(Clock::new(), 1_024);
-        calls.send(address, request(), LIMIT_MS).await.unwrap();
-        let sent = calls.send(address, request(), LIMIT_MS).await;
+        calls.send(address, request(), TIMEOUT_MS).await.unwrap();
+        let sent = calls.send(address, request(), TIMEOUT_MS).await;
         assert!(sent.is_err_and(|why| why.error == SendError::Refused && why.repeated));
-        let unsent = calls.send(address, request(), LIMIT_MS).await;
+        let unsent = calls.send(address, request(), TIMEOUT_MS).await;
         assert!(unsent.is_err_and(|why| why.error == SendError::Refused && !why.repeated));
     })
     .unwrap();
