--- a/crates/bh-control/src/config/problems.rs
+++ b/crates/bh-control/src/config/problems.rs
@@ -6,7 +6,7 @@
 use serde_yaml_ng::Value;
 
 /// A config that is valid for every role. The keys of the checked file are inserted into it one at a time.
-const VALID: &str = "{name: vm, role: core, data_centre: dc, ip: 127.0.0.1, peer_port: 7000, seeds: '127.0.0.1:1', \
+const VALID_CONFIG: &str = "{name: vm, role: core, data_centre: dc, ip: 127.0.0.1, peer_port: 7000, seeds: '127.0.0.1:1', \
     callers_address: '127.0.0.1:2', readiness_address: '127.0.0.1:3', control_address: '127.0.0.1:4', data_folder: /data}";
 /// Keys that are required for every role.
 const REQUIRED: [&str; 6] = ["name", "role", "data_centre", "ip", "peer_port", "seeds"];
@@ -47,7 +47,7 @@
 
 /// Checks one key with all other keys valid.
 fn problem_with(key: &Value, value: Value) -> Option<String> {
-    let mut file: Mapping = serde_yaml_ng::from_str(VALID).ok()?;
+    let mut file: Mapping = serde_yaml_ng::from_str(VALID_CONFIG).ok()?;
     file.insert(key.clone(), value);
     let text = serde_yaml_ng::to_string(&file).ok()?;
     let failure = LocalConfig::parse(text.as_bytes()).err()?;
@@ -61,12 +61,12 @@
     let role = file
         .get("role")
         .and_then(|role| serde_yaml_ng::from_value::<Role>(role.clone()).ok());
-    let wanted: &[&str] = match role {
+    let required: &[&str] = match role {
         Some(Role::Entry) => &["callers_address", "readiness_address"],
         Some(Role::Core) => &["control_address", "data_folder"],
         None => &[],
     };
-    wanted
+    required
         .iter()
         .filter(|key| !file.contains_key(**key))
         .map(|key| format!("`{key}` is missing for this role"))
--- a/crates/bh-control/src/core/heartbeats.rs
+++ b/crates/bh-control/src/core/heartbeats.rs
@@ -99,10 +99,10 @@
         sequence: heartbeat.sequence,
         ..heartbeat.info.clone()
     };
-    let is_news = known.is_none_or(|worker| {
+    let is_changed = known.is_none_or(|worker| {
         info.sequence >= worker.info.sequence && !worker.info.says_the_same(&info)
     });
-    if is_news {
+    if is_changed {
         changes.push(WorkerChange::Known(info));
     }
     if heartbeat.draining && known.is_none_or(|worker| !worker.draining) {
--- a/crates/bh-control/src/core/job_stall.rs
+++ b/crates/bh-control/src/core/job_stall.rs
@@ -1,4 +1,4 @@
-//! A stalled job, as it is reported in the log.
+//! A stalled job, as it is reported in the log. Metrics and log lines call a stall a standstill.
 
 use bh_workload::job::JobId;
 use bh_workload::plan::RunnableStep;
--- a/crates/bh-control/src/core/planning.rs
+++ b/crates/bh-control/src/core/planning.rs
@@ -45,9 +45,9 @@
         unclaimed,
     } = planner.plan(now_ms, core.wall_ms(), &workload, &leadership.dispatcher);
     drop(workload);
-    let over_ms = core.clock.now_ms();
-    let took_ms = over_ms.saturating_sub(now_ms);
-    leadership.next_plan_ms = over_ms + plan_gap_ms(took_ms);
+    let end_ms = core.clock.now_ms();
+    let took_ms = end_ms.saturating_sub(now_ms);
+    leadership.next_plan_ms = end_ms + plan_gap_ms(took_ms);
     core.metrics.time_ms("plan", took_ms);
     advice::ask(core, leadership, now_ms, questions);
     for (step, why) in unclaimed {
@@ -68,7 +68,7 @@
     if starts.is_empty() {
         return;
     }
-    leadership.starts_record.begin(over_ms);
+    leadership.starts_record.begin(end_ms);
     let term = leadership.term;
     core.metrics
         .count("runs_planned", starts.len().try_into().unwrap_or(0));
--- a/crates/bh-control/src/core/run_ends.rs
+++ b/crates/bh-control/src/core/run_ends.rs
@@ -48,8 +48,8 @@
         return Detection::NeverSent;
     }
     let target = dispatcher.view(&end.worker);
-    let was_unsaid = target.is_some_and(|target| target.unsaid.contains(&end.run));
-    if end.kind == EndKind::Lost && was_unsaid {
+    let was_presumed_lost = target.is_some_and(|target| target.unsaid.contains(&end.run));
+    if end.kind == EndKind::Lost && was_presumed_lost {
         Detection::BrokenGang
     } else {
         Detection::Lapsed
--- a/crates/bh-control/src/core/runnable_tracker.rs
+++ b/crates/bh-control/src/core/runnable_tracker.rs
@@ -14,7 +14,7 @@
 /// Maximum number of log lines per survey.
 const MAX_LINES: usize = 4;
 
-/// A job that stands still.
+/// A stall that has not ended.
 #[derive(Clone, Debug)]
 struct OngoingStall {
     since_ms: u64,
--- a/crates/bh-control/src/core/surveys.rs
+++ b/crates/bh-control/src/core/surveys.rs
@@ -48,10 +48,10 @@
             "more jobs stand still, or no longer do, than are logged"
         );
     }
-    let over_ms = core.clock.now_ms();
-    let took_ms = over_ms.saturating_sub(now_ms);
+    let end_ms = core.clock.now_ms();
+    let took_ms = end_ms.saturating_sub(now_ms);
     core.metrics.time_ms("survey", took_ms);
-    leadership.next_survey_ms = over_ms + (took_ms * SURVEY_GAP_FACTOR).max(MIN_SURVEY_GAP_MS);
+    leadership.next_survey_ms = end_ms + (took_ms * SURVEY_GAP_FACTOR).max(MIN_SURVEY_GAP_MS);
 }
 
 /// Logs that a job has been stalled for long, or that it no longer is.
