--- a/crates/bh-scheduler/src/action.rs
+++ b/crates/bh-scheduler/src/action.rs
@@ -8,69 +8,69 @@
 /// One output of [`crate::Scheduler::step`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Ask every worker of the placement to hold its accelerators; answer with [`crate::Event::Prepared`].
+    /// Ask every worker of the placement to reserve the accelerators; answer with [`crate::Event::Prepared`].
     Prepare {
-        /// Job.
+        /// Job number.
         job: u64,
-        /// Attempt.
+        /// Epoch of the attempt.
         epoch: u64,
-        /// Where.
+        /// Worker of each task.
         placement: Placement,
     },
     /// Record the decision to start; answer with [`crate::Event::StartRecorded`].
     RecordStart {
-        /// Job.
+        /// Job number.
         job: u64,
-        /// Attempt.
+        /// Epoch of the attempt.
         epoch: u64,
-        /// Where.
+        /// Worker of each task.
         placement: Placement,
     },
-    /// Start what was prepared; answer with [`crate::Event::StartSent`].
+    /// Start the prepared tasks; answer with [`crate::Event::StartSent`].
     Start {
-        /// Job.
+        /// Job number.
         job: u64,
-        /// Attempt.
+        /// Epoch of the attempt.
         epoch: u64,
-        /// Where.
+        /// Worker of each task.
         placement: Placement,
     },
-    /// Ask for a checkpoint, after which the worker stops the tasks.
+    /// Ask the workers to checkpoint the tasks and then stop them.
     Checkpoint {
-        /// Job.
+        /// Job number.
         job: u64,
-        /// Attempt.
+        /// Epoch of the attempt.
         epoch: u64,
         /// Workers to ask.
         workers: BTreeSet<Arc<str>>,
     },
     /// Stop the tasks at once; answer with [`crate::Event::StopSent`] for each worker.
     Stop {
-        /// Job.
+        /// Job number.
         job: u64,
-        /// Attempt.
+        /// Epoch of the attempt.
         epoch: u64,
         /// Workers to ask.
         workers: BTreeSet<Arc<str>>,
     },
-    /// Record that a stopped job waits again; answer with [`crate::Event::Requeued`].
+    /// Record that a stopped job is back in the queue; answer with [`crate::Event::Requeued`].
     RecordRequeue {
-        /// Job.
+        /// Job number.
         job: u64,
-        /// Attempt that was stopped.
+        /// Epoch of the stopped attempt.
         epoch: u64,
-        /// Why.
+        /// Reason, shown to the caller.
         reason: String,
     },
     /// Record the end of a job.
     RecordEnd {
-        /// Job.
+        /// Job number.
         job: u64,
-        /// Last attempt.
+        /// Epoch of the last attempt.
         epoch: u64,
         /// Final phase.
         phase: Phase,
-        /// Why.
+        /// Reason, shown to the caller.
         reason: String,
     },
 }
--- a/crates/bh-scheduler/src/cells.rs
+++ b/crates/bh-scheduler/src/cells.rs
@@ -42,7 +42,7 @@
 
     /// Whether new tasks may be placed here.
     pub fn admits(&self, now_ms: u64) -> bool {
-        self.alive && !self.leaving && !self.health.is_aside(now_ms)
+        self.alive && !self.leaving && !self.health.is_set_aside(now_ms)
     }
 
     /// Accelerators that a guarantee could still be bound to.
--- a/crates/bh-scheduler/src/event.rs
+++ b/crates/bh-scheduler/src/event.rs
@@ -1,4 +1,4 @@
-//! What the scheduler reacts to.
+//! Inputs of the scheduler.
 
 use crate::limits::Limits;
 use bh_protocol::job::Phase;
@@ -8,18 +8,18 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// A job as the record has it.
+/// A job as the replicated table holds it.
 #[derive(Clone, Debug)]
 pub struct RecordedJob {
-    /// Identity.
+    /// Job number.
     pub job: u64,
-    /// What it asks for.
+    /// What the job asks for.
     pub spec: Spec,
-    /// When it was submitted, on the scheduler's clock.
+    /// When the job was submitted, on the scheduler's clock.
     pub submitted_ms: u64,
-    /// Phase; a new leader also hears of jobs that were started.
+    /// Phase. A new leader also receives the jobs that an earlier leader started.
     pub phase: Phase,
-    /// Attempt of a started job.
+    /// Epoch of a started job's attempt.
     pub epoch: u64,
     /// Placement of a started job.
     pub placement: Placement,
@@ -34,74 +34,74 @@
     LimitsChanged(Limits),
     /// A worker announced itself.
     WorkerAnnounced {
-        /// Name.
+        /// Name of the worker.
         name: Arc<str>,
-        /// Changes when its process restarts; its earlier tasks are lost then.
+        /// Changes when the worker's process restarts, which loses its earlier tasks.
         incarnation: u64,
-        /// Rack it stands in.
+        /// Rack of the worker.
         rack: Arc<str>,
-        /// Accelerators.
+        /// Number of accelerators.
         accelerators: u32,
-        /// Whether it takes no new work.
+        /// Whether the worker takes no new work.
         leaving: bool,
-        /// Its tasks, as it reports them.
+        /// Tasks that the worker reports.
         tasks: Vec<TaskReport>,
     },
-    /// A worker's lease lapsed: its tasks have ended, by their own leases.
+    /// A worker's lease expired. Its tasks have ended, because their own leases expired as well.
     WorkerLost {
-        /// Name.
+        /// Name of the worker.
         name: Arc<str>,
     },
     /// A job was recorded.
     JobRecorded(RecordedJob),
-    /// Jobs were cancelled, as one wave.
+    /// Jobs were cancelled together.
     JobsCancelled {
-        /// Identities.
+        /// Job numbers.
         jobs: Vec<u64>,
     },
-    /// Every worker has answered a prepare order.
+    /// The prepare orders of an attempt were answered or timed out.
     Prepared {
-        /// Job.
+        /// Job number.
         job: u64,
-        /// Attempt.
+        /// Epoch of the attempt.
         epoch: u64,
         /// Workers that refused or did not answer.
         refused: BTreeSet<Arc<str>>,
     },
     /// The decision to start is recorded, or cannot be.
     StartRecorded {
-        /// Job.
+        /// Job number.
         job: u64,
-        /// Attempt.
+        /// Epoch of the attempt.
         epoch: u64,
-        /// Whether it is recorded.
+        /// Whether the decision is recorded.
         accepted: bool,
     },
-    /// Every worker has answered a start order.
+    /// The start orders of an attempt were answered or timed out.
     StartSent {
-        /// Job.
+        /// Job number.
         job: u64,
-        /// Attempt.
+        /// Epoch of the attempt.
         epoch: u64,
         /// Workers that refused.
         refused: BTreeSet<Arc<str>>,
     },
-    /// A worker has carried out a stop order.
+    /// A stop order was sent to a worker.
     StopSent {
-        /// Job.
+        /// Job number.
         job: u64,
-        /// Attempt.
+        /// Epoch of the attempt.
         epoch: u64,
-        /// Worker.
+        /// Name of the worker.
         worker: Arc<str>,
-        /// Whether the worker confirmed it.
+        /// Whether the worker confirmed that its tasks have stopped.
         confirmed: bool,
     },
     /// The requeue of a stopped job is recorded.
     Requeued {
-        /// Job.
+        /// Job number.
         job: u64,
-        /// Attempt that was stopped.
+        /// Epoch of the stopped attempt.
         epoch: u64,
     },
 }
--- a/crates/bh-scheduler/src/fragmentation.rs
+++ b/crates/bh-scheduler/src/fragmentation.rs
@@ -1,4 +1,4 @@
-//! How much of the free accelerators cannot serve the shapes that are wanted.
+//! The share of free accelerators that a shape can't use.
 
 use crate::cells::Cells;
 use bh_protocol::shape::Adjacency;
@@ -8,17 +8,17 @@
 /// Fragmentation for one shape.
 ///
 /// `value = 1 - usable / free`, where `free` counts all free accelerators and `usable` those that whole copies of the
-/// shape could take, packed greedily. 0 means every free accelerator can serve the shape, 1 that none can.
+/// shape could use, packed greedily. 0 means that the shape can use every free accelerator, 1 that it can use none.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Fragmentation {
     /// Free accelerators.
     pub free: u32,
-    /// Free accelerators that whole copies of the shape could take.
+    /// Free accelerators that whole copies of the shape could use.
     pub usable: u32,
 }
 
 impl Fragmentation {
-    /// Fragmentation of the live workers of `cells` for `shape`.
+    /// Computes the fragmentation for `shape` over the live workers.
     pub fn new(cells: &Cells, shape: &Shape) -> Self {
         let free = cells
             .workers()
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The share of free accelerators that cannot serve the shape, from 0 to 1.
+    /// The share of free accelerators that the shape can't use, from 0 to 1.
     pub fn value(&self) -> f64 {
         if self.free == 0 {
             0.0
@@ -42,7 +42,7 @@
     }
 }
 
-/// Copies of the shape that fit into the free accelerators.
+/// Number of copies of the shape that fit into the free accelerators.
 fn copies(cells: &Cells, shape: &Shape) -> u32 {
     let tasks_on = |id: &u32| {
         let worker = cells.worker(*id);
--- a/crates/bh-scheduler/src/health.rs
+++ b/crates/bh-scheduler/src/health.rs
@@ -1,62 +1,63 @@
-//! Which workers fail everything they start.
+//! Detects workers on which every job fails.
 
 use std::collections::BTreeSet;
 
-/// Distinct jobs that must fail on a worker, with no success between, before it is set aside.
-const JOBS_TO_SET_ASIDE: usize = 3;
-/// First time aside, in milliseconds; doubles each time.
-const FIRST_ASIDE_MS: u64 = 30_000;
-/// Longest time aside, in milliseconds.
-const LONGEST_ASIDE_MS: u64 = 3_600_000;
+/// Different jobs that must fail on a worker, with no success in between, before the worker is set aside.
+const FAILED_JOBS_TO_SET_ASIDE: usize = 3;
+/// How long a worker is set aside the first time. The time doubles with each further failure.
+const FIRST_SET_ASIDE_MS: u64 = 30_000;
+/// Upper limit of the time a worker is set aside.
+const MAX_SET_ASIDE_MS: u64 = 3_600_000;
 
-/// How one worker's starts have ended.
+/// Failures of jobs on one worker.
 ///
-/// A worker that fails everything it starts is always free, so it would attract every job. It is judged by outcomes: a
-/// job that fails elsewhere too counts against the job, not against the worker.
+/// A worker on which every job fails at once is always free, so it would attract every job. It gets no new jobs for a
+/// while after failures of several different jobs. A job that fails on other workers too doesn't count against the worker.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     failed_jobs: BTreeSet<u64>,
-    aside_until_ms: Option<u64>,
-    times_aside: u32,
+    set_aside_until_ms: Option<u64>,
+    set_aside_count: u32,
 }
 
 impl Health {
-    /// Notes that `job` failed here; returns whether the worker is set aside now.
-    pub fn failed(&mut self, now_ms: u64, job: u64) -> bool {
+    /// Counts a failure of `job` on this worker. Returns whether the worker is set aside now.
+    pub fn record_failure(&mut self, now_ms: u64, job: u64) -> bool {
         self.failed_jobs.insert(job);
-        // Back from being set aside, one more failure is enough.
-        let needed = if self.times_aside > 0 {
+        // A worker that was set aside before is set aside again after a single failure.
+        let needed = if self.set_aside_count > 0 {
             1
         } else {
-            JOBS_TO_SET_ASIDE
+            FAILED_JOBS_TO_SET_ASIDE
         };
         if self.failed_jobs.len() < needed {
             return false;
         }
-        let wait_ms = (FIRST_ASIDE_MS << self.times_aside.min(16)).min(LONGEST_ASIDE_MS);
-        self.times_aside += 1;
-        self.aside_until_ms = Some(now_ms + wait_ms);
+        let set_aside_ms =
+            (FIRST_SET_ASIDE_MS << self.set_aside_count.min(16)).min(MAX_SET_ASIDE_MS);
+        self.set_aside_count += 1;
+        self.set_aside_until_ms = Some(now_ms + set_aside_ms);
         self.failed_jobs.clear();
         true
     }
 
-    /// Notes that a job ran to its end here.
-    pub fn succeeded(&mut self) {
+    /// Clears all failures after a job has succeeded on this worker.
+    pub fn record_success(&mut self) {
         *self = Self::default();
     }
 
-    /// Takes back the failures of a job that turned out to fail everywhere.
-    pub fn forgive(&mut self, job: u64) {
+    /// Removes the failure of a job that turned out to fail on other workers as well.
+    pub fn clear_failure(&mut self, job: u64) {
         self.failed_jobs.remove(&job);
     }
 
-    /// Whether the worker gets no job at `now_ms`.
-    pub fn is_aside(&self, now_ms: u64) -> bool {
-        self.aside_until_ms.is_some_and(|until| now_ms < until)
+    /// Whether the worker gets no new jobs at `now_ms`.
+    pub fn is_set_aside(&self, now_ms: u64) -> bool {
+        self.set_aside_until_ms.is_some_and(|until| now_ms < until)
     }
 
-    /// Whether the worker has been set aside and has not succeeded since.
+    /// Whether the worker has been set aside and no job has succeeded on it since.
     pub fn is_suspect(&self) -> bool {
-        self.times_aside > 0
+        self.set_aside_count > 0
     }
 }
--- a/crates/bh-scheduler/src/job.rs
+++ b/crates/bh-scheduler/src/job.rs
@@ -9,56 +9,56 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// What follows when every task of a job has stopped.
+/// What happens to a job when all tasks of its attempt have stopped.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum AfterStop {
-    /// Wait for another placement.
+    /// Return the job to the queue.
     Requeue { reason: String },
-    /// The job has ended, or ends.
+    /// End the job. A cancellation is in the table already; any other phase is recorded then.
     End { phase: Phase, reason: String },
-    /// Nothing was recorded for this attempt: simply wait again, not before the given time.
+    /// Return the job to the queue without a record, since none was made for this attempt, and place it no earlier than `not_before_ms`.
     Retry { not_before_ms: u64 },
 }
 
-/// Where a job is on its way.
+/// State of a job and its current attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Waits for a placement.
+    /// The job waits for a placement.
     Queued,
-    /// Has a placement and waits for the borrowers on it to leave.
+    /// The job has a placement and waits until the borrowers on it have stopped.
     Reclaiming {
-        /// Jobs that must leave.
+        /// Jobs that have to stop first.
         victims: BTreeSet<u64>,
     },
-    /// The workers are asked to hold the accelerators.
+    /// The workers have been asked to reserve the accelerators.
     Preparing,
     /// The decision to start is being recorded.
-    Deciding,
-    /// Started; some tasks may not have reported yet.
+    RecordingStart,
+    /// The attempt is started. Some tasks may not have reported yet.
     Running {
-        /// Tasks that reported themselves running.
+        /// Tasks reported as running.
         running: BTreeSet<u32>,
-        /// Tasks that ended with success.
+        /// Tasks that ended successfully.
         done: BTreeSet<u32>,
-        /// When all tasks must have reported.
+        /// Deadline for the first report of every task.
         report_by_ms: u64,
     },
-    /// Being stopped.
+    /// The tasks are being stopped.
     Stopping {
-        /// Workers that have not confirmed.
+        /// Workers that have not confirmed the stop.
         pending: BTreeSet<Arc<str>>,
         /// When the stop began.
         since_ms: u64,
-        /// When the checkpoint wait is over; `None` once the stop order is out.
+        /// When the checkpoint wait ends; `None` once the stop order is sent.
         checkpoint_until_ms: Option<u64>,
-        /// When an unconfirmed stop order is sent again.
+        /// When an unconfirmed stop order is repeated.
         retry_ms: u64,
     },
-    /// Stopped; the record of that is on its way.
-    Recording,
+    /// All tasks have stopped and the requeue is being recorded.
+    RecordingRequeue,
 }
 
-/// A job and its attempt.
+/// A job and its current attempt.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
     pub spec: Spec,
@@ -67,16 +67,16 @@
     pub epoch: u64,
     /// Worker of each task in the current attempt.
     pub places: Vec<WorkerId>,
-    /// Guaranteed cell the attempt runs in.
+    /// Index of the guaranteed cell the attempt runs in.
     pub cell: Option<usize>,
-    /// Workers on which it failed, each once.
+    /// Workers on which the job failed.
     pub failed_on: BTreeSet<WorkerId>,
-    /// Attempts that failed or were refused, whatever the reason.
+    /// Attempts that failed or were refused by a worker.
     pub failures: u32,
-    /// Workers whose process died and came back soon after it had started there.
+    /// Times a worker's process restarted soon after the job had started on it.
     pub crashes: u32,
-    /// Times it was stopped for another job.
-    pub preempted: u32,
+    /// Times the job was stopped for another job.
+    pub preemptions: u32,
     pub not_before_ms: u64,
     pub started_ms: u64,
     pub after_stop: Option<AfterStop>,
@@ -95,7 +95,7 @@
             failed_on: BTreeSet::new(),
             failures: 0,
             crashes: 0,
-            preempted: 0,
+            preemptions: 0,
             not_before_ms: 0,
             started_ms: 0,
             after_stop: None,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Accelerators the attempt holds on each worker.
+    /// Accelerators that the attempt holds on each worker.
     pub fn held(&self) -> BTreeMap<WorkerId, u32> {
         let mut held = BTreeMap::new();
         for id in &self.places {
@@ -125,8 +125,8 @@
         Placement { tasks }
     }
 
-    /// Whether it holds accelerators that another job may claim.
-    pub fn is_stoppable(&self) -> bool {
+    /// Whether the job runs outside of a guaranteed cell and may be stopped for another job.
+    pub fn is_preemptible(&self) -> bool {
         self.cell.is_none() && matches!(self.state, State::Running { .. })
     }
 }
--- a/crates/bh-scheduler/src/lib.rs
+++ b/crates/bh-scheduler/src/lib.rs
@@ -1,7 +1,7 @@
-//! Gangs, guarantees, placement and reclaim, as pure decision code.
+//! Gang scheduling, guaranteed capacity, placement and reclaim, as pure decision code without I/O.
 //!
-//! [`Scheduler`] runs on the leader of a data centre's group: it takes the time and an [`Event`] and returns
-//! [`Action`]s. [`Table`] is the replicated record of the jobs: what is in it survives the leader.
+//! [`Scheduler`] runs on the leader of a data centre's group. It takes the current time and an [`Event`] and returns
+//! [`Action`]s. [`Table`] is the replicated table of jobs, which outlives any leader.
 
 mod action;
 mod cells;
--- a/crates/bh-scheduler/src/limits.rs
+++ b/crates/bh-scheduler/src/limits.rs
@@ -1,4 +1,4 @@
-//! What the settings say that placement depends on.
+//! The settings that placement depends on.
 
 use bh_protocol::shape::Shape;
 use bh_settings::Settings;
@@ -9,18 +9,18 @@
 /// Policy, quotas and guarantees of one data centre.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Limits {
-    /// How placements are chosen.
+    /// Placement policy.
     pub policy: Policy,
-    /// Accelerators each team may hold.
+    /// Accelerators that each team may hold.
     pub team_quota: BTreeMap<Arc<str>, u32>,
-    /// Accelerators each customer may hold.
+    /// Accelerators that each customer may hold.
     pub customer_quota: BTreeMap<Arc<str>, u32>,
-    /// Guaranteed shapes: customer and shape name to the shape and how many.
+    /// Guaranteed shapes: maps customer and shape name to the shape and the number of guaranteed copies.
     pub guarantees: BTreeMap<(Arc<str>, Arc<str>), (Shape, u32)>,
 }
 
 impl Limits {
-    /// The limits that `settings` set for `data_centre`.
+    /// Collects the limits that `settings` define for `data_centre`.
     pub fn new(settings: &Settings, data_centre: &str) -> Self {
         let mut limits = Self {
             policy: settings.system.policy,
--- a/crates/bh-scheduler/src/scheduler/dispatch.rs
+++ b/crates/bh-scheduler/src/scheduler/dispatch.rs
@@ -197,7 +197,7 @@
         }
         for victim in victims {
             if let Some(job) = self.jobs.get_mut(&victim) {
-                job.preempted += 1;
+                job.preemptions += 1;
             }
             let reason = format!("stopped for job {number}");
             self.stop(now_ms, victim, AfterStop::Requeue { reason }, true);
--- a/crates/bh-scheduler/src/scheduler/force.rs
+++ b/crates/bh-scheduler/src/scheduler/force.rs
@@ -107,7 +107,7 @@
         let may_stop = |job: &Job| {
             let below = job.spec.priority < asking.spec.priority;
             let smaller = job.spec.shape.accelerators() * 2 <= shape.accelerators();
-            let spared = job.preempted >= MAX_PREEMPTIONS;
+            let spared = job.preemptions >= MAX_PREEMPTIONS;
             (urgent && below)
                 || (starving
                     && !spared
@@ -119,7 +119,7 @@
             let sum: u32 = jobs
                 .iter()
                 .map(|job| &self.jobs[job])
-                .filter(|job| job.is_stoppable() && may_stop(job))
+                .filter(|job| job.is_preemptible() && may_stop(job))
                 .map(|job| job.held().get(id).copied().unwrap_or(0))
                 .sum();
             freeable.insert(*id, sum);
@@ -202,7 +202,7 @@
                 if victims.contains(&number) || matches!(job.state, State::Stopping { .. }) {
                     coming += held.saturating_sub(over.min(held));
                     over = over.saturating_sub(held);
-                } else if job.is_stoppable() && may_stop(job) {
+                } else if job.is_preemptible() && may_stop(job) {
                     candidates.push((job.spec.priority, Reverse(job.started_ms), number, held));
                 }
             }
--- a/crates/bh-scheduler/src/scheduler/gang.rs
+++ b/crates/bh-scheduler/src/scheduler/gang.rs
@@ -54,7 +54,7 @@
             self.stop(now_ms, number, AfterStop::Retry { not_before_ms }, false);
             return;
         }
-        job.state = State::Deciding;
+        job.state = State::RecordingStart;
         let placement = self.placement(&self.jobs[&number]);
         self.actions.push(Action::RecordStart {
             job: number,
@@ -66,7 +66,7 @@
     fn note_refusals(&mut self, now_ms: u64, number: u64, refused: &BTreeSet<Arc<str>>) {
         for name in refused {
             if let Some(id) = self.cells.find(name) {
-                self.cells.health_mut(id).failed(now_ms, number);
+                self.cells.health_mut(id).record_failure(now_ms, number);
             }
         }
     }
@@ -76,7 +76,7 @@
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
         };
-        if job.epoch != epoch || job.state != State::Deciding {
+        if job.epoch != epoch || job.state != State::RecordingStart {
             return;
         }
         if !accepted {
@@ -144,7 +144,7 @@
         self.runtimes.add(&job.spec.shape_name, took_ms);
         let places: BTreeSet<u32> = job.places.iter().copied().collect();
         for id in places {
-            self.cells.health_mut(id).succeeded();
+            self.cells.health_mut(id).record_success();
         }
         self.release(number);
         self.jobs.remove(&number);
--- a/crates/bh-scheduler/src/scheduler/mod.rs
+++ b/crates/bh-scheduler/src/scheduler/mod.rs
@@ -193,7 +193,7 @@
         self.jobs.get(&key.job).is_some_and(|job| {
             let holds = !matches!(
                 job.state,
-                State::Queued | State::Reclaiming { .. } | State::Recording
+                State::Queued | State::Reclaiming { .. } | State::RecordingRequeue
             );
             let stopping = matches!(
                 job.state,
--- a/crates/bh-scheduler/src/scheduler/stop.rs
+++ b/crates/bh-scheduler/src/scheduler/stop.rs
@@ -19,7 +19,7 @@
             return;
         };
         match &mut job.state {
-            State::Queued | State::Recording => return,
+            State::Queued | State::RecordingRequeue => return,
             State::Reclaiming { .. } => {
                 // Nothing was sent to any worker for this attempt.
                 job.after_stop = Some(after);
@@ -42,7 +42,7 @@
                 }
                 return;
             }
-            State::Preparing | State::Deciding | State::Running { .. } => {}
+            State::Preparing | State::RecordingStart | State::Running { .. } => {}
         }
         let pending: BTreeSet<Arc<str>> = job
             .held()
@@ -50,7 +50,7 @@
             .map(|id| self.cells.worker(*id).name.clone())
             .collect();
         // A decision that is on its way to the record may yet be taken: it must be taken back there, too.
-        let decided = matches!(job.state, State::Deciding | State::Running { .. });
+        let decided = matches!(job.state, State::RecordingStart | State::Running { .. });
         job.after_stop = Some(match after {
             AfterStop::Retry { .. } if decided => AfterStop::Requeue {
                 reason: job.reason.clone(),
@@ -120,7 +120,7 @@
                 }
             }
             Some(AfterStop::Requeue { reason }) => {
-                job.state = State::Recording;
+                job.state = State::RecordingRequeue;
                 job.reason = reason.clone();
                 self.actions.push(Action::RecordRequeue {
                     job: number,
@@ -145,7 +145,7 @@
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
         };
-        if job.epoch == epoch && job.state == State::Recording {
+        if job.epoch == epoch && job.state == State::RecordingRequeue {
             job.state = State::Queued;
             self.enqueue(number);
         }
@@ -163,7 +163,7 @@
                     self.dequeue(*number);
                     self.jobs.remove(number);
                 }
-                State::Recording => {
+                State::RecordingRequeue => {
                     self.jobs.remove(number);
                 }
                 _ => self.stop(
--- a/crates/bh-scheduler/src/scheduler/workers.rs
+++ b/crates/bh-scheduler/src/scheduler/workers.rs
@@ -265,15 +265,14 @@
         let Some(id) = self.cells.find(name) else {
             return;
         };
-        let already = self
-            .jobs
-            .get(&number)
-            .is_some_and(|job| matches!(job.state, State::Stopping { .. } | State::Recording));
+        let already = self.jobs.get(&number).is_some_and(|job| {
+            matches!(job.state, State::Stopping { .. } | State::RecordingRequeue)
+        });
         if already {
             return;
         }
         let suspect = self.cells.worker(id).health.is_suspect();
-        self.cells.health_mut(id).failed(now_ms, number);
+        self.cells.health_mut(id).record_failure(now_ms, number);
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
         };
@@ -289,7 +288,7 @@
         if everywhere {
             let blamed: Vec<u32> = job.failed_on.iter().copied().collect();
             for id in blamed {
-                self.cells.health_mut(id).forgive(number);
+                self.cells.health_mut(id).clear_failure(number);
             }
             let reason = format!("failed on {failed_on} workers, last on {name}");
             self.stop(
