--- a/crates/bh-scheduler/src/cells.rs
+++ b/crates/bh-scheduler/src/cells.rs
@@ -1,4 +1,4 @@
-//! Accelerators of a data centre: workers in racks, what is used and what is bound to guarantees.
+//! Workers and racks of a data centre, with their used accelerators and those bound to guarantees.
 
 use crate::health::Health;
 use std::collections::BTreeMap;
@@ -14,38 +14,38 @@
 pub struct WorkerCell {
     /// Name.
     pub name: Arc<str>,
-    /// Rack it stands in.
+    /// Rack of the worker.
     pub rack: RackId,
-    /// Incarnation of its process.
+    /// Incarnation of the worker's process.
     pub incarnation: u64,
-    /// Accelerators it has.
+    /// Accelerators of the worker.
     pub capacity: u32,
-    /// Accelerators given to jobs. More than `capacity` while a reclaim waits for the borrowers to leave.
+    /// Accelerators given to jobs. They exceed `capacity` while a reclaim waits for borrowers to stop.
     pub used: u32,
-    /// Accelerators bound to guarantees, in use or not.
+    /// Accelerators bound to guarantees, whether in use or not.
     pub bound: u32,
-    /// Accelerators bound and in use by the guaranteed customer.
+    /// Bound accelerators that the guaranteed customer uses.
     pub bound_used: u32,
-    /// Whether its lease holds.
+    /// Whether the worker's lease is valid.
     pub alive: bool,
-    /// Whether it takes no new work.
+    /// Whether the worker takes no new work.
     pub leaving: bool,
-    /// How its starts have ended.
+    /// Failures of jobs on the worker.
     pub health: Health,
 }
 
 impl WorkerCell {
-    /// Accelerators not given to any job.
+    /// Accelerators that no job holds.
     pub fn free(&self) -> u32 {
         self.capacity.saturating_sub(self.used)
     }
 
-    /// Whether new tasks may be placed here.
+    /// Whether new tasks may be placed on the worker.
     pub fn admits(&self, now_ms: u64) -> bool {
         self.alive && !self.leaving && !self.health.is_set_aside(now_ms)
     }
 
-    /// Accelerators that a guarantee could still be bound to.
+    /// Accelerators that are not bound to a guarantee yet and may be.
     pub fn bindable(&self) -> u32 {
         if self.alive && !self.leaving {
             self.capacity.saturating_sub(self.bound)
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Free accelerators that no unused guarantee is bound to.
+    /// Free accelerators that are not bound to an unused guarantee.
     pub fn free_unbound(&self) -> u32 {
         let unused_bound = self.bound - self.bound_used;
         self.free()
@@ -67,17 +67,17 @@
 pub struct RackCell {
     /// Name.
     pub name: Arc<str>,
-    /// Its workers.
+    /// Workers of the rack.
     pub workers: Vec<WorkerId>,
-    /// Accelerators of its live workers.
+    /// Accelerators of the rack's live workers.
     pub capacity: u32,
-    /// Accelerators of its live workers given to jobs.
+    /// Accelerators of the rack's live workers that are given to jobs.
     pub used: u32,
 }
 
 impl RackCell {
-    /// Whether no accelerator of the rack is given to a job.
-    pub fn is_intact(&self) -> bool {
+    /// Whether no job holds an accelerator of the rack.
+    pub fn is_idle(&self) -> bool {
         self.used == 0
     }
 }
@@ -92,22 +92,22 @@
 }
 
 fn index(id: u32) -> usize {
-    // Lossless on the 32- and 64-bit systems this is built for.
+    // Lossless on the supported 32- and 64-bit platforms.
     id as usize
 }
 
 impl Cells {
-    /// No workers.
+    /// Creates an inventory without workers.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// All workers, in order of their first announcement.
+    /// All workers, in the order of their first announcement.
     pub fn workers(&self) -> &[WorkerCell] {
         &self.workers
     }
 
-    /// All racks, in order of their first announcement.
+    /// All racks, in the order of their first announcement.
     pub fn racks(&self) -> &[RackCell] {
         &self.racks
     }
@@ -131,7 +131,7 @@
         &mut self.workers[index(id)].health
     }
 
-    /// Takes an announcement into account; returns the worker and whether anything that placement sees has changed.
+    /// Applies a worker's announcement. Returns the worker's index and whether anything changed that affects placement.
     pub(crate) fn announce(
         &mut self,
         name: &Arc<str>,
@@ -163,8 +163,8 @@
         worker.alive = true;
         worker.leaving = leaving;
         if changed {
-            self.recount_rack(old_rack);
-            self.recount_rack(rack_id);
+            self.update_rack_totals(old_rack);
+            self.update_rack_totals(rack_id);
         }
         (id, changed)
     }
@@ -203,13 +203,13 @@
         id
     }
 
-    /// Notes that a worker's lease lapsed.
-    pub(crate) fn lose(&mut self, id: WorkerId) {
+    /// Marks a worker as lost because its lease expired.
+    pub(crate) fn mark_lost(&mut self, id: WorkerId) {
         self.workers[index(id)].alive = false;
-        self.recount_rack(self.workers[index(id)].rack);
+        self.update_rack_totals(self.workers[index(id)].rack);
     }
 
-    fn recount_rack(&mut self, rack: RackId) {
+    fn update_rack_totals(&mut self, rack: RackId) {
         let live = || {
             self.racks[index(rack)]
                 .workers
@@ -224,8 +224,8 @@
         cell.used = used;
     }
 
-    /// Gives `count` accelerators of a worker to a job.
-    pub(crate) fn take(&mut self, id: WorkerId, count: u32) {
+    /// Counts `count` accelerators of a worker as used by a job.
+    pub(crate) fn allocate(&mut self, id: WorkerId, count: u32) {
         let worker = &mut self.workers[index(id)];
         worker.used += count;
         if worker.alive {
@@ -233,8 +233,8 @@
         }
     }
 
-    /// Takes `count` accelerators of a worker back from a job.
-    pub(crate) fn give_back(&mut self, id: WorkerId, count: u32) {
+    /// Counts `count` accelerators of a worker as free again.
+    pub(crate) fn release(&mut self, id: WorkerId, count: u32) {
         let worker = &mut self.workers[index(id)];
         worker.used -= count;
         if worker.alive {
--- a/crates/bh-scheduler/src/guarantees.rs
+++ b/crates/bh-scheduler/src/guarantees.rs
@@ -1,9 +1,9 @@
-//! Which accelerators are bound to which guaranteed shape.
+//! Binds guaranteed shapes to accelerators.
 //!
-//! Every guaranteed shape is bound to a cell: concrete accelerators on concrete workers. Cells never overlap, and a
-//! guaranteed job runs in its own cell. All other jobs are borrowers wherever they overlap a cell, and can be stopped.
-//! So at every moment each unused guaranteed shape can be freed by stopping borrowers only. When workers are lost,
-//! their cells are bound anew on what is left; a cell that no longer fits anywhere is reported as uncovered.
+//! Every guaranteed shape has a cell: specific accelerators on specific workers. Cells never overlap, and a guaranteed
+//! job runs in its own cell. Any other job that uses accelerators of a cell is a borrower and can be stopped. So each
+//! unused guaranteed shape can be freed at any time by stopping borrowers only. When workers are lost, their cells are
+//! bound again to the remaining workers. A cell that fits nowhere is reported as uncovered.
 
 use crate::cells::Cells;
 use crate::cells::WorkerId;
@@ -13,23 +13,23 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// One guaranteed shape.
+/// One guaranteed shape and the accelerators bound to it.
 #[derive(Clone, Debug)]
 pub struct Cell {
-    /// Customer it is guaranteed to.
+    /// Customer that has the guarantee.
     pub customer: Arc<str>,
     /// Name of the shape.
     pub shape_name: Arc<str>,
     /// The shape.
     pub shape: Shape,
-    /// Worker of each task; empty while it is not covered by hardware.
+    /// Worker of each task; empty while the guarantee is uncovered.
     pub bound_to: Vec<WorkerId>,
-    /// Job that uses it.
+    /// Job that runs in the cell.
     pub used_by: Option<u64>,
 }
 
 impl Cell {
-    /// Whether hardware stands behind the guarantee.
+    /// Whether the guarantee is bound to accelerators.
     pub fn is_covered(&self) -> bool {
         !self.bound_to.is_empty()
     }
@@ -42,7 +42,7 @@
 }
 
 impl Guarantees {
-    /// No guarantees.
+    /// Creates an empty set of guarantees.
     pub fn new() -> Self {
         Self::default()
     }
@@ -52,12 +52,12 @@
         &self.cells
     }
 
-    /// Guaranteed shapes without hardware behind them.
+    /// Number of guaranteed shapes that are not bound to accelerators.
     pub fn uncovered(&self) -> usize {
         self.cells.iter().filter(|cell| !cell.is_covered()).count()
     }
 
-    /// Whether `customer` has a guarantee of `shape_name` that no job uses.
+    /// Indices of the cells that guarantee `shape_name` to `customer` and that no job uses.
     pub(crate) fn unused(&self, customer: &str, shape_name: &str) -> impl Iterator<Item = usize> {
         self.cells
             .iter()
@@ -74,8 +74,8 @@
         &self.cells[index]
     }
 
-    /// Takes new settings over. Cells that stay keep their binding and job; a cell in use that is no longer
-    /// guaranteed is returned so that its job becomes a borrower.
+    /// Applies new settings. Cells that are still guaranteed keep their binding and job. Returns the new cell index of each
+    /// guaranteed job, or `None` for a job whose cell is no longer guaranteed and that becomes a borrower.
     pub(crate) fn configure(
         &mut self,
         cells: &mut Cells,
@@ -83,27 +83,27 @@
     ) -> BTreeMap<u64, Option<usize>> {
         let mut wanted = limits.guarantees.clone();
         let mut kept = Vec::new();
-        let mut moved = BTreeMap::new();
-        // Cells in use are kept first: dropping one of two equal cells must not stop a job.
+        let mut new_cells = BTreeMap::new();
+        // Cells in use are kept first, because dropping one of two equal cells must not stop a job.
         let mut old = std::mem::take(&mut self.cells);
         old.sort_by_key(|cell| cell.used_by.is_none());
         for mut cell in old {
             let key = (cell.customer.clone(), cell.shape_name.clone());
-            let stays = match wanted.get_mut(&key) {
+            let still_guaranteed = match wanted.get_mut(&key) {
                 Some((shape, count)) if *shape == cell.shape && *count > 0 => {
                     *count -= 1;
                     true
                 }
                 _ => false,
             };
-            if stays {
+            if still_guaranteed {
                 if let Some(job) = cell.used_by {
-                    moved.insert(job, Some(kept.len()));
+                    new_cells.insert(job, Some(kept.len()));
                 }
                 kept.push(cell);
             } else {
                 if let Some(job) = cell.used_by {
-                    moved.insert(job, None);
+                    new_cells.insert(job, None);
                 }
                 unbind(cells, &mut cell);
             }
@@ -120,37 +120,38 @@
             }
         }
         self.cells = kept;
-        moved
+        new_cells
     }
 
-    /// Binds what is not covered, the largest shapes first, and unbinds what stands on lost or leaving workers.
+    /// Unbinds unused cells on lost or leaving workers, then binds all uncovered cells, the largest shapes first.
     pub(crate) fn rebind(&mut self, cells: &mut Cells) {
         for cell in &mut self.cells {
-            let broken = cell.bound_to.iter().any(|id| {
+            let unusable = cell.bound_to.iter().any(|id| {
                 let worker = cells.worker(*id);
                 !worker.alive || worker.leaving || worker.bound > worker.capacity
             });
-            if broken && cell.used_by.is_none() {
+            if unusable && cell.used_by.is_none() {
                 unbind(cells, cell);
             }
         }
-        let mut open: Vec<usize> = (0..self.cells.len())
+        let mut uncovered: Vec<usize> = (0..self.cells.len())
             .filter(|index| !self.cells[*index].is_covered())
             .collect();
-        open.sort_by_key(|index| {
+        uncovered.sort_by_key(|index| {
             (
                 std::cmp::Reverse(self.cells[*index].shape.accelerators()),
                 *index,
             )
         });
-        for index in open {
+        for index in uncovered {
             let cell = &mut self.cells[index];
-            // Prefer workers whose bindable accelerators are free now; a binding under a borrower costs a reclaim later.
-            let calm = Search::new(cells, |id| {
+            // Prefers workers whose bindable accelerators are free now, because a cell that is bound to a borrower's
+            // accelerators needs a reclaim later.
+            let free_place = Search::new(cells, |id| {
                 cells.worker(id).bindable().min(cells.worker(id).free())
             })
             .place(&cell.shape);
-            let place = calm.or_else(|| {
+            let place = free_place.or_else(|| {
                 Search::new(cells, |id| cells.worker(id).bindable()).place(&cell.shape)
             });
             if let Some(place) = place {
@@ -162,7 +163,7 @@
         }
     }
 
-    /// Moves an unused cell to `place`, which must be bindable.
+    /// Moves an unused cell to the workers in `place`, whose accelerators must be bindable.
     pub(crate) fn move_to(&mut self, cells: &mut Cells, index: usize, place: Vec<WorkerId>) {
         let cell = &mut self.cells[index];
         unbind(cells, cell);
@@ -172,7 +173,7 @@
         cell.bound_to = place;
     }
 
-    /// Lets `job` use the cell.
+    /// Assigns the cell to `job`.
     pub(crate) fn occupy(&mut self, cells: &mut Cells, index: usize, job: u64) {
         let cell = &mut self.cells[index];
         cell.used_by = Some(job);
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Ends the use of the cell.
+    /// Makes the cell unused again.
     pub(crate) fn vacate(&mut self, cells: &mut Cells, index: usize) {
         let cell = &mut self.cells[index];
         cell.used_by = None;
--- a/crates/bh-scheduler/src/placement.rs
+++ b/crates/bh-scheduler/src/placement.rs
@@ -1,4 +1,4 @@
-//! Where a gang fits, and which of the places leaves the least behind.
+//! Best-fit placement of gangs on workers and racks.
 
 use crate::cells::Cells;
 use crate::cells::RackId;
@@ -6,27 +6,27 @@
 use bh_protocol::shape::Adjacency;
 use bh_protocol::shape::Shape;
 
-/// A search over the accelerators that `usable` grants on each worker.
+/// A placement search in which `usable` limits the accelerators that may be taken on each worker.
 pub struct Search<'a, U: Fn(WorkerId) -> u32> {
     cells: &'a Cells,
     usable: U,
 }
 
-/// Room in one rack for tasks of a shape.
-struct RackRoom {
+/// Capacity of one rack for tasks of a shape.
+struct RackCapacity {
     rack: RackId,
     tasks: u32,
     usable: u32,
-    intact: bool,
+    idle: bool,
 }
 
 impl<'a, U: Fn(WorkerId) -> u32> Search<'a, U> {
-    /// A search where `usable` says how many accelerators of each worker may be taken.
+    /// Creates a search; `usable` returns how many accelerators of a worker may be taken.
     pub fn new(cells: &'a Cells, usable: U) -> Self {
         Self { cells, usable }
     }
 
-    /// One worker for each task, or `None` when the gang does not fit.
+    /// Returns a worker for each task, or `None` if the gang doesn't fit.
     pub fn place(&self, shape: &Shape) -> Option<Vec<WorkerId>> {
         if shape.tasks == 0 || shape.accelerators_per_task == 0 {
             return None;
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Best fit: the worker that is left with the least, on the rack that is already most in use.
+    /// Chooses the worker with the fewest accelerators left over; among equal ones, the worker in the rack with the fewest free.
     fn place_on_worker(&self, shape: &Shape) -> Option<Vec<WorkerId>> {
         let needed = shape.accelerators();
         let mut best: Option<(u32, u32, WorkerId)> = None;
@@ -58,7 +58,7 @@
         Some(vec![worker; to_usize(shape.tasks)])
     }
 
-    fn room(&self, rack: RackId, shape: &Shape) -> RackRoom {
+    fn capacity(&self, rack: RackId, shape: &Shape) -> RackCapacity {
         let cell = self.cells.rack(rack);
         let mut tasks = 0;
         let mut usable = 0;
@@ -67,58 +67,67 @@
             usable += count;
             tasks += count / shape.accelerators_per_task;
         }
-        RackRoom {
+        RackCapacity {
             rack,
             tasks,
             usable,
-            intact: cell.is_intact(),
+            idle: cell.is_idle(),
         }
     }
 
-    fn rooms(&self, shape: &Shape) -> impl Iterator<Item = RackRoom> {
+    fn capacities(&self, shape: &Shape) -> impl Iterator<Item = RackCapacity> {
         let count = RackId::try_from(self.cells.racks().len()).unwrap_or(RackId::MAX);
         (0..count)
-            .map(|rack| self.room(rack, shape))
-            .filter(|room| room.tasks > 0)
+            .map(|rack| self.capacity(rack, shape))
+            .filter(|capacity| capacity.tasks > 0)
     }
 
-    /// The rack that is left with the least, a broken one before an intact one.
+    /// Chooses the rack with the fewest accelerators left over; among equal ones, a rack in use before an idle one.
     fn place_in_rack(&self, shape: &Shape) -> Option<Vec<WorkerId>> {
         let needed = shape.accelerators();
         let best = self
-            .rooms(shape)
-            .filter(|room| room.tasks >= shape.tasks)
-            .min_by_key(|room| (room.usable - needed, room.intact, room.rack))?;
+            .capacities(shape)
+            .filter(|capacity| capacity.tasks >= shape.tasks)
+            .min_by_key(|capacity| (capacity.usable - needed, capacity.idle, capacity.rack))?;
         let mut placed = Vec::new();
         self.fill(best.rack, shape, shape.tasks, &mut placed);
         Some(placed)
     }
 
-    /// As few racks as possible, the last one a best fit.
+    /// Uses as few racks as possible, and a best fit for the last one.
     fn place_anywhere(&self, shape: &Shape) -> Option<Vec<WorkerId>> {
-        let mut rooms: Vec<RackRoom> = self.rooms(shape).collect();
-        let total: u64 = rooms.iter().map(|room| u64::from(room.tasks)).sum();
+        let mut capacities: Vec<RackCapacity> = self.capacities(shape).collect();
+        let total: u64 = capacities
+            .iter()
+            .map(|capacity| u64::from(capacity.tasks))
+            .sum();
         if total < u64::from(shape.tasks) {
             return None;
         }
-        rooms.sort_by_key(|room| (std::cmp::Reverse(room.tasks), room.intact, room.rack));
-        let mut left = shape.tasks;
+        capacities.sort_by_key(|capacity| {
+            (
+                std::cmp::Reverse(capacity.tasks),
+                capacity.idle,
+                capacity.rack,
+            )
+        });
+        let mut remaining = shape.tasks;
         let mut placed = Vec::with_capacity(to_usize(shape.tasks));
-        while left > 0 {
-            // A rack that takes all the rest with the least left over; else the roomiest one.
-            let fitting = rooms
+        while remaining > 0 {
+            // The smallest rack that takes all remaining tasks, or else the largest one.
+            let fitting = capacities
                 .iter()
-                .rposition(|room| room.tasks >= left)
+                .rposition(|capacity| capacity.tasks >= remaining)
                 .unwrap_or(0);
-            let room = rooms.remove(fitting);
-            let count = room.tasks.min(left);
-            self.fill(room.rack, shape, count, &mut placed);
-            left -= count;
+            let capacity = capacities.remove(fitting);
+            let count = capacity.tasks.min(remaining);
+            self.fill(capacity.rack, shape, count, &mut placed);
+            remaining -= count;
         }
         Some(placed)
     }
 
-    /// Places `count` tasks in a rack, on the fullest workers first so that whole workers stay free.
+    /// Places `count` tasks in a rack, on the fullest workers first, so that whole workers stay free.
     fn fill(&self, rack: RackId, shape: &Shape, count: u32, placed: &mut Vec<WorkerId>) {
         let per_task = shape.accelerators_per_task;
         let mut workers: Vec<(u32, WorkerId)> = self
@@ -130,14 +139,14 @@
             .filter(|(usable, _)| *usable >= per_task)
             .collect();
         workers.sort_unstable();
-        let mut left = count;
+        let mut remaining = count;
         for (usable, id) in workers {
-            let here = (usable / per_task).min(left);
+            let here = (usable / per_task).min(remaining);
             for _ in 0..here {
                 placed.push(id);
             }
-            left -= here;
-            if left == 0 {
+            remaining -= here;
+            if remaining == 0 {
                 return;
             }
         }
@@ -145,6 +154,6 @@
 }
 
 fn to_usize(count: u32) -> usize {
-    // Lossless on the 32- and 64-bit systems this is built for.
+    // Lossless on the supported 32- and 64-bit platforms.
     count as usize
 }
--- a/crates/bh-scheduler/src/scheduler/accounts.rs
+++ b/crates/bh-scheduler/src/scheduler/accounts.rs
@@ -11,7 +11,7 @@
             return;
         };
         for (id, count) in job.held() {
-            self.cells.take(id, count);
+            self.cells.allocate(id, count);
             self.on_worker.entry(id).or_default().insert(number);
         }
         let total = job.spec.shape.accelerators();
@@ -36,7 +36,7 @@
         let total = job.spec.shape.accelerators();
         let (team, customer) = (job.spec.team.clone(), job.spec.customer.clone());
         for (id, count) in held {
-            self.cells.give_back(id, count);
+            self.cells.release(id, count);
             if let Some(jobs) = self.on_worker.get_mut(&id) {
                 jobs.remove(&number);
             }
--- a/crates/bh-scheduler/src/scheduler/mod.rs
+++ b/crates/bh-scheduler/src/scheduler/mod.rs
@@ -265,7 +265,7 @@
                     let (id, _) =
                         self.cells
                             .announce(&place.worker, incarnation, &unknown, 0, true);
-                    self.cells.lose(id);
+                    self.cells.mark_lost(id);
                     id
                 }
             };
--- a/crates/bh-scheduler/src/scheduler/workers.rs
+++ b/crates/bh-scheduler/src/scheduler/workers.rs
@@ -79,7 +79,7 @@
         let Some(id) = self.cells.find(name) else {
             return;
         };
-        self.cells.lose(id);
+        self.cells.mark_lost(id);
         let jobs: Vec<u64> = self
             .on_worker
             .get(&id)
--- a/crates/bh-scheduler/src/table.rs
+++ b/crates/bh-scheduler/src/table.rs
@@ -1,4 +1,4 @@
-//! The replicated record of jobs: what survives the leader.
+//! The replicated table of jobs, which outlives any leader.
 
 use bh_protocol::Code;
 use bh_protocol::Failure;
@@ -11,53 +11,53 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Ended jobs that are kept for `job status` and for resends of their submission.
+/// Ended jobs that are kept for `job status` and for repeated submissions with the same key.
 pub const ENDED_KEPT: usize = 20_000;
 
-/// A change of the record.
+/// A change of the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
     /// Record a new job.
     Submit {
-        /// What it asks for.
+        /// What the job asks for.
         spec: Spec,
-        /// Wall clock of the entry that took it, in milliseconds since 1970.
+        /// Wall clock of the entry that accepted the job, in milliseconds since 1970.
         submitted_wall_ms: u64,
     },
-    /// The decision to start: from here on every task is told to start, by this leader or the next.
+    /// Record the decision to start. From then on every task is told to start, by this leader or the next one.
     Start {
-        /// Job.
+        /// Job number.
         job: u64,
-        /// Attempt.
+        /// Epoch of the attempt.
         epoch: u64,
-        /// Where.
+        /// Worker of each task.
         placement: Placement,
     },
-    /// The attempt was stopped; the job waits again.
+    /// Record that the attempt was stopped and the job is back in the queue.
     Requeue {
-        /// Job.
+        /// Job number.
         job: u64,
-        /// Attempt.
+        /// Epoch of the attempt.
         epoch: u64,
-        /// Why.
+        /// Reason, shown to the caller.
         reason: String,
     },
-    /// The job ended.
+    /// Record the end of the job.
     End {
-        /// Job.
+        /// Job number.
         job: u64,
-        /// Attempt.
+        /// Epoch of the attempt.
         epoch: u64,
         /// Final phase.
         phase: Phase,
-        /// Why.
+        /// Reason, shown to the caller.
         reason: String,
     },
-    /// The caller cancelled jobs.
+    /// Cancel jobs for the caller.
     Cancel {
-        /// Customer that must own them.
+        /// Customer that must own all the jobs.
         customer: Arc<str>,
-        /// Identities.
+        /// Job numbers.
         jobs: Vec<u64>,
     },
 }
@@ -65,31 +65,31 @@
 /// Answer to a [`Command`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The job the submission is recorded as, now or before.
+    /// The submission is recorded, by this command or an earlier one with the same key.
     Submitted {
-        /// Job.
+        /// Job number.
         job: u64,
     },
     /// The change is recorded.
     Recorded,
-    /// The change does not fit the record any more and was left out.
+    /// The change doesn't fit the job's current state and was ignored.
     Stale,
-    /// Jobs that were cancelled now.
+    /// Jobs that this command cancelled.
     Cancelled {
-        /// Identities.
+        /// Job numbers.
         jobs: Vec<u64>,
     },
-    /// Refused.
+    /// The command was refused.
     Refused {
         /// Number of the result code.
         code: u32,
-        /// Label.
+        /// What was refused, as the result's label.
         label: String,
     },
 }
 
 impl Outcome {
-    /// The refusal, if it is one.
+    /// The failure to return to the caller, if the command was refused.
     pub fn failure(&self) -> Option<Failure> {
         match self {
             Outcome::Refused { code, label } => Some(Failure::new(
@@ -101,22 +101,22 @@
     }
 }
 
-/// One job in the record.
+/// One job in the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// What it asks for.
+    /// What the job asks for.
     pub spec: Spec,
-    /// When it was submitted, in milliseconds since 1970.
+    /// When the job was submitted, in milliseconds since 1970.
     pub submitted_wall_ms: u64,
     /// Phase.
     pub phase: Phase,
-    /// Last attempt that was started; 0 before the first.
+    /// Epoch of the last attempt that was started; 0 before the first.
     pub epoch: u64,
-    /// Attempts started.
+    /// Number of attempts started.
     pub attempts: u64,
-    /// Placement of that attempt; empty unless started.
+    /// Placement of the current attempt; empty unless the job is started.
     pub placement: Placement,
-    /// Why it waits or ended.
+    /// Why the job waits or ended.
     pub reason: String,
 }
 
@@ -130,22 +130,22 @@
 }
 
 impl Table {
-    /// An empty record.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The job, if it is known.
+    /// Returns the job's record, if the job is known.
     pub fn get(&self, job: u64) -> Option<&Record> {
         self.jobs.get(&job)
     }
 
-    /// All jobs in order of submission.
+    /// Iterates over all jobs in the order of submission.
     pub fn iter(&self) -> impl Iterator<Item = (u64, &Record)> {
         self.jobs.iter().map(|(job, record)| (*job, record))
     }
 
-    /// Applies one change. Replicas that apply the same changes in the same order are equal.
+    /// Applies one change. It is deterministic: replicas that apply the same changes in the same order are equal.
     pub fn apply(&mut self, command: Command) -> Outcome {
         match command {
             Command::Submit {
@@ -197,8 +197,8 @@
         Outcome::Submitted { job }
     }
 
-    /// A start is taken only for a waiting job and a newer attempt, so that a leader that was deposed between its
-    /// prepare and its decision cannot start a gang that its successor has placed elsewhere.
+    /// Accepts a start only for a queued job and a newer epoch, so that a leader that was deposed between its prepare
+    /// orders and its decision can't start a gang that its successor has placed elsewhere.
     fn start(&mut self, job: u64, epoch: u64, placement: Placement) -> Outcome {
         match self.jobs.get_mut(&job) {
             Some(record) if record.phase == Phase::Queued && epoch > record.epoch => {
@@ -232,7 +232,7 @@
             {
                 record.phase = phase;
                 record.reason = reason;
-                self.note_ended(job);
+                self.mark_ended(job);
                 Outcome::Recorded
             }
             _ => Outcome::Stale,
@@ -240,7 +240,7 @@
     }
 
     fn cancel(&mut self, customer: &str, jobs: Vec<u64>) -> Outcome {
-        // All or nothing: a wave that names a job of someone else cancels none.
+        // All or nothing: a request that names another customer's job cancels none.
         let owned = |job: &u64| {
             self.jobs
                 .get(job)
@@ -266,12 +266,12 @@
             }
         }
         for job in &cancelled {
-            self.note_ended(*job);
+            self.mark_ended(*job);
         }
         Outcome::Cancelled { jobs: cancelled }
     }
 
-    fn note_ended(&mut self, job: u64) {
+    fn mark_ended(&mut self, job: u64) {
         self.ended.push_back(job);
         if self.ended.len() > ENDED_KEPT
             && let Some(oldest) = self.ended.pop_front()
