--- a/crates/bh-membership/src/holdings.rs
+++ b/crates/bh-membership/src/holdings.rs
@@ -109,7 +109,12 @@
     }
 
     /// Takes over the targets that the entry owns without a leader, for `lease_ms`.
-    pub fn accept_alone(&mut self, now_ms: u64, lease_ms: u64, targets: Vec<GrantedTarget>) {
+    pub fn accept_without_leader(
+        &mut self,
+        now_ms: u64,
+        lease_ms: u64,
+        targets: Vec<GrantedTarget>,
+    ) {
         self.until_ms = now_ms + lease_ms;
         self.replace(targets);
     }
--- a/crates/bh-membership/src/alone.rs
+++ b/crates/bh-membership/src/leaderless_targets.rs
@@ -24,13 +24,13 @@
 /// A worker announces itself to one entry at a time, so that while there is no leader the entry it has chosen can be its
 /// owner: the data centre goes on answering idempotent requests within the workers' slots.
 #[derive(Clone, Debug)]
-pub struct Alone {
+pub struct LeaderlessTargets {
     lease_ms: u64,
     leader_ms: u64,
     targets: BTreeMap<Arc<str>, Faithful>,
 }
 
-impl Alone {
+impl LeaderlessTargets {
     /// An entry that starts at `now_ms`; targets have leases of `lease_ms`.
     pub fn new(now_ms: u64, lease_ms: u64) -> Self {
         Self {
@@ -47,7 +47,7 @@
     }
 
     /// Whether no leader has answered for so long that every grant of one is over.
-    pub fn is_alone(&self, now_ms: u64) -> bool {
+    pub fn is_leaderless(&self, now_ms: u64) -> bool {
         now_ms >= self.leader_ms + LEASES * self.lease_ms
     }
 
--- a/crates/bh-membership/src/lib.rs
+++ b/crates/bh-membership/src/lib.rs
@@ -4,20 +4,20 @@
 //! target is owned by one entry at a time, under a lease that the leader of the data centre grants; the other entries
 //! hand requests to the owner. [`Registry`] is the leader's side, [`Holdings`] the entry's.
 
-mod alone;
 mod claim;
 mod grant;
 mod holdings;
+mod leaderless_targets;
 mod registry;
 mod target;
 mod task_leases;
 
-pub use alone::Alone;
 pub use claim::Claim;
 pub use claim::Claims;
 pub use grant::Grant;
 pub use grant::GrantedTarget;
 pub use holdings::Holdings;
+pub use leaderless_targets::LeaderlessTargets;
 pub use registry::Registry;
 pub use target::TargetView;
 pub use task_leases::TaskLeases;
--- a/crates/bh-membership/tests/alone.rs
+++ b/crates/bh-membership/tests/alone.rs
@@ -1,6 +1,6 @@
 //! An entry without a leader.
 
-use bh_membership::Alone;
+use bh_membership::LeaderlessTargets;
 use bh_protocol::target::Announcement;
 use std::sync::Arc;
 
@@ -28,9 +28,9 @@
 /// announced itself here alone for two leases is used, with the slots withheld that others' requests still take.
 #[test]
 fn a_target_is_used_once_nobody_else_can() {
-    let mut alone = Alone::new(0, LEASE_MS);
-    assert!(!alone.is_alone(2 * LEASE_MS - 1));
-    assert!(alone.is_alone(2 * LEASE_MS));
+    let mut alone = LeaderlessTargets::new(0, LEASE_MS);
+    assert!(!alone.is_leaderless(2 * LEASE_MS - 1));
+    assert!(alone.is_leaderless(2 * LEASE_MS));
     for at in (2_000..4_000).step_by(300) {
         alone.announce(at, announcement(3, 1));
         assert!(alone.usable(at).is_empty(), "used at {at}");
@@ -45,7 +45,7 @@
 /// are given up as soon as a leader answers.
 #[test]
 fn unfaithful_targets_start_anew() {
-    let mut alone = Alone::new(0, LEASE_MS);
+    let mut alone = LeaderlessTargets::new(0, LEASE_MS);
     for at in (2_000..5_000).step_by(300) {
         alone.announce(at, announcement(0, 1));
     }
@@ -59,5 +59,5 @@
     alone.announce(8_400, announcement(0, 2));
     assert!(alone.usable(8_400).is_empty(), "it restarted");
     alone.note_leader(8_500);
-    assert!(!alone.is_alone(8_500) && alone.usable(8_500).is_empty());
+    assert!(!alone.is_leaderless(8_500) && alone.usable(8_500).is_empty());
 }
--- a/crates/bh-node/src/background.rs
+++ b/crates/bh-node/src/background.rs
@@ -57,11 +57,11 @@
 /// Without a leader, takes the targets that announce themselves to this entry alone; returns whether it did.
 fn renew_alone(node: &Node, now_ms: u64) -> bool {
     let mut alone = node.alone.borrow_mut();
-    if !alone.is_alone(now_ms) {
+    if !alone.is_leaderless(now_ms) {
         return false;
     }
     let targets = alone.usable(now_ms);
-    node.router.borrow_mut().holdings.accept_alone(
+    node.router.borrow_mut().holdings.accept_without_leader(
         now_ms,
         node.config.target_lease_ms / 2,
         targets,
--- a/crates/bh-node/src/http_api/announce.rs
+++ b/crates/bh-node/src/http_api/announce.rs
@@ -55,7 +55,7 @@
 fn answer_alone(node: &Node, announcement: &Announcement) -> Option<AnnounceReply> {
     let now_ms = node.clock.now_ms();
     let mut alone = node.alone.borrow_mut();
-    if !alone.is_alone(now_ms) || announcement.data_centre != node.config.own.data_centre {
+    if !alone.is_leaderless(now_ms) || announcement.data_centre != node.config.own.data_centre {
         return None;
     }
     alone.announce(now_ms, announcement.clone());
--- a/crates/bh-node/src/node/state.rs
+++ b/crates/bh-node/src/node/state.rs
@@ -4,7 +4,7 @@
 use crate::leader::JobsGroup;
 use crate::metrics::Metrics;
 use crate::peers::Peers;
-use bh_membership::Alone;
+use bh_membership::LeaderlessTargets;
 use bh_net::Clock;
 use bh_net::http_client::Pool;
 use bh_protocol::settings::InForce;
@@ -44,7 +44,7 @@
     /// Decisions about short requests.
     pub router: RefCell<Router>,
     /// What the entry does while it reaches no leader.
-    pub alone: RefCell<Alone>,
+    pub alone: RefCell<LeaderlessTargets>,
     /// Connections to targets.
     pub pool: Pool,
     /// Metrics.
@@ -99,7 +99,7 @@
         let own = self.jobs.get(&self.config.own.data_centre);
         let has_heard =
             own.is_some_and(|jobs| jobs.group.confirmed_ms(self.clock.now_ms()).is_some());
-        let serves_alone = self.alone.borrow().is_alone(self.clock.now_ms());
+        let serves_alone = self.alone.borrow().is_leaderless(self.clock.now_ms());
         let knows_settings = self.settings.has_caught_up();
         (has_heard || serves_alone) && knows_settings && !self.draining.is_cancelled()
     }
--- a/crates/bh-router/tests/refusals.rs
+++ b/crates/bh-router/tests/refusals.rs
@@ -76,7 +76,7 @@
 #[test]
 fn a_request_that_was_handed_over_is_not_kept_in_vain() {
     let mut holdings = Holdings::new("a1", 1);
-    holdings.accept_alone(0, 10_000, vec![granted("w0")]);
+    holdings.accept_without_leader(0, 10_000, vec![granted("w0")]);
     let mut router = Router::new(holdings);
     let handed_over = Ticket {
         forwarded: true,
