--- a/crates/bh-membership/src/holdings.rs
+++ b/crates/bh-membership/src/owned_targets.rs
@@ -36,7 +36,7 @@
 /// Work may be sent to a target only while the entry's lease and the target's slots allow it. A target whose own lease
 /// lapses is taken away by the leader with the next renewal.
 #[derive(Clone, Debug)]
-pub struct Holdings {
+pub struct OwnedTargets {
     entry: Arc<str>,
     incarnation: u64,
     until_ms: u64,
@@ -46,7 +46,7 @@
     held: BTreeMap<Arc<str>, Held>,
 }
 
-impl Holdings {
+impl OwnedTargets {
     /// No targets.
     pub fn new(entry: impl Into<Arc<str>>, incarnation: u64) -> Self {
         Self {
--- a/crates/bh-membership/tests/fuzz.rs
+++ b/crates/bh-membership/tests/fuzz.rs
@@ -6,7 +6,7 @@
 
 use bh_membership::Claims;
 use bh_membership::Grant;
-use bh_membership::Holdings;
+use bh_membership::OwnedTargets;
 use bh_membership::Registry;
 use bh_protocol::target::Announcement;
 use proptest::prelude::*;
@@ -67,7 +67,7 @@
     now_ms: u64,
     terms: u64,
     registry: Registry,
-    entries: Vec<Holdings>,
+    entries: Vec<OwnedTargets>,
     incarnations: Vec<u64>,
     frozen: Vec<Option<(u64, u64, Grant)>>,
     /// Requests in progress on targets: entry, its incarnation, target.
@@ -91,7 +91,7 @@
             terms: 1,
             registry: Registry::new(1, 0, LEASE_MS, LEASE_MS, OVERLAP_MS),
             entries: (0..ENTRIES)
-                .map(|index| Holdings::new(entry_name(index), 1))
+                .map(|index| OwnedTargets::new(entry_name(index), 1))
                 .collect(),
             incarnations: vec![1; ENTRIES],
             frozen: vec![None; ENTRIES],
@@ -196,7 +196,7 @@
 
     fn kill(&mut self, entry: usize) {
         self.incarnations[entry] += 1;
-        self.entries[entry] = Holdings::new(entry_name(entry), self.incarnations[entry]);
+        self.entries[entry] = OwnedTargets::new(entry_name(entry), self.incarnations[entry]);
         self.frozen[entry] = None;
     }
 
--- a/crates/bh-node/src/background.rs
+++ b/crates/bh-node/src/background.rs
@@ -61,11 +61,10 @@
         return false;
     }
     let targets = alone.usable(now_ms);
-    node.router.borrow_mut().holdings.accept_without_leader(
-        now_ms,
-        node.config.target_lease_ms / 2,
-        targets,
-    );
+    node.router
+        .borrow_mut()
+        .owned_targets
+        .accept_without_leader(now_ms, node.config.target_lease_ms / 2, targets);
     true
 }
 
@@ -78,7 +77,7 @@
         let claims = node
             .router
             .borrow()
-            .holdings
+            .owned_targets
             .claims(sent_ms, node.draining.is_cancelled());
         let answer = node
             .ask_leader(
@@ -91,7 +90,10 @@
         let has_changed = match answer {
             Ok(LeaderAnswer::Renewed(grant)) => {
                 node.alone.borrow_mut().note_leader(now_ms);
-                node.router.borrow_mut().holdings.accept(sent_ms, grant);
+                node.router
+                    .borrow_mut()
+                    .owned_targets
+                    .accept(sent_ms, grant);
                 true
             }
             _ => renew_alone(&node, now_ms),
@@ -133,7 +135,7 @@
     node.metrics
         .gauge("queued", u64::try_from(router.queued()).unwrap_or(u64::MAX));
     node.metrics
-        .gauge("slots", u64::from(router.holdings.slots(now_ms)));
+        .gauge("slots", u64::from(router.owned_targets.slots(now_ms)));
     node.metrics
         .gauge("free_slots", u64::from(router.spare_slots(now_ms)));
     node.metrics
--- a/crates/bh-node/src/http_api/announce.rs
+++ b/crates/bh-node/src/http_api/announce.rs
@@ -30,7 +30,7 @@
         log::info!(target_name = &*announcement.name; "target is leaving");
         node.router
             .borrow_mut()
-            .holdings
+            .owned_targets
             .note_leaving(&announcement.name);
     }
     if let Some(reply) = answer_alone(node, &announcement) {
--- a/crates/bh-node/src/http_api/status.rs
+++ b/crates/bh-node/src/http_api/status.rs
@@ -78,7 +78,7 @@
         in_progress: node.in_progress.get(),
         queued: router.queued(),
         free_slots: router.spare_slots(now_ms),
-        slots: router.holdings.slots(now_ms),
+        slots: router.owned_targets.slots(now_ms),
         link_bytes: node.link_bytes.get(),
         groups: groups.map(|group| view(node, group)).collect(),
         peers: node.peers.iter().map(peer_view).collect(),
--- a/crates/bh-node/src/start.rs
+++ b/crates/bh-node/src/start.rs
@@ -18,8 +18,8 @@
 use crate::node::jobs_group;
 use crate::peers;
 use crate::peers::Peers;
-use bh_membership::Holdings;
 use bh_membership::LeaderlessTargets;
+use bh_membership::OwnedTargets;
 use bh_net::Clock;
 use bh_net::http_client::Pool;
 use bh_net::link::LinkKey;
@@ -184,7 +184,7 @@
         .as_ref()
         .map(|folder| http_api::load_counters(&counters_path(folder)))
         .unwrap_or_default();
-    let router = Router::new(Holdings::new(config.own.name.clone(), incarnation));
+    let router = Router::new(OwnedTargets::new(config.own.name.clone(), incarnation));
     let alone = LeaderlessTargets::new(clock.now_ms(), config.target_lease_ms);
     Rc::new_cyclic(|own| Node {
         peers: Peers::new(config.entries.values(), &config.own.name),
--- a/crates/bh-router/benches/overload.rs
+++ b/crates/bh-router/benches/overload.rs
@@ -5,7 +5,7 @@
 
 use bh_membership::Grant;
 use bh_membership::GrantedTarget;
-use bh_membership::Holdings;
+use bh_membership::OwnedTargets;
 use bh_protocol::target::Announcement;
 use bh_router::Decision;
 use bh_router::Outcome;
@@ -154,9 +154,9 @@
             .collect();
         let mut routers = Vec::new();
         for (entry, targets) in owned.iter().enumerate() {
-            let mut holdings = Holdings::new(entry_name(entry), 1);
-            holdings.accept(1, grant(targets));
-            routers.push(Router::new(holdings));
+            let mut owned_targets = OwnedTargets::new(entry_name(entry), 1);
+            owned_targets.accept(1, grant(targets));
+            routers.push(Router::new(owned_targets));
         }
         let mut bench = Self {
             now_ms: 1,
@@ -286,7 +286,9 @@
                 }
                 for entry in 0..ENTRIES - 1 {
                     let targets = grant(&self.owned[entry]);
-                    self.routers[entry].holdings.accept(self.now_ms, targets);
+                    self.routers[entry]
+                        .owned_targets
+                        .accept(self.now_ms, targets);
                 }
             }
         }
--- a/crates/bh-router/src/router.rs
+++ b/crates/bh-router/src/router.rs
@@ -8,7 +8,7 @@
 use crate::queue::Queue;
 use crate::ticket::Ticket;
 use crate::type_record::TypeRecord;
-use bh_membership::Holdings;
+use bh_membership::OwnedTargets;
 use bh_protocol::Code;
 use bh_protocol::Failure;
 use std::collections::BTreeMap;
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug)]
 pub struct Router {
     /// The targets this entry owns.
-    pub holdings: Holdings,
+    pub owned_targets: OwnedTargets,
     queue: Queue,
     estimate: Estimate,
     budget: Budget,
@@ -49,9 +49,9 @@
 
 impl Router {
     /// A router over these targets.
-    pub fn new(holdings: Holdings) -> Self {
+    pub fn new(owned_targets: OwnedTargets) -> Self {
         Self {
-            holdings,
+            owned_targets,
             queue: Queue::default(),
             estimate: Estimate::default(),
             budget: Budget::new(),
@@ -75,7 +75,7 @@
     }
 
     fn free_slots(&self, now_ms: u64) -> u32 {
-        self.holdings
+        self.owned_targets
             .usable(now_ms)
             .filter(|(name, _, _)| {
                 self.targets
@@ -172,7 +172,7 @@
     }
 
     fn reachable_slots(&self, now_ms: u64) -> u32 {
-        let own = self.holdings.slots(now_ms);
+        let own = self.owned_targets.slots(now_ms);
         let others: u32 = self
             .siblings
             .values()
@@ -191,7 +191,7 @@
         outcome: Outcome,
         took_ms: u64,
     ) -> (bool, Vec<Decision>) {
-        self.holdings.give_back(target);
+        self.owned_targets.give_back(target);
         let Some(mut ticket) = self.in_progress.remove(&id) else {
             return (false, self.pump(now_ms));
         };
@@ -319,7 +319,7 @@
             let health = self.targets.get(name);
             health.is_none_or(|health| health.admits(now_ms))
         };
-        let mut usable = self.holdings.usable(now_ms);
+        let mut usable = self.owned_targets.usable(now_ms);
         let others = usable.any(|(name, _, _)| !ticket.failed_on.contains(name) && admitted(name));
         ticket.forwarded && !ticket.failed_on.is_empty() && !others
     }
@@ -327,7 +327,7 @@
     /// Sends or hands over the request; gives it back when neither is possible.
     fn dispatch(&mut self, now_ms: u64, mut ticket: Ticket) -> Option<Ticket> {
         if let Some((target, address)) = self.choose_target(now_ms, &ticket)
-            && self.holdings.take(now_ms, &target)
+            && self.owned_targets.take(now_ms, &target)
         {
             ticket.attempts += 1;
             self.targets.entry(target.clone()).or_default().note_sent();
@@ -368,7 +368,7 @@
 
     /// The target with the most free slots that has not failed this request; a suspect one only when no other is free.
     fn choose_target(&self, now_ms: u64, ticket: &Ticket) -> Option<(Arc<str>, Arc<str>)> {
-        self.holdings
+        self.owned_targets
             .usable(now_ms)
             .filter(|(name, _, free)| *free > 0 && !ticket.failed_on.contains(*name))
             .filter(|(name, _, _)| {
--- a/crates/bh-router/tests/refusals.rs
+++ b/crates/bh-router/tests/refusals.rs
@@ -1,7 +1,7 @@
 //! Requests that another entry could not take.
 
 use bh_membership::GrantedTarget;
-use bh_membership::Holdings;
+use bh_membership::OwnedTargets;
 use bh_protocol::target::Announcement;
 use bh_router::Decision;
 use bh_router::Outcome;
@@ -33,7 +33,7 @@
 #[test]
 fn a_refusal_counts_until_the_entry_has_slots_again() {
     let other: Arc<str> = Arc::from("a2");
-    let mut router = Router::new(Holdings::new("a1", 1));
+    let mut router = Router::new(OwnedTargets::new("a1", 1));
     router.note_sibling(&other, Some(1));
     let handed = Decision::Forward {
         id: 1,
@@ -75,9 +75,9 @@
 /// its whole time that no slot came free.
 #[test]
 fn a_request_that_was_handed_over_is_not_kept_in_vain() {
-    let mut holdings = Holdings::new("a1", 1);
-    holdings.accept_without_leader(0, 10_000, vec![granted("w0")]);
-    let mut router = Router::new(holdings);
+    let mut owned_targets = OwnedTargets::new("a1", 1);
+    owned_targets.accept_without_leader(0, 10_000, vec![granted("w0")]);
+    let mut router = Router::new(owned_targets);
     let handed_over = Ticket {
         forwarded: true,
         ..ticket(1)
