--- a/crates/bh-membership/src/registry.rs
+++ b/crates/bh-membership/src/registry.rs
@@ -222,7 +222,7 @@
     }
 
     /// Ends leases that have lapsed; returns the targets that are gone since the last call.
-    pub fn take_gone(&mut self, now_ms: u64) -> Vec<Arc<str>> {
+    pub fn take_expired_targets(&mut self, now_ms: u64) -> Vec<Arc<str>> {
         self.expire(now_ms);
         std::mem::take(&mut self.gone)
     }
--- a/crates/bh-membership/tests/fuzz.rs
+++ b/crates/bh-membership/tests/fuzz.rs
@@ -340,8 +340,13 @@
     let mut system = System::new(Planted::default());
     system.now_ms += LEASE_MS + 1;
     system.renew(0, false);
-    let mut gone = system.registry.take_gone(system.now_ms);
+    let mut gone = system.registry.take_expired_targets(system.now_ms);
     gone.sort();
     assert_eq!(gone, (0..TARGETS).map(target_name).collect::<Vec<_>>());
-    assert!(system.registry.take_gone(system.now_ms).is_empty());
+    assert!(
+        system
+            .registry
+            .take_expired_targets(system.now_ms)
+            .is_empty()
+    );
 }
--- a/crates/bh-node/src/leader/jobs_group.rs
+++ b/crates/bh-node/src/leader/jobs_group.rs
@@ -142,7 +142,7 @@
         let now_ms = node.clock.now_ms();
         let lost = match self.duties.borrow_mut().as_mut() {
             Some(duties) => {
-                let gone = duties.registry.take_gone(now_ms);
+                let gone = duties.registry.take_expired_targets(now_ms);
                 duties.task_leases.note_gone(now_ms, &gone)
             }
             None => return,
