--- a/crates/bh-membership/src/task_leases.rs
+++ b/crates/bh-membership/src/task_leases.rs
@@ -35,7 +35,7 @@
 
     /// Notes workers whose own lease lapsed; returns those whose tasks have all ended by now, this time's or earlier
     /// ones'.
-    pub fn note_gone(&mut self, now_ms: u64, gone: &[Arc<str>]) -> Vec<Arc<str>> {
+    pub fn expire_workers(&mut self, now_ms: u64, gone: &[Arc<str>]) -> Vec<Arc<str>> {
         for worker in gone {
             let contact_ms = self.contact_ms.remove(worker).unwrap_or(now_ms);
             self.ending
--- a/crates/bh-membership/tests/task_leases.rs
+++ b/crates/bh-membership/tests/task_leases.rs
@@ -13,11 +13,11 @@
     leases.note_contact(1_090, &worker);
     assert!(
         leases
-            .note_gone(1_120, std::slice::from_ref(&worker))
+            .expire_workers(1_120, std::slice::from_ref(&worker))
             .is_empty()
     );
-    assert!(leases.note_gone(1_189, &[]).is_empty());
-    assert_eq!(leases.note_gone(1_190, &[]), vec![worker]);
+    assert!(leases.expire_workers(1_189, &[]).is_empty());
+    assert_eq!(leases.expire_workers(1_190, &[]), vec![worker]);
 }
 
 /// A worker comes back within the wait: its tasks were never lost.
@@ -28,9 +28,9 @@
     leases.note_contact(1_000, &worker);
     assert!(
         leases
-            .note_gone(1_050, std::slice::from_ref(&worker))
+            .expire_workers(1_050, std::slice::from_ref(&worker))
             .is_empty()
     );
     leases.note_back("w");
-    assert!(leases.note_gone(2_000, &[]).is_empty());
+    assert!(leases.expire_workers(2_000, &[]).is_empty());
 }
--- a/crates/bh-node/src/leader/jobs_group.rs
+++ b/crates/bh-node/src/leader/jobs_group.rs
@@ -143,7 +143,7 @@
         let lost = match self.duties.borrow_mut().as_mut() {
             Some(duties) => {
                 let gone = duties.registry.take_expired_targets(now_ms);
-                duties.task_leases.note_gone(now_ms, &gone)
+                duties.task_leases.expire_workers(now_ms, &gone)
             }
             None => return,
         };
