--- a/crates/bh-membership/src/task_leases.rs
+++ b/crates/bh-membership/src/task_leases.rs
@@ -54,7 +54,7 @@
     }
 
     /// Notes that a worker is back before its tasks counted as ended.
-    pub fn note_back(&mut self, worker: &str) {
+    pub fn worker_returned(&mut self, worker: &str) {
         self.ending.remove(worker);
     }
 }
--- a/crates/bh-membership/tests/task_leases.rs
+++ b/crates/bh-membership/tests/task_leases.rs
@@ -31,6 +31,6 @@
             .expire_workers(1_050, std::slice::from_ref(&worker))
             .is_empty()
     );
-    leases.note_back("w");
+    leases.worker_returned("w");
     assert!(leases.expire_workers(2_000, &[]).is_empty());
 }
--- a/crates/bh-node/src/leader/duties.rs
+++ b/crates/bh-node/src/leader/duties.rs
@@ -116,7 +116,7 @@
             tasks: announcement.tasks.clone(),
         };
         let reports = announcement.tasks.clone();
-        self.task_leases.note_back(&announcement.name);
+        self.task_leases.worker_returned(&announcement.name);
         self.task_leases.note_contact(now_ms, &announcement.name);
         self.registry.announce(now_ms, announcement);
         let actions = self.scheduler.step(now_ms, event);
