--- a/crates/bh-node/src/requests/execute.rs
+++ b/crates/bh-node/src/requests/execute.rs
@@ -13,7 +13,7 @@
 use bh_protocol::Failure;
 use bh_router::Decision;
 use bh_router::Outcome;
-use bh_router::Ticket;
+use bh_router::PendingRequest;
 use bytes::Bytes;
 use http::Response;
 use local_sync::oneshot;
@@ -43,7 +43,7 @@
     let now_ms = node.clock.now_ms();
     let id = node.request_number();
     let deadline_ms = now_ms + work.left_ms;
-    let ticket = Ticket {
+    let pending = PendingRequest {
         id,
         customer: work.customer.clone(),
         weight: work.weight,
@@ -65,7 +65,7 @@
         begun: None,
     };
     let mut decision = progress
-        .wait_for(|node| node.router.borrow_mut().arrive(now_ms, ticket))
+        .wait_for(|node| node.router.borrow_mut().arrive(now_ms, pending))
         .await;
     loop {
         match progress.follow(decision).await {
--- a/crates/bh-router/benches/overload.rs
+++ b/crates/bh-router/benches/overload.rs
@@ -9,8 +9,8 @@
 use bh_protocol::target::Announcement;
 use bh_router::Decision;
 use bh_router::Outcome;
+use bh_router::PendingRequest;
 use bh_router::Router;
-use bh_router::Ticket;
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -65,7 +65,7 @@
         from: usize,
         to: usize,
         id: u64,
-        ticket: Ticket,
+        pending: PendingRequest,
     },
     HandedBack {
         entry: usize,
@@ -106,7 +106,7 @@
     owned: Vec<Vec<usize>>,
     broken: BTreeSet<usize>,
     requests: BTreeMap<u64, Request>,
-    tickets: BTreeMap<u64, Ticket>,
+    pending: BTreeMap<u64, PendingRequest>,
     random: Random,
     tally: Tally,
     next_id: u64,
@@ -167,7 +167,7 @@
             owned,
             broken: (0..broken).map(|index| index * 9).collect(),
             requests: BTreeMap::new(),
-            tickets: BTreeMap::new(),
+            pending: BTreeMap::new(),
             random: Random(0x1234_5678_9abc_def1),
             tally: Tally::default(),
             next_id: 1,
@@ -259,8 +259,8 @@
                 from,
                 to,
                 id,
-                ticket,
-            } => self.handed(from, to, id, ticket),
+                pending,
+            } => self.handed(from, to, id, pending),
             Event::HandedBack { entry, id, by } => {
                 let decisions = self.routers[entry].forward_refused(self.now_ms, id, &by);
                 self.carry_out(entry, decisions);
@@ -313,7 +313,7 @@
             },
         );
         let (name, _, weight) = CUSTOMERS[customer];
-        let ticket = Ticket {
+        let pending = PendingRequest {
             id,
             customer: Arc::from(name),
             weight,
@@ -327,8 +327,8 @@
             attempts: 0,
             arrived_ms: self.now_ms,
         };
-        self.tickets.insert(id, ticket.clone());
-        let decisions = self.routers[entry].arrive(self.now_ms, ticket);
+        self.pending.insert(id, pending.clone());
+        let decisions = self.routers[entry].arrive(self.now_ms, pending);
         self.carry_out(entry, decisions);
     }
 
@@ -354,14 +354,14 @@
                 }
                 Decision::Forward { id, entry: to } => {
                     let to: usize = to[1..].parse().unwrap_or(0);
-                    let ticket = self.tickets[&id].clone();
+                    let pending = self.pending[&id].clone();
                     self.later(
                         HOP_MS,
                         Event::Handed {
                             from: entry,
                             to,
                             id,
-                            ticket,
+                            pending,
                         },
                     );
                 }
@@ -370,7 +370,7 @@
         }
     }
 
-    fn handed(&mut self, from: usize, to: usize, id: u64, ticket: Ticket) {
+    fn handed(&mut self, from: usize, to: usize, id: u64, pending: PendingRequest) {
         if !self.alive[to] {
             self.later(
                 HOP_MS,
@@ -382,11 +382,11 @@
             );
             return;
         }
-        let ticket = Ticket {
+        let pending = PendingRequest {
             forwarded: true,
-            ..ticket
+            ..pending
         };
-        let decisions = self.routers[to].arrive(self.now_ms, ticket);
+        let decisions = self.routers[to].arrive(self.now_ms, pending);
         self.carry_out_handed(from, to, id, decisions);
     }
 
@@ -478,7 +478,7 @@
             (false, true) => self.tally.failed += 1,
             (false, false) => self.tally.refused += 1,
         }
-        self.tickets.remove(&id);
+        self.pending.remove(&id);
     }
 }
 
--- a/crates/bh-router/src/lib.rs
+++ b/crates/bh-router/src/lib.rs
@@ -7,9 +7,9 @@
 mod estimate;
 mod health;
 mod ledger;
+mod pending_request;
 mod queue;
 mod router;
-mod ticket;
 mod type_record;
 
 pub use decision::Decision;
@@ -18,5 +18,5 @@
 pub use ledger::Ledger;
 pub use ledger::LedgerAnswer;
 pub use ledger::LedgerCommand;
+pub use pending_request::PendingRequest;
 pub use router::Router;
-pub use ticket::Ticket;
--- a/crates/bh-router/src/ticket.rs
+++ b/crates/bh-router/src/pending_request.rs
@@ -5,7 +5,7 @@
 
 /// What the router knows of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ticket {
+pub struct PendingRequest {
     /// Identity, chosen by the driver.
     pub id: u64,
     /// Customer it is charged to.
--- a/crates/bh-router/src/queue.rs
+++ b/crates/bh-router/src/queue.rs
@@ -1,6 +1,6 @@
 //! Waiting requests: priorities first, then the customers' shares.
 
-use crate::ticket::Ticket;
+use crate::pending_request::PendingRequest;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -11,7 +11,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Lane {
-    waiting: VecDeque<Ticket>,
+    waiting: VecDeque<PendingRequest>,
     /// Virtual time at which the customer's next request is due.
     due: u64,
 }
@@ -34,32 +34,35 @@
     }
 
     /// Adds a request at the end of its lane.
-    pub fn push(&mut self, ticket: Ticket) {
-        self.insert(ticket, false);
+    pub fn push(&mut self, request: PendingRequest) {
+        self.insert(request, false);
     }
 
     /// Puts a request back at the front of its lane.
-    pub fn push_front(&mut self, ticket: Ticket) {
-        self.insert(ticket, true);
+    pub fn push_front(&mut self, request: PendingRequest) {
+        self.insert(request, true);
     }
 
-    fn insert(&mut self, ticket: Ticket, front: bool) {
-        let lanes = self.priorities.entry(Reverse(ticket.priority)).or_default();
-        let lane = lanes.entry(ticket.customer.clone()).or_default();
+    fn insert(&mut self, request: PendingRequest, front: bool) {
+        let lanes = self
+            .priorities
+            .entry(Reverse(request.priority))
+            .or_default();
+        let lane = lanes.entry(request.customer.clone()).or_default();
         if lane.waiting.is_empty() {
             // A lane that was empty gains nothing for the time it asked for nothing.
             lane.due = lane.due.max(self.virtual_time);
         }
         if front {
-            lane.waiting.push_front(ticket);
+            lane.waiting.push_front(request);
         } else {
-            lane.waiting.push_back(ticket);
+            lane.waiting.push_back(request);
         }
         self.len += 1;
     }
 
     /// Takes the next request.
-    pub fn pop(&mut self) -> Option<Ticket> {
+    pub fn pop(&mut self) -> Option<PendingRequest> {
         for lanes in self.priorities.values_mut() {
             let next = lanes
                 .values_mut()
@@ -68,13 +71,13 @@
             let Some(lane) = next else {
                 continue;
             };
-            let Some(ticket) = lane.waiting.pop_front() else {
+            let Some(request) = lane.waiting.pop_front() else {
                 continue;
             };
             self.virtual_time = self.virtual_time.max(lane.due);
-            lane.due += UNIT / u64::from(ticket.weight.max(1));
+            lane.due += UNIT / u64::from(request.weight.max(1));
             self.len -= 1;
-            return Some(ticket);
+            return Some(request);
         }
         None
     }
@@ -97,7 +100,7 @@
                 let other_weight = lane
                     .waiting
                     .front()
-                    .map_or(1, |ticket| ticket.weight.max(1));
+                    .map_or(1, |request| request.weight.max(1));
                 let turns = (own + 1) * to_usize(other_weight) / to_usize(weight.max(1)).max(1);
                 ahead += lane.waiting.len().min(turns.max(1));
             }
@@ -112,13 +115,13 @@
             .priorities
             .values_mut()
             .flat_map(|lanes| lanes.values_mut());
-        for ticket in lanes.flat_map(|lane| lane.waiting.iter_mut()) {
-            ticket.refused_by.remove(entry);
+        for request in lanes.flat_map(|lane| lane.waiting.iter_mut()) {
+            request.refused_by.remove(entry);
         }
     }
 
     /// Takes out the requests that `dead` picks.
-    pub fn remove_where(&mut self, dead: impl Fn(&Ticket) -> bool) -> Vec<Ticket> {
+    pub fn remove_where(&mut self, dead: impl Fn(&PendingRequest) -> bool) -> Vec<PendingRequest> {
         let mut removed = Vec::new();
         for lane in self
             .priorities
@@ -127,9 +130,9 @@
         {
             let (gone, kept) = std::mem::take(&mut lane.waiting)
                 .into_iter()
-                .partition(|ticket| dead(ticket));
+                .partition(|request| dead(request));
             lane.waiting = kept;
-            let gone: VecDeque<Ticket> = gone;
+            let gone: VecDeque<PendingRequest> = gone;
             removed.extend(gone);
         }
         self.len -= removed.len();
--- a/crates/bh-router/src/router.rs
+++ b/crates/bh-router/src/router.rs
@@ -5,8 +5,8 @@
 use crate::decision::Outcome;
 use crate::estimate::Estimate;
 use crate::health::TargetHealth;
+use crate::pending_request::PendingRequest;
 use crate::queue::Queue;
-use crate::ticket::Ticket;
 use crate::type_record::TypeRecord;
 use bh_membership::OwnedTargets;
 use bh_protocol::Code;
@@ -43,7 +43,7 @@
     targets: BTreeMap<Arc<str>, TargetHealth>,
     types: BTreeMap<Arc<str>, TypeRecord>,
     siblings: BTreeMap<Arc<str>, Sibling>,
-    in_progress: BTreeMap<u64, Ticket>,
+    in_progress: BTreeMap<u64, PendingRequest>,
     decisions: Vec<Decision>,
 }
 
@@ -102,12 +102,12 @@
     }
 
     /// A request arrived.
-    pub fn arrive(&mut self, now_ms: u64, ticket: Ticket) -> Vec<Decision> {
+    pub fn arrive(&mut self, now_ms: u64, request: PendingRequest) -> Vec<Decision> {
         self.budget.earn();
-        match self.admit(now_ms, &ticket) {
-            Ok(()) => self.queue.push(ticket),
+        match self.admit(now_ms, &request) {
+            Ok(()) => self.queue.push(request),
             Err(failure) => self.decisions.push(Decision::Refuse {
-                id: ticket.id,
+                id: request.id,
                 failure,
             }),
         }
@@ -116,10 +116,10 @@
 
     /// Whether the request can be answered before its deadline, as far as is known now. Refusing at once leaves the
     /// caller its time for a resend, and the slots for requests that can still be answered.
-    fn admit(&self, now_ms: u64, ticket: &Ticket) -> Result<(), Failure> {
-        let service_ms = self.estimate.mean_ms(&ticket.request_type);
-        let left_ms = ticket.deadline_ms.saturating_sub(now_ms);
-        if ticket.forwarded {
+    fn admit(&self, now_ms: u64, request: &PendingRequest) -> Result<(), Failure> {
+        let service_ms = self.estimate.mean_ms(&request.request_type);
+        let left_ms = request.deadline_ms.saturating_sub(now_ms);
+        if request.forwarded {
             return if self.spare_slots(now_ms) > 0 {
                 Ok(())
             } else {
@@ -137,10 +137,10 @@
         }
         let ahead = self
             .queue
-            .ahead_of(&ticket.customer, ticket.priority, ticket.weight);
+            .ahead_of(&request.customer, request.priority, request.weight);
         // Counts are far below 2^52.
         let wait_ms = ahead as f64 * service_ms / f64::from(slots);
-        let needed_ms = self.needed_ms(ticket);
+        let needed_ms = self.needed_ms(request);
         let fits = wait_ms + needed_ms <= left_ms as f64;
         if fits && self.queue.len() < MAX_QUEUED {
             return Ok(());
@@ -152,17 +152,17 @@
     /// Time that a request must have left when it is sent, in milliseconds. A slot given to one that cannot end before its
     /// deadline is lost to one that can: under overload that starves everyone. A type whose deadline is short for
     /// what it takes is still tried, in the first half of its time.
-    fn needed_ms(&self, ticket: &Ticket) -> f64 {
-        let whole_ms = ticket.deadline_ms.saturating_sub(ticket.arrived_ms) as f64;
+    fn needed_ms(&self, request: &PendingRequest) -> f64 {
+        let whole_ms = request.deadline_ms.saturating_sub(request.arrived_ms) as f64;
         self.estimate
-            .likely_ms(&ticket.request_type)
+            .likely_ms(&request.request_type)
             .min(whole_ms / 2.0)
     }
 
     /// Whether the request can still be sent in time.
-    fn is_too_late(&self, now_ms: u64, ticket: &Ticket) -> bool {
-        let left_ms = ticket.deadline_ms.saturating_sub(now_ms) as f64;
-        left_ms < self.needed_ms(ticket).max(LEAST_ATTEMPT_MS as f64)
+    fn is_too_late(&self, now_ms: u64, request: &PendingRequest) -> bool {
+        let left_ms = request.deadline_ms.saturating_sub(now_ms) as f64;
+        left_ms < self.needed_ms(request).max(LEAST_ATTEMPT_MS as f64)
     }
 
     fn overloaded(&self, retry_after_ms: u64) -> Failure {
@@ -192,16 +192,16 @@
         took_ms: u64,
     ) -> (bool, Vec<Decision>) {
         self.owned_targets.give_back(target);
-        let Some(mut ticket) = self.in_progress.remove(&id) else {
+        let Some(mut request) = self.in_progress.remove(&id) else {
             return (false, self.pump(now_ms));
         };
-        self.note_outcome(now_ms, &ticket, target, outcome, took_ms);
-        let again = self.may_retry(now_ms, &ticket, outcome);
+        self.note_outcome(now_ms, &request, target, outcome, took_ms);
+        let again = self.may_retry(now_ms, &request, outcome);
         if again {
             if outcome.is_against_target() {
-                ticket.failed_on.insert(target.clone());
+                request.failed_on.insert(target.clone());
             }
-            self.queue.push_front(ticket);
+            self.queue.push_front(request);
         }
         (again, self.pump(now_ms))
     }
@@ -209,12 +209,12 @@
     fn note_outcome(
         &mut self,
         now_ms: u64,
-        ticket: &Ticket,
+        request: &PendingRequest,
         target: &Arc<str>,
         outcome: Outcome,
         took_ms: u64,
     ) {
-        let record = self.types.entry(ticket.request_type.clone()).or_default();
+        let record = self.types.entry(request.request_type.clone()).or_default();
         record.note(target, outcome);
         let elsewhere_fails = record.fails_elsewhere(target);
         self.targets
@@ -222,19 +222,19 @@
             .or_default()
             .note(now_ms, outcome, elsewhere_fails);
         if outcome == Outcome::Answered {
-            self.estimate.add(&ticket.request_type, took_ms);
+            self.estimate.add(&request.request_type, took_ms);
         }
     }
 
     /// A request is tried again only if it cannot have run or may run twice, within its deadline and the budget.
-    fn may_retry(&mut self, now_ms: u64, ticket: &Ticket, outcome: Outcome) -> bool {
+    fn may_retry(&mut self, now_ms: u64, request: &PendingRequest, outcome: Outcome) -> bool {
         let harmless = match outcome {
             Outcome::Answered | Outcome::Unused => false,
             Outcome::NotConnected => true,
-            Outcome::Failed | Outcome::Lost => ticket.idempotent,
+            Outcome::Failed | Outcome::Lost => request.idempotent,
         };
-        let in_time = now_ms + LEAST_ATTEMPT_MS < ticket.deadline_ms;
-        harmless && in_time && ticket.attempts < MAX_ATTEMPTS && self.budget.spend()
+        let in_time = now_ms + LEAST_ATTEMPT_MS < request.deadline_ms;
+        harmless && in_time && request.attempts < MAX_ATTEMPTS && self.budget.spend()
     }
 
     /// Another entry could not take a request that was handed to it; nothing was sent.
@@ -242,9 +242,9 @@
         if let Some(sibling) = self.siblings.get_mut(entry) {
             sibling.free_slots = 0;
         }
-        if let Some(mut ticket) = self.in_progress.remove(&id) {
-            ticket.refused_by.insert(entry.clone());
-            self.queue.push_front(ticket);
+        if let Some(mut request) = self.in_progress.remove(&id) {
+            request.refused_by.insert(entry.clone());
+            self.queue.push_front(request);
         }
         self.pump(now_ms)
     }
@@ -259,28 +259,28 @@
         let late = {
             let mut queue = std::mem::take(&mut self.queue);
             let no_target = self.reachable_slots(now_ms) == 0;
-            let late = queue.remove_where(|ticket| {
-                let waits_in_vain = no_target && now_ms >= ticket.arrived_ms + NO_TARGET_WAIT_MS;
-                waits_in_vain || self.is_too_late(now_ms, ticket)
+            let late = queue.remove_where(|request| {
+                let waits_in_vain = no_target && now_ms >= request.arrived_ms + NO_TARGET_WAIT_MS;
+                waits_in_vain || self.is_too_late(now_ms, request)
             });
             self.queue = queue;
             late
         };
-        for ticket in late {
-            self.refuse_late(now_ms, ticket);
+        for request in late {
+            self.refuse_late(now_ms, request);
         }
         self.pump(now_ms)
     }
 
-    fn refuse_late(&mut self, now_ms: u64, ticket: Ticket) {
-        let waited_ms = now_ms.saturating_sub(ticket.arrived_ms);
+    fn refuse_late(&mut self, now_ms: u64, request: PendingRequest) {
+        let waited_ms = now_ms.saturating_sub(request.arrived_ms);
         let failure = Failure::new(
             Code::NoTarget,
             format!("no slot came free in {waited_ms} ms"),
         );
         let failure = failure.with_retry_after_ms(LEAST_RETRY_AFTER_MS);
         self.decisions.push(Decision::Refuse {
-            id: ticket.id,
+            id: request.id,
             failure,
         });
     }
@@ -288,25 +288,25 @@
     /// Gives slots to waiting requests until either runs out.
     fn pump(&mut self, now_ms: u64) -> Vec<Decision> {
         let mut stuck = Vec::new();
-        while let Some(ticket) = self.queue.pop() {
-            if self.is_too_late(now_ms, &ticket) {
-                self.refuse_late(now_ms, ticket);
+        while let Some(request) = self.queue.pop() {
+            if self.is_too_late(now_ms, &request) {
+                self.refuse_late(now_ms, request);
                 continue;
             }
-            if let Some(ticket) = self.dispatch(now_ms, ticket) {
-                if self.waits_in_vain(now_ms, &ticket) {
-                    self.refuse_late(now_ms, ticket);
+            if let Some(request) = self.dispatch(now_ms, request) {
+                if self.waits_in_vain(now_ms, &request) {
+                    self.refuse_late(now_ms, request);
                     continue;
                 }
                 let none_left = self.free_slots(now_ms) == 0;
-                stuck.push(ticket);
+                stuck.push(request);
                 if none_left {
                     break;
                 }
             }
         }
-        for ticket in stuck.into_iter().rev() {
-            self.queue.push_front(ticket);
+        for request in stuck.into_iter().rev() {
+            self.queue.push_front(request);
         }
         std::mem::take(&mut self.decisions)
     }
@@ -314,26 +314,26 @@
     /// Whether a request that another entry handed over can't be served here: all targets that may get one have failed it. The other entry
     /// may own a sound one; waiting here to the deadline leaves it no time, and its caller is told that there was no slot beside a target
     /// that is free.
-    fn waits_in_vain(&self, now_ms: u64, ticket: &Ticket) -> bool {
+    fn waits_in_vain(&self, now_ms: u64, request: &PendingRequest) -> bool {
         let admitted = |name: &Arc<str>| {
             let health = self.targets.get(name);
             health.is_none_or(|health| health.admits(now_ms))
         };
         let mut usable = self.owned_targets.usable(now_ms);
-        let others = usable.any(|(name, _, _)| !ticket.failed_on.contains(name) && admitted(name));
-        ticket.forwarded && !ticket.failed_on.is_empty() && !others
+        let others = usable.any(|(name, _, _)| !request.failed_on.contains(name) && admitted(name));
+        request.forwarded && !request.failed_on.is_empty() && !others
     }
 
     /// Sends or hands over the request; gives it back when neither is possible.
-    fn dispatch(&mut self, now_ms: u64, mut ticket: Ticket) -> Option<Ticket> {
-        if let Some((target, address)) = self.choose_target(now_ms, &ticket)
+    fn dispatch(&mut self, now_ms: u64, mut request: PendingRequest) -> Option<PendingRequest> {
+        if let Some((target, address)) = self.choose_target(now_ms, &request)
             && self.owned_targets.take(now_ms, &target)
         {
-            ticket.attempts += 1;
+            request.attempts += 1;
             self.targets.entry(target.clone()).or_default().note_sent();
-            let limit_ms = self.attempt_limit_ms(now_ms, &ticket);
-            let id = ticket.id;
-            self.in_progress.insert(id, ticket);
+            let limit_ms = self.attempt_limit_ms(now_ms, &request);
+            let id = request.id;
+            self.in_progress.insert(id, request);
             self.decisions.push(Decision::Send {
                 id,
                 target,
@@ -342,35 +342,35 @@
             });
             return None;
         }
-        if !ticket.forwarded
-            && let Some(entry) = self.choose_sibling(&ticket)
+        if !request.forwarded
+            && let Some(entry) = self.choose_sibling(&request)
         {
-            let id = ticket.id;
-            self.in_progress.insert(id, ticket);
+            let id = request.id;
+            self.in_progress.insert(id, request);
             self.decisions.push(Decision::Forward { id, entry });
             return None;
         }
-        Some(ticket)
+        Some(request)
     }
 
-    fn attempt_limit_ms(&self, now_ms: u64, ticket: &Ticket) -> u64 {
-        let left_ms = ticket.deadline_ms.saturating_sub(now_ms);
-        if !ticket.idempotent || ticket.attempts >= MAX_ATTEMPTS {
+    fn attempt_limit_ms(&self, now_ms: u64, request: &PendingRequest) -> u64 {
+        let left_ms = request.deadline_ms.saturating_sub(now_ms);
+        if !request.idempotent || request.attempts >= MAX_ATTEMPTS {
             return left_ms;
         }
         // Without a history half of the time is kept for a second attempt.
         let limit_ms = self
             .estimate
-            .attempt_limit_ms(&ticket.request_type)
+            .attempt_limit_ms(&request.request_type)
             .unwrap_or(left_ms / 2);
         limit_ms.clamp(LEAST_ATTEMPT_MS, left_ms.max(LEAST_ATTEMPT_MS))
     }
 
     /// The target with the most free slots that has not failed this request; a suspect one only when no other is free.
-    fn choose_target(&self, now_ms: u64, ticket: &Ticket) -> Option<(Arc<str>, Arc<str>)> {
+    fn choose_target(&self, now_ms: u64, request: &PendingRequest) -> Option<(Arc<str>, Arc<str>)> {
         self.owned_targets
             .usable(now_ms)
-            .filter(|(name, _, free)| *free > 0 && !ticket.failed_on.contains(*name))
+            .filter(|(name, _, free)| *free > 0 && !request.failed_on.contains(*name))
             .filter(|(name, _, _)| {
                 self.targets
                     .get(*name)
@@ -382,17 +382,17 @@
                     .get(*name)
                     .is_some_and(TargetHealth::is_suspect);
                 // Probation is served by requests that may be repeated, before healthy targets are filled up.
-                let probe = suspect && ticket.idempotent && ticket.attempts == 0;
+                let probe = suspect && request.idempotent && request.attempts == 0;
                 (probe || !suspect, *free)
             })
             .map(|(name, target, _)| (name.clone(), target.address.clone()))
     }
 
-    fn choose_sibling(&mut self, ticket: &Ticket) -> Option<Arc<str>> {
+    fn choose_sibling(&mut self, request: &PendingRequest) -> Option<Arc<str>> {
         let (name, sibling) = self
             .siblings
             .iter_mut()
-            .filter(|(name, sibling)| sibling.free_slots > 0 && !ticket.refused_by.contains(*name))
+            .filter(|(name, sibling)| sibling.free_slots > 0 && !request.refused_by.contains(*name))
             .max_by_key(|(_, sibling)| sibling.free_slots)?;
         sibling.free_slots -= 1;
         Some(name.clone())
--- a/crates/bh-router/tests/refusals.rs
+++ b/crates/bh-router/tests/refusals.rs
@@ -5,13 +5,13 @@
 use bh_protocol::target::Announcement;
 use bh_router::Decision;
 use bh_router::Outcome;
+use bh_router::PendingRequest;
 use bh_router::Router;
-use bh_router::Ticket;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-fn ticket(id: u64) -> Ticket {
-    Ticket {
+fn pending_request(id: u64) -> PendingRequest {
+    PendingRequest {
         id,
         customer: Arc::from("crumb"),
         weight: 1,
@@ -39,7 +39,7 @@
         id: 1,
         entry: other.clone(),
     };
-    assert_eq!(router.arrive(0, ticket(1)), vec![handed.clone()]);
+    assert_eq!(router.arrive(0, pending_request(1)), vec![handed.clone()]);
     assert_eq!(router.forward_refused(5, 1, &other), Vec::new());
     router.note_sibling(&other, Some(0));
     assert_eq!(router.tick(100), Vec::new());
@@ -78,9 +78,9 @@
     let mut owned_targets = OwnedTargets::new("a1", 1);
     owned_targets.accept_without_leader(0, 10_000, vec![granted("w0")]);
     let mut router = Router::new(owned_targets);
-    let handed_over = Ticket {
+    let handed_over = PendingRequest {
         forwarded: true,
-        ..ticket(1)
+        ..pending_request(1)
     };
     let sent = router.arrive(0, handed_over);
     assert!(matches!(&sent[..], [Decision::Send { id: 1, .. }]));
