--- a/crates/bh-node/src/node/links.rs
+++ b/crates/bh-node/src/node/links.rs
@@ -49,7 +49,7 @@
         *peer.heartbeat.borrow_mut() = heartbeat;
         let decisions = {
             let mut router = self.router.borrow_mut();
-            router.note_sibling(&peer.vm.name, free_slots);
+            router.set_peer_free_slots(&peer.vm.name, free_slots);
             if router.queued() > 0 {
                 router.tick(now_ms)
             } else {
@@ -61,7 +61,9 @@
 
     /// The link to another entry has closed.
     pub fn note_peer_gone(&self, peer: &Rc<Peer>) {
-        self.router.borrow_mut().note_sibling(&peer.vm.name, None);
+        self.router
+            .borrow_mut()
+            .set_peer_free_slots(&peer.vm.name, None);
     }
 
     /// Counts bytes sent to other entries.
--- a/crates/bh-router/benches/overload.rs
+++ b/crates/bh-router/benches/overload.rs
@@ -240,7 +240,7 @@
         for entry in 0..ENTRIES {
             for (other, slots) in free.iter().enumerate().filter(|(other, _)| *other != entry) {
                 let slots = self.alive[other].then_some(*slots);
-                self.routers[entry].note_sibling(&entry_name(other), slots);
+                self.routers[entry].set_peer_free_slots(&entry_name(other), slots);
             }
         }
     }
--- a/crates/bh-router/src/router.rs
+++ b/crates/bh-router/src/router.rs
@@ -87,7 +87,7 @@
     }
 
     /// Notes how many slots another entry has free; `None` when it is gone.
-    pub fn note_sibling(&mut self, entry: &Arc<str>, free_slots: Option<u32>) {
+    pub fn set_peer_free_slots(&mut self, entry: &Arc<str>, free_slots: Option<u32>) {
         match free_slots {
             Some(free_slots) => {
                 if free_slots > 0 {
--- a/crates/bh-router/tests/refusals.rs
+++ b/crates/bh-router/tests/refusals.rs
@@ -34,16 +34,16 @@
 fn a_refusal_counts_until_the_entry_has_slots_again() {
     let other: Arc<str> = Arc::from("a2");
     let mut router = Router::new(OwnedTargets::new("a1", 1));
-    router.note_sibling(&other, Some(1));
+    router.set_peer_free_slots(&other, Some(1));
     let handed = Decision::Forward {
         id: 1,
         entry: other.clone(),
     };
     assert_eq!(router.arrive(0, pending_request(1)), vec![handed.clone()]);
     assert_eq!(router.forward_refused(5, 1, &other), Vec::new());
-    router.note_sibling(&other, Some(0));
+    router.set_peer_free_slots(&other, Some(0));
     assert_eq!(router.tick(100), Vec::new());
-    router.note_sibling(&other, Some(1));
+    router.set_peer_free_slots(&other, Some(1));
     assert_eq!(router.tick(200), vec![handed]);
 }
 
