--- a/crates/bh-node/src/requests/execute.rs
+++ b/crates/bh-node/src/requests/execute.rs
@@ -112,9 +112,9 @@
             Decision::Send {
                 target,
                 address,
-                limit_ms,
+                timeout_ms,
                 ..
-            } => self.send(&target, &address, limit_ms).await,
+            } => self.send(&target, &address, timeout_ms).await,
         }
     }
 
--- a/crates/bh-router/src/decision.rs
+++ b/crates/bh-router/src/decision.rs
@@ -15,7 +15,7 @@
         /// Address of the target.
         address: Arc<str>,
         /// Give the attempt up after this long, in milliseconds.
-        limit_ms: u64,
+        timeout_ms: u64,
     },
     /// Hand the request to another entry, which owns a free slot.
     Forward {
--- a/crates/bh-router/src/router.rs
+++ b/crates/bh-router/src/router.rs
@@ -331,14 +331,14 @@
         {
             request.attempts += 1;
             self.targets.entry(target.clone()).or_default().note_sent();
-            let limit_ms = self.attempt_limit_ms(now_ms, &request);
+            let timeout_ms = self.attempt_limit_ms(now_ms, &request);
             let id = request.id;
             self.in_progress.insert(id, request);
             self.decisions.push(Decision::Send {
                 id,
                 target,
                 address,
-                limit_ms,
+                timeout_ms,
             });
             return None;
         }
@@ -359,11 +359,11 @@
             return left_ms;
         }
         // Without a history half of the time is kept for a second attempt.
-        let limit_ms = self
+        let timeout_ms = self
             .estimate
             .attempt_limit_ms(&request.request_type)
             .unwrap_or(left_ms / 2);
-        limit_ms.clamp(LEAST_ATTEMPT_MS, left_ms.max(LEAST_ATTEMPT_MS))
+        timeout_ms.clamp(LEAST_ATTEMPT_MS, left_ms.max(LEAST_ATTEMPT_MS))
     }
 
     /// The target with the most free slots that has not failed this request; a suspect one only when no other is free.
