--- a/crates/bh-node/src/requests/attempt.rs
+++ b/crates/bh-node/src/requests/attempt.rs
@@ -5,7 +5,7 @@
 use bh_net::http_client::Connection;
 use bh_net::http_client::SendError;
 use bh_protocol::request;
-use bh_router::Outcome;
+use bh_router::AttemptOutcome;
 use bytes::Bytes;
 use http::Request;
 use http::Response;
@@ -22,27 +22,27 @@
     address: &str,
     limit_ms: u64,
     left_ms: u64,
-) -> (Outcome, Option<Response<Bytes>>) {
+) -> (AttemptOutcome, Option<Response<Bytes>>) {
     let Ok(address) = address.parse::<SocketAddr>() else {
-        return (Outcome::NotConnected, None);
+        return (AttemptOutcome::NotConnected, None);
     };
     let Some(request) = build(work, id, address, left_ms) else {
-        return (Outcome::Unused, None);
+        return (AttemptOutcome::Unused, None);
     };
     let mut connection = match open(node, work, address, limit_ms).await {
         Ok(connection) => connection,
-        Err(_) => return (Outcome::NotConnected, None),
+        Err(_) => return (AttemptOutcome::NotConnected, None),
     };
     let result = connection.send(request, limit_ms, MAX_ANSWER_BYTES).await;
     match result {
-        Ok(response) if !belongs_to(&response, id) => (Outcome::Lost, None),
+        Ok(response) if !belongs_to(&response, id) => (AttemptOutcome::Lost, None),
         Ok(response) => {
             node.pool
                 .give_back(address, connection, node.clock.now_ms());
             let outcome = if response.status().is_server_error() {
-                Outcome::Failed
+                AttemptOutcome::Failed
             } else {
-                Outcome::Answered
+                AttemptOutcome::Answered
             };
             (outcome, Some(response))
         }
@@ -51,9 +51,9 @@
             node.pool.forget(address);
             (
                 if error.nothing_sent() {
-                    Outcome::NotConnected
+                    AttemptOutcome::NotConnected
                 } else {
-                    Outcome::Lost
+                    AttemptOutcome::Lost
                 },
                 None,
             )
--- a/crates/bh-node/src/requests/execute.rs
+++ b/crates/bh-node/src/requests/execute.rs
@@ -11,8 +11,8 @@
 use crate::node::Node;
 use bh_protocol::Code;
 use bh_protocol::Failure;
+use bh_router::AttemptOutcome;
 use bh_router::Decision;
-use bh_router::Outcome;
 use bh_router::PendingRequest;
 use bytes::Bytes;
 use http::Response;
@@ -145,12 +145,12 @@
 
     async fn send(&mut self, target: &Arc<str>, address: &str, limit_ms: u64) -> Step {
         if let Some(answer) = self.begin_if_needed().await {
-            self.finished(target, Outcome::Unused, 0);
+            self.finished(target, AttemptOutcome::Unused, 0);
             return Step::Answer(answer);
         }
         let left_ms = self.left_ms();
         if left_ms == 0 {
-            self.finished(target, Outcome::Unused, 0);
+            self.finished(target, AttemptOutcome::Unused, 0);
             let failure = Failure::new(
                 Code::NoTarget,
                 "the deadline passed before it could be sent",
@@ -169,7 +169,7 @@
         )
         .await;
         let took_ms = self.node.clock.now_ms().saturating_sub(start_ms);
-        if matches!(outcome, Outcome::Lost | Outcome::NotConnected) {
+        if matches!(outcome, AttemptOutcome::Lost | AttemptOutcome::NotConnected) {
             log::info!(request = self.id, target_name = &**target, outcome = format!("{outcome:?}"), took_ms = took_ms; "attempt failed");
         }
         let receiver = self.expect();
@@ -195,7 +195,7 @@
     }
 
     /// Tells the router how the attempt ended; returns whether it decides again.
-    fn finished(&self, target: &Arc<str>, outcome: Outcome, took_ms: u64) -> bool {
+    fn finished(&self, target: &Arc<str>, outcome: AttemptOutcome, took_ms: u64) -> bool {
         let now_ms = self.node.clock.now_ms();
         let (again, decisions) = self
             .node
@@ -208,12 +208,12 @@
 
     fn answer_for(
         &self,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         response: Option<Response<Bytes>>,
         target: &str,
     ) -> FinalAnswer {
         match (outcome, response) {
-            (Outcome::Answered, Some(response)) => {
+            (AttemptOutcome::Answered, Some(response)) => {
                 let content_type = response
                     .headers()
                     .get("content-type")
@@ -225,7 +225,7 @@
                     body: response.into_body(),
                 }
             }
-            (Outcome::Failed, Some(response)) => {
+            (AttemptOutcome::Failed, Some(response)) => {
                 let text: String = String::from_utf8_lossy(response.body())
                     .chars()
                     .take(400)
@@ -235,7 +235,7 @@
                     format!("target {target} answered {}: {text}", response.status()),
                 ))
             }
-            (Outcome::NotConnected | Outcome::Unused, _) => {
+            (AttemptOutcome::NotConnected | AttemptOutcome::Unused, _) => {
                 let failure = Failure::new(
                     Code::NoTarget,
                     format!("target {target} took no connection"),
--- a/crates/bh-router/benches/overload.rs
+++ b/crates/bh-router/benches/overload.rs
@@ -7,8 +7,8 @@
 use bh_membership::GrantedTarget;
 use bh_membership::OwnedTargets;
 use bh_protocol::target::Announcement;
+use bh_router::AttemptOutcome;
 use bh_router::Decision;
-use bh_router::Outcome;
 use bh_router::PendingRequest;
 use bh_router::Router;
 use std::collections::BTreeMap;
@@ -438,9 +438,9 @@
             return;
         }
         let outcome = if ok {
-            Outcome::Answered
+            AttemptOutcome::Answered
         } else {
-            Outcome::Failed
+            AttemptOutcome::Failed
         };
         let (again, decisions) =
             self.routers[entry].finished(self.now_ms, id, target, outcome, took_ms);
--- a/crates/bh-router/src/decision.rs
+++ b/crates/bh-router/src/decision.rs
@@ -35,7 +35,7 @@
 
 /// How an attempt on a target ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     /// The whole answer came back, and the target did not report a failure.
     Answered,
     /// The target reported a failure of its own.
@@ -48,12 +48,12 @@
     Unused,
 }
 
-impl Outcome {
+impl AttemptOutcome {
     /// Whether the attempt speaks against the target.
     pub fn is_against_target(self) -> bool {
         matches!(
             self,
-            Outcome::Failed | Outcome::Lost | Outcome::NotConnected
+            AttemptOutcome::Failed | AttemptOutcome::Lost | AttemptOutcome::NotConnected
         )
     }
 }
--- a/crates/bh-router/src/health.rs
+++ b/crates/bh-router/src/health.rs
@@ -1,6 +1,6 @@
 //! Which targets fail what others answer.
 
-use crate::decision::Outcome;
+use crate::decision::AttemptOutcome;
 
 /// Attempts in a row that must fail before a target is set aside.
 const FAILURES_TO_SET_ASIDE: u32 = 3;
@@ -23,15 +23,15 @@
 
 impl TargetHealth {
     /// Notes the end of an attempt. `elsewhere_fails` says that the type fails on other targets as well.
-    pub fn note(&mut self, now_ms: u64, outcome: Outcome, elsewhere_fails: bool) {
+    pub fn note(&mut self, now_ms: u64, outcome: AttemptOutcome, elsewhere_fails: bool) {
         self.probing = false;
         if !outcome.is_against_target() {
-            if outcome == Outcome::Answered {
+            if outcome == AttemptOutcome::Answered {
                 *self = Self::default();
             }
             return;
         }
-        if elsewhere_fails && outcome == Outcome::Failed {
+        if elsewhere_fails && outcome == AttemptOutcome::Failed {
             return;
         }
         self.failures_in_row += 1;
--- a/crates/bh-router/src/lib.rs
+++ b/crates/bh-router/src/lib.rs
@@ -12,8 +12,8 @@
 mod router;
 mod type_record;
 
+pub use decision::AttemptOutcome;
 pub use decision::Decision;
-pub use decision::Outcome;
 pub use ledger::Entry;
 pub use ledger::Ledger;
 pub use ledger::LedgerAnswer;
--- a/crates/bh-router/src/router.rs
+++ b/crates/bh-router/src/router.rs
@@ -1,8 +1,8 @@
 //! The router of one entry: which request goes where, and when.
 
 use crate::budget::Budget;
+use crate::decision::AttemptOutcome;
 use crate::decision::Decision;
-use crate::decision::Outcome;
 use crate::estimate::Estimate;
 use crate::health::TargetHealth;
 use crate::pending_request::PendingRequest;
@@ -188,7 +188,7 @@
         now_ms: u64,
         id: u64,
         target: &Arc<str>,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         took_ms: u64,
     ) -> (bool, Vec<Decision>) {
         self.owned_targets.give_back(target);
@@ -211,7 +211,7 @@
         now_ms: u64,
         request: &PendingRequest,
         target: &Arc<str>,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         took_ms: u64,
     ) {
         let record = self.types.entry(request.request_type.clone()).or_default();
@@ -221,17 +221,22 @@
             .entry(target.clone())
             .or_default()
             .note(now_ms, outcome, elsewhere_fails);
-        if outcome == Outcome::Answered {
+        if outcome == AttemptOutcome::Answered {
             self.estimate.add(&request.request_type, took_ms);
         }
     }
 
     /// A request is tried again only if it cannot have run or may run twice, within its deadline and the budget.
-    fn may_retry(&mut self, now_ms: u64, request: &PendingRequest, outcome: Outcome) -> bool {
+    fn may_retry(
+        &mut self,
+        now_ms: u64,
+        request: &PendingRequest,
+        outcome: AttemptOutcome,
+    ) -> bool {
         let harmless = match outcome {
-            Outcome::Answered | Outcome::Unused => false,
-            Outcome::NotConnected => true,
-            Outcome::Failed | Outcome::Lost => request.idempotent,
+            AttemptOutcome::Answered | AttemptOutcome::Unused => false,
+            AttemptOutcome::NotConnected => true,
+            AttemptOutcome::Failed | AttemptOutcome::Lost => request.idempotent,
         };
         let in_time = now_ms + LEAST_ATTEMPT_MS < request.deadline_ms;
         harmless && in_time && request.attempts < MAX_ATTEMPTS && self.budget.spend()
--- a/crates/bh-router/src/type_record.rs
+++ b/crates/bh-router/src/type_record.rs
@@ -1,6 +1,6 @@
 //! How a request type fares over all targets.
 
-use crate::decision::Outcome;
+use crate::decision::AttemptOutcome;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -21,11 +21,11 @@
     const WINDOW: u64 = 64;
 
     /// Takes the end of an attempt into account.
-    pub fn note(&mut self, target: &Arc<str>, outcome: Outcome) {
+    pub fn note(&mut self, target: &Arc<str>, outcome: AttemptOutcome) {
         self.attempts += 1;
         match outcome {
-            Outcome::Answered => self.answered += 1,
-            Outcome::Failed => *self.failed.entry(target.clone()).or_insert(0) += 1,
+            AttemptOutcome::Answered => self.answered += 1,
+            AttemptOutcome::Failed => *self.failed.entry(target.clone()).or_insert(0) += 1,
             _ => {}
         }
         if self.attempts >= Self::WINDOW {
--- a/crates/bh-router/tests/refusals.rs
+++ b/crates/bh-router/tests/refusals.rs
@@ -3,8 +3,8 @@
 use bh_membership::GrantedTarget;
 use bh_membership::OwnedTargets;
 use bh_protocol::target::Announcement;
+use bh_router::AttemptOutcome;
 use bh_router::Decision;
-use bh_router::Outcome;
 use bh_router::PendingRequest;
 use bh_router::Router;
 use std::collections::BTreeSet;
@@ -84,6 +84,6 @@
     };
     let sent = router.arrive(0, handed_over);
     assert!(matches!(&sent[..], [Decision::Send { id: 1, .. }]));
-    let (_, decisions) = router.finished(5, 1, &Arc::from("w0"), Outcome::Failed, 5);
+    let (_, decisions) = router.finished(5, 1, &Arc::from("w0"), AttemptOutcome::Failed, 5);
     assert!(matches!(&decisions[..], [Decision::Refuse { id: 1, .. }]));
 }
