--- a/crates/bh-node/src/jobs_machine.rs
+++ b/crates/bh-node/src/jobs_machine.rs
@@ -4,8 +4,8 @@
 use bh_router::LedgerAnswer;
 use bh_router::LedgerCommand;
 use bh_scheduler::Command;
+use bh_scheduler::JobTable;
 use bh_scheduler::Outcome;
-use bh_scheduler::Table;
 use serde::Deserialize;
 use serde::Serialize;
 
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct JobsMachine {
     /// The jobs.
-    pub table: Table,
+    pub table: JobTable,
     /// The non-idempotent requests.
     pub ledger: Ledger,
 }
--- a/crates/bh-scheduler/benches/support/site.rs
+++ b/crates/bh-scheduler/benches/support/site.rs
@@ -9,11 +9,11 @@
 use bh_scheduler::Action;
 use bh_scheduler::Command;
 use bh_scheduler::Event;
+use bh_scheduler::JobTable;
 use bh_scheduler::Limits;
 use bh_scheduler::Outcome;
 use bh_scheduler::RecordedJob;
 use bh_scheduler::Scheduler;
-use bh_scheduler::Table;
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -100,7 +100,7 @@
 pub struct Site {
     pub planted: Planted,
     pub scheduler: Scheduler,
-    pub table: Table,
+    pub table: JobTable,
     pub now_ms: u64,
     pub workers: BTreeMap<Arc<str>, FakeWorker>,
     pub lives: BTreeMap<u64, Life>,
@@ -120,7 +120,7 @@
         Self {
             planted: Planted::default(),
             scheduler,
-            table: Table::new(),
+            table: JobTable::new(),
             now_ms: 0,
             workers: BTreeMap::new(),
             lives: BTreeMap::new(),
--- a/crates/bh-scheduler/src/table.rs
+++ b/crates/bh-scheduler/src/job_table.rs
@@ -122,14 +122,14 @@
 
 /// All jobs of a data centre.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Table {
+pub struct JobTable {
     next_job: u64,
     jobs: BTreeMap<u64, Record>,
     keys: BTreeMap<Arc<str>, u64>,
     ended: VecDeque<u64>,
 }
 
-impl Table {
+impl JobTable {
     /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
--- a/crates/bh-scheduler/src/lib.rs
+++ b/crates/bh-scheduler/src/lib.rs
@@ -1,7 +1,7 @@
 //! Gang scheduling, guaranteed capacity, placement and reclaim, as pure decision code without I/O.
 //!
 //! [`Scheduler`] runs on the leader of a data centre's group. It takes the current time and an [`Event`] and returns
-//! [`Action`]s. [`Table`] is the replicated table of jobs, which outlives any leader.
+//! [`Action`]s. [`JobTable`] is the replicated table of jobs, which outlives any leader.
 
 mod action;
 mod cells;
@@ -10,11 +10,11 @@
 mod guarantees;
 mod health;
 mod job;
+mod job_table;
 mod limits;
 mod placement;
 mod runtimes;
 mod scheduler;
-mod table;
 
 pub use action::Action;
 pub use cells::Cells;
@@ -25,10 +25,10 @@
 pub use guarantees::Cell;
 pub use guarantees::Guarantees;
 pub use job::State;
+pub use job_table::Command;
+pub use job_table::JobTable;
+pub use job_table::Outcome;
+pub use job_table::Record;
 pub use limits::Limits;
 pub use placement::Search;
 pub use scheduler::Scheduler;
-pub use table::Command;
-pub use table::Outcome;
-pub use table::Record;
-pub use table::Table;
