--- a/crates/bh-node/src/leader/duties.rs
+++ b/crates/bh-node/src/leader/duties.rs
@@ -19,8 +19,8 @@
 use bh_scheduler::Action;
 use bh_scheduler::Event;
 use bh_scheduler::Fragmentation;
+use bh_scheduler::JobRecord;
 use bh_scheduler::Limits;
-use bh_scheduler::Record;
 use bh_scheduler::Scheduler;
 use std::sync::Arc;
 
@@ -189,7 +189,7 @@
         statuses.unwrap_or_default()
     }
 
-    fn status(&self, node: &Node, place: &GroupPlace, number: u64, record: &Record) -> Status {
+    fn status(&self, node: &Node, place: &GroupPlace, number: u64, record: &JobRecord) -> Status {
         let scheduled = self.scheduler.reason_of(number);
         let reason = if record.phase.is_final() || scheduled.is_empty() {
             &*record.reason
--- a/crates/bh-node/src/leader/jobs_group.rs
+++ b/crates/bh-node/src/leader/jobs_group.rs
@@ -199,7 +199,7 @@
     }
 }
 
-fn recorded_job(node: &Node, job: u64, record: &bh_scheduler::Record) -> RecordedJob {
+fn recorded_job(node: &Node, job: u64, record: &bh_scheduler::JobRecord) -> RecordedJob {
     let age_ms = node
         .clock
         .wall_ms()
--- a/crates/bh-scheduler/src/job_table.rs
+++ b/crates/bh-scheduler/src/job_table.rs
@@ -103,7 +103,7 @@
 
 /// One job in the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct JobRecord {
     /// What the job asks for.
     pub spec: Spec,
     /// When the job was submitted, in milliseconds since 1970.
@@ -124,7 +124,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct JobTable {
     next_job: u64,
-    jobs: BTreeMap<u64, Record>,
+    jobs: BTreeMap<u64, JobRecord>,
     keys: BTreeMap<Arc<str>, u64>,
     ended: VecDeque<u64>,
 }
@@ -136,12 +136,12 @@
     }
 
     /// Returns the job's record, if the job is known.
-    pub fn get(&self, job: u64) -> Option<&Record> {
+    pub fn get(&self, job: u64) -> Option<&JobRecord> {
         self.jobs.get(&job)
     }
 
     /// Iterates over all jobs in the order of submission.
-    pub fn iter(&self) -> impl Iterator<Item = (u64, &Record)> {
+    pub fn iter(&self) -> impl Iterator<Item = (u64, &JobRecord)> {
         self.jobs.iter().map(|(job, record)| (*job, record))
     }
 
@@ -184,7 +184,7 @@
         self.next_job += 1;
         let job = self.next_job;
         self.keys.insert(key, job);
-        let record = Record {
+        let record = JobRecord {
             spec,
             submitted_wall_ms,
             phase: Phase::Queued,
