--- a/crates/bh-node/src/leader/duties.rs
+++ b/crates/bh-node/src/leader/duties.rs
@@ -141,7 +141,7 @@
         };
         let holds = matches!(report.phase, TaskPhase::Prepared | TaskPhase::Running);
         if holds {
-            if self.scheduler.wants(&key) {
+            if self.scheduler.should_renew_lease(&key) {
                 reply.renewed.push(key);
             } else {
                 reply.stop.push(key);
--- a/crates/bh-scheduler/benches/support/site.rs
+++ b/crates/bh-scheduler/benches/support/site.rs
@@ -348,7 +348,7 @@
                     || record.epoch != report.epoch
                     || record.phase == Phase::Queued
             });
-            let wanted = self.scheduler.wants(&key);
+            let wanted = self.scheduler.should_renew_lease(&key);
             if let Some(worker) = self.workers.get_mut(name)
                 && ((holds && !wanted) || (!holds && settled))
             {
--- a/crates/bh-scheduler/src/scheduler/mod.rs
+++ b/crates/bh-scheduler/src/scheduler/mod.rs
@@ -189,7 +189,7 @@
     }
 
     /// Whether the tasks of this attempt may go on: their lease is renewed.
-    pub fn wants(&self, key: &TaskKey) -> bool {
+    pub fn should_renew_lease(&self, key: &TaskKey) -> bool {
         self.jobs.get(&key.job).is_some_and(|job| {
             let holds = !matches!(
                 job.state,
