--- a/crates/bh-node/src/leader/duties.rs
+++ b/crates/bh-node/src/leader/duties.rs
@@ -218,13 +218,13 @@
     }
 
     fn fragmentation(&self, place: &GroupPlace) -> FragmentationReport {
-        let cells = self.scheduler.cells();
-        let live = || cells.workers().iter().filter(|worker| worker.alive);
+        let inventory = self.scheduler.inventory();
+        let live = || inventory.workers().iter().filter(|worker| worker.alive);
         let guarantees = self.scheduler.guarantees();
         let mut shapes = self.scheduler.queued_shapes();
         shapes.extend(guarantees.cells().iter().map(|cell| cell.shape));
         let rows = shapes.into_iter().map(|shape| {
-            let fragmentation = Fragmentation::new(cells, &shape);
+            let fragmentation = Fragmentation::new(inventory, &shape);
             ShapeFragmentation {
                 shape,
                 usable: fragmentation.usable,
--- a/crates/bh-scheduler/benches/policy.rs
+++ b/crates/bh-scheduler/benches/policy.rs
@@ -106,7 +106,7 @@
             site.run_until(to);
             if to >= next_sample {
                 samples = (
-                    samples.0 + Fragmentation::new(site.scheduler.cells(), &large).value(),
+                    samples.0 + Fragmentation::new(site.scheduler.inventory(), &large).value(),
                     samples.1 + 1,
                 );
                 next_sample += 60_000;
--- a/crates/bh-scheduler/src/fragmentation.rs
+++ b/crates/bh-scheduler/src/fragmentation.rs
@@ -1,6 +1,6 @@
 //! The share of free accelerators that a shape can't use.
 
-use crate::cells::Cells;
+use crate::inventory::Inventory;
 use bh_protocol::shape::Adjacency;
 use bh_protocol::shape::Shape;
 use serde::Serialize;
@@ -19,8 +19,8 @@
 
 impl Fragmentation {
     /// Computes the fragmentation for `shape` over the live workers.
-    pub fn new(cells: &Cells, shape: &Shape) -> Self {
-        let free = cells
+    pub fn new(inventory: &Inventory, shape: &Shape) -> Self {
+        let free = inventory
             .workers()
             .iter()
             .filter(|worker| worker.alive)
@@ -28,7 +28,7 @@
             .sum();
         Self {
             free,
-            usable: copies(cells, shape) * shape.accelerators(),
+            usable: copies(inventory, shape) * shape.accelerators(),
         }
     }
 
@@ -43,9 +43,9 @@
 }
 
 /// Number of copies of the shape that fit into the free accelerators.
-fn copies(cells: &Cells, shape: &Shape) -> u32 {
+fn copies(inventory: &Inventory, shape: &Shape) -> u32 {
     let tasks_on = |id: &u32| {
-        let worker = cells.worker(*id);
+        let worker = inventory.worker(*id);
         if worker.alive {
             worker.free() / shape.accelerators_per_task.max(1)
         } else {
@@ -55,19 +55,19 @@
     let in_rack = |workers: &[u32]| -> u32 { workers.iter().map(tasks_on).sum() };
     let tasks = shape.tasks.max(1);
     match shape.adjacent {
-        Adjacency::Worker => cells
+        Adjacency::Worker => inventory
             .racks()
             .iter()
             .flat_map(|rack| &rack.workers)
             .map(|id| tasks_on(id) / tasks)
             .sum(),
-        Adjacency::Rack => cells
+        Adjacency::Rack => inventory
             .racks()
             .iter()
             .map(|rack| in_rack(&rack.workers) / tasks)
             .sum(),
         Adjacency::DataCentre => {
-            cells
+            inventory
                 .racks()
                 .iter()
                 .map(|rack| in_rack(&rack.workers))
--- a/crates/bh-scheduler/src/guarantees.rs
+++ b/crates/bh-scheduler/src/guarantees.rs
@@ -5,8 +5,8 @@
 //! unused guaranteed shape can be freed at any time by stopping borrowers only. When workers are lost, their cells are
 //! bound again to the remaining workers. A cell that fits nowhere is reported as uncovered.
 
-use crate::cells::Cells;
-use crate::cells::WorkerId;
+use crate::inventory::Inventory;
+use crate::inventory::WorkerId;
 use crate::limits::Limits;
 use crate::placement::Search;
 use bh_protocol::shape::Shape;
@@ -78,7 +78,7 @@
     /// guaranteed job, or `None` for a job whose cell is no longer guaranteed and that becomes a borrower.
     pub(crate) fn configure(
         &mut self,
-        cells: &mut Cells,
+        inventory: &mut Inventory,
         limits: &Limits,
     ) -> BTreeMap<u64, Option<usize>> {
         let mut wanted = limits.guarantees.clone();
@@ -105,7 +105,7 @@
                 if let Some(job) = cell.used_by {
                     new_cells.insert(job, None);
                 }
-                unbind(cells, &mut cell);
+                unbind(inventory, &mut cell);
             }
         }
         for ((customer, shape_name), (shape, count)) in wanted {
@@ -124,14 +124,14 @@
     }
 
     /// Unbinds unused cells on lost or leaving workers, then binds all uncovered cells, the largest shapes first.
-    pub(crate) fn rebind(&mut self, cells: &mut Cells) {
+    pub(crate) fn rebind(&mut self, inventory: &mut Inventory) {
         for cell in &mut self.cells {
             let unusable = cell.bound_to.iter().any(|id| {
-                let worker = cells.worker(*id);
+                let worker = inventory.worker(*id);
                 !worker.alive || worker.leaving || worker.bound > worker.capacity
             });
             if unusable && cell.used_by.is_none() {
-                unbind(cells, cell);
+                unbind(inventory, cell);
             }
         }
         let mut uncovered: Vec<usize> = (0..self.cells.len())
@@ -147,16 +147,19 @@
             let cell = &mut self.cells[index];
             // Prefers workers whose bindable accelerators are free now, because a cell that is bound to a borrower's
             // accelerators needs a reclaim later.
-            let free_place = Search::new(cells, |id| {
-                cells.worker(id).bindable().min(cells.worker(id).free())
+            let free_place = Search::new(inventory, |id| {
+                inventory
+                    .worker(id)
+                    .bindable()
+                    .min(inventory.worker(id).free())
             })
             .place(&cell.shape);
             let place = free_place.or_else(|| {
-                Search::new(cells, |id| cells.worker(id).bindable()).place(&cell.shape)
+                Search::new(inventory, |id| inventory.worker(id).bindable()).place(&cell.shape)
             });
             if let Some(place) = place {
                 for id in &place {
-                    cells.bind(*id, cell.shape.accelerators_per_task);
+                    inventory.bind(*id, cell.shape.accelerators_per_task);
                 }
                 cell.bound_to = place;
             }
@@ -164,40 +167,45 @@
     }
 
     /// Moves an unused cell to the workers in `place`, whose accelerators must be bindable.
-    pub(crate) fn move_to(&mut self, cells: &mut Cells, index: usize, place: Vec<WorkerId>) {
+    pub(crate) fn move_to(
+        &mut self,
+        inventory: &mut Inventory,
+        index: usize,
+        place: Vec<WorkerId>,
+    ) {
         let cell = &mut self.cells[index];
-        unbind(cells, cell);
+        unbind(inventory, cell);
         for id in &place {
-            cells.bind(*id, cell.shape.accelerators_per_task);
+            inventory.bind(*id, cell.shape.accelerators_per_task);
         }
         cell.bound_to = place;
     }
 
     /// Assigns the cell to `job`.
-    pub(crate) fn occupy(&mut self, cells: &mut Cells, index: usize, job: u64) {
+    pub(crate) fn occupy(&mut self, inventory: &mut Inventory, index: usize, job: u64) {
         let cell = &mut self.cells[index];
         cell.used_by = Some(job);
         for id in &cell.bound_to {
-            cells.use_bound(*id, cell.shape.accelerators_per_task);
+            inventory.use_bound(*id, cell.shape.accelerators_per_task);
         }
     }
 
     /// Makes the cell unused again.
-    pub(crate) fn vacate(&mut self, cells: &mut Cells, index: usize) {
+    pub(crate) fn vacate(&mut self, inventory: &mut Inventory, index: usize) {
         let cell = &mut self.cells[index];
         cell.used_by = None;
         for id in &cell.bound_to {
-            cells.release_bound(*id, cell.shape.accelerators_per_task);
+            inventory.release_bound(*id, cell.shape.accelerators_per_task);
         }
     }
 }
 
-fn unbind(cells: &mut Cells, cell: &mut Cell) {
+fn unbind(inventory: &mut Inventory, cell: &mut Cell) {
     let per_task = cell.shape.accelerators_per_task;
     for id in std::mem::take(&mut cell.bound_to) {
-        cells.unbind(id, per_task);
+        inventory.unbind(id, per_task);
         if cell.used_by.is_some() {
-            cells.release_bound(id, per_task);
+            inventory.release_bound(id, per_task);
         }
     }
 }
--- a/crates/bh-scheduler/src/cells.rs
+++ b/crates/bh-scheduler/src/inventory.rs
@@ -4,9 +4,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Index of a worker in [`Cells`].
+/// Index of a worker in [`Inventory`].
 pub type WorkerId = u32;
-/// Index of a rack in [`Cells`].
+/// Index of a rack in [`Inventory`].
 pub type RackId = u32;
 
 /// One worker.
@@ -84,7 +84,7 @@
 
 /// All workers and racks of a data centre.
 #[derive(Clone, Debug, Default)]
-pub struct Cells {
+pub struct Inventory {
     workers: Vec<WorkerCell>,
     racks: Vec<RackCell>,
     worker_ids: BTreeMap<Arc<str>, WorkerId>,
@@ -96,7 +96,7 @@
     id as usize
 }
 
-impl Cells {
+impl Inventory {
     /// Creates an inventory without workers.
     pub fn new() -> Self {
         Self::default()
--- a/crates/bh-scheduler/src/job.rs
+++ b/crates/bh-scheduler/src/job.rs
@@ -1,6 +1,6 @@
 //! A job as the leader's scheduler sees it.
 
-use crate::cells::WorkerId;
+use crate::inventory::WorkerId;
 use bh_protocol::job::Phase;
 use bh_protocol::job::Placement;
 use bh_protocol::job::Spec;
--- a/crates/bh-scheduler/src/lib.rs
+++ b/crates/bh-scheduler/src/lib.rs
@@ -4,11 +4,11 @@
 //! [`Action`]s. [`JobTable`] is the replicated table of jobs, which outlives any leader.
 
 mod action;
-mod cells;
 mod event;
 mod fragmentation;
 mod guarantees;
 mod health;
+mod inventory;
 mod job;
 mod job_table;
 mod limits;
@@ -17,13 +17,13 @@
 mod scheduler;
 
 pub use action::Action;
-pub use cells::Cells;
-pub use cells::WorkerCell;
 pub use event::Event;
 pub use event::RecordedJob;
 pub use fragmentation::Fragmentation;
 pub use guarantees::Cell;
 pub use guarantees::Guarantees;
+pub use inventory::Inventory;
+pub use inventory::WorkerCell;
 pub use job::State;
 pub use job_table::Command;
 pub use job_table::JobRecord;
--- a/crates/bh-scheduler/src/placement.rs
+++ b/crates/bh-scheduler/src/placement.rs
@@ -1,14 +1,14 @@
 //! Best-fit placement of gangs on workers and racks.
 
-use crate::cells::Cells;
-use crate::cells::RackId;
-use crate::cells::WorkerId;
+use crate::inventory::Inventory;
+use crate::inventory::RackId;
+use crate::inventory::WorkerId;
 use bh_protocol::shape::Adjacency;
 use bh_protocol::shape::Shape;
 
 /// A placement search in which `usable` limits the accelerators that may be taken on each worker.
 pub struct Search<'a, U: Fn(WorkerId) -> u32> {
-    cells: &'a Cells,
+    inventory: &'a Inventory,
     usable: U,
 }
 
@@ -22,8 +22,8 @@
 
 impl<'a, U: Fn(WorkerId) -> u32> Search<'a, U> {
     /// Creates a search; `usable` returns how many accelerators of a worker may be taken.
-    pub fn new(cells: &'a Cells, usable: U) -> Self {
-        Self { cells, usable }
+    pub fn new(inventory: &'a Inventory, usable: U) -> Self {
+        Self { inventory, usable }
     }
 
     /// Returns a worker for each task, or `None` if the gang doesn't fit.
@@ -42,7 +42,7 @@
     fn place_on_worker(&self, shape: &Shape) -> Option<Vec<WorkerId>> {
         let needed = shape.accelerators();
         let mut best: Option<(u32, u32, WorkerId)> = None;
-        for rack in self.cells.racks() {
+        for rack in self.inventory.racks() {
             let rack_free = rack.capacity.saturating_sub(rack.used);
             for id in &rack.workers {
                 let usable = (self.usable)(*id);
@@ -59,10 +59,10 @@
     }
 
     fn capacity(&self, rack: RackId, shape: &Shape) -> RackCapacity {
-        let cell = self.cells.rack(rack);
+        let rack_state = self.inventory.rack(rack);
         let mut tasks = 0;
         let mut usable = 0;
-        for id in &cell.workers {
+        for id in &rack_state.workers {
             let count = (self.usable)(*id);
             usable += count;
             tasks += count / shape.accelerators_per_task;
@@ -71,12 +71,12 @@
             rack,
             tasks,
             usable,
-            idle: cell.is_idle(),
+            idle: rack_state.is_idle(),
         }
     }
 
     fn capacities(&self, shape: &Shape) -> impl Iterator<Item = RackCapacity> {
-        let count = RackId::try_from(self.cells.racks().len()).unwrap_or(RackId::MAX);
+        let count = RackId::try_from(self.inventory.racks().len()).unwrap_or(RackId::MAX);
         (0..count)
             .map(|rack| self.capacity(rack, shape))
             .filter(|capacity| capacity.tasks > 0)
@@ -131,7 +131,7 @@
     fn fill(&self, rack: RackId, shape: &Shape, count: u32, placed: &mut Vec<WorkerId>) {
         let per_task = shape.accelerators_per_task;
         let mut workers: Vec<(u32, WorkerId)> = self
-            .cells
+            .inventory
             .rack(rack)
             .workers
             .iter()
--- a/crates/bh-scheduler/src/scheduler/accounts.rs
+++ b/crates/bh-scheduler/src/scheduler/accounts.rs
@@ -11,7 +11,7 @@
             return;
         };
         for (id, count) in job.held() {
-            self.cells.allocate(id, count);
+            self.inventory.allocate(id, count);
             self.on_worker.entry(id).or_default().insert(number);
         }
         let total = job.spec.shape.accelerators();
@@ -36,15 +36,15 @@
         let total = job.spec.shape.accelerators();
         let (team, customer) = (job.spec.team.clone(), job.spec.customer.clone());
         for (id, count) in held {
-            self.cells.release(id, count);
+            self.inventory.release(id, count);
             if let Some(jobs) = self.on_worker.get_mut(&id) {
                 jobs.remove(&number);
             }
         }
         if let Some(cell) = cell {
-            self.guarantees.vacate(&mut self.cells, cell);
+            self.guarantees.vacate(&mut self.inventory, cell);
             // The cell may stand on a worker that was lost or is leaving while it was in use.
-            self.guarantees.rebind(&mut self.cells);
+            self.guarantees.rebind(&mut self.inventory);
         }
         sub(&mut self.team_used, &team, total);
         sub(&mut self.customer_used, &customer, total);
--- a/crates/bh-scheduler/src/scheduler/dispatch.rs
+++ b/crates/bh-scheduler/src/scheduler/dispatch.rs
@@ -2,7 +2,7 @@
 
 use super::Scheduler;
 use super::tried::Tried;
-use crate::cells::WorkerId;
+use crate::inventory::WorkerId;
 use crate::job::AfterStop;
 use crate::job::Job;
 use crate::job::State;
@@ -90,7 +90,7 @@
         if let Some(index) = free {
             self.place_in_cell(now_ms, number, index, BTreeSet::new());
         } else if let Some(place) = self.free_place_for_cell(now_ms, first) {
-            self.guarantees.move_to(&mut self.cells, first, place);
+            self.guarantees.move_to(&mut self.inventory, first, place);
             self.place_in_cell(now_ms, number, first, BTreeSet::new());
         } else {
             self.reclaim_cheapest(now_ms, number, &unused);
@@ -105,7 +105,7 @@
             *needed.entry(*id).or_insert(0) += cell.shape.accelerators_per_task;
         }
         needed.iter().all(|(id, count)| {
-            let worker = self.cells.worker(*id);
+            let worker = self.inventory.worker(*id);
             worker.admits(now_ms) && worker.free() >= *count
         })
     }
@@ -118,7 +118,7 @@
             *own.entry(*id).or_insert(0) += cell.shape.accelerators_per_task;
         }
         let usable = |id: WorkerId| {
-            let worker = self.cells.worker(id);
+            let worker = self.inventory.worker(id);
             let bindable = worker.bindable() + own.get(&id).copied().unwrap_or(0);
             if worker.admits(now_ms) {
                 worker.free().min(bindable).min(worker.capacity)
@@ -126,7 +126,7 @@
                 0
             }
         };
-        Search::new(&self.cells, usable).place(&cell.shape)
+        Search::new(&self.inventory, usable).place(&cell.shape)
     }
 
     /// Chooses among the unused cells the one whose borrowers lose the least work, and stops them.
@@ -154,12 +154,12 @@
             .cell(index)
             .bound_to
             .iter()
-            .all(|id| self.cells.worker(*id).admits(now_ms))
+            .all(|id| self.inventory.worker(*id).admits(now_ms))
     }
 
     fn place_in_cell(&mut self, now_ms: u64, number: u64, index: usize, victims: BTreeSet<u64>) {
         let places = self.guarantees.cell(index).bound_to.clone();
-        self.guarantees.occupy(&mut self.cells, index, number);
+        self.guarantees.occupy(&mut self.inventory, index, number);
         if let Some(job) = self.jobs.get_mut(&number) {
             job.cell = Some(index);
         }
@@ -210,7 +210,7 @@
         };
         job.held()
             .iter()
-            .all(|(id, count)| self.cells.worker(*id).free() >= *count)
+            .all(|(id, count)| self.inventory.worker(*id).free() >= *count)
     }
 
     fn leaving_jobs(&self, places: &[WorkerId]) -> BTreeSet<u64> {
@@ -289,24 +289,25 @@
         shape: &Shape,
         reserved: &BTreeSet<WorkerId>,
     ) -> Option<Vec<WorkerId>> {
-        let admits = |id: WorkerId| self.cells.worker(id).admits(now_ms) && !reserved.contains(&id);
+        let admits =
+            |id: WorkerId| self.inventory.worker(id).admits(now_ms) && !reserved.contains(&id);
         let unbound = |id: WorkerId| {
             if admits(id) {
-                self.cells.worker(id).free_unbound()
+                self.inventory.worker(id).free_unbound()
             } else {
                 0
             }
         };
         let free = |id: WorkerId| {
             if admits(id) {
-                self.cells.worker(id).free()
+                self.inventory.worker(id).free()
             } else {
                 0
             }
         };
-        Search::new(&self.cells, unbound)
+        Search::new(&self.inventory, unbound)
             .place(shape)
-            .or_else(|| Search::new(&self.cells, free).place(shape))
+            .or_else(|| Search::new(&self.inventory, free).place(shape))
     }
 
     pub(super) fn set_reason(&mut self, number: u64, reason: &str) {
--- a/crates/bh-scheduler/src/scheduler/force.rs
+++ b/crates/bh-scheduler/src/scheduler/force.rs
@@ -3,7 +3,7 @@
 use super::Scheduler;
 use super::dispatch::MAX_CANDIDATES;
 use super::tried::Tried;
-use crate::cells::WorkerId;
+use crate::inventory::WorkerId;
 use crate::job::Job;
 use crate::job::State;
 use crate::placement::Search;
@@ -76,7 +76,7 @@
     fn reserve(&mut self, now_ms: u64, number: u64, reserved: &mut BTreeSet<WorkerId>) {
         let shape = self.jobs[&number].spec.shape;
         let whole = |id: WorkerId| {
-            let worker = self.cells.worker(id);
+            let worker = self.inventory.worker(id);
             let guaranteed = worker.bound_used;
             if worker.admits(now_ms) && !reserved.contains(&id) {
                 worker.capacity - guaranteed.min(worker.capacity)
@@ -84,7 +84,7 @@
                 0
             }
         };
-        if let Some(places) = Search::new(&self.cells, whole).place(&shape) {
+        if let Some(places) = Search::new(&self.inventory, whole).place(&shape) {
             reserved.extend(places);
         }
         self.set_reason(
@@ -125,7 +125,7 @@
             freeable.insert(*id, sum);
         }
         let usable = |id: WorkerId| {
-            let worker = self.cells.worker(id);
+            let worker = self.inventory.worker(id);
             if !worker.admits(now_ms) || reserved.contains(&id) || worker.used > worker.capacity {
                 return 0;
             }
@@ -134,13 +134,13 @@
         let mut best: Option<(u64, Vec<WorkerId>, BTreeSet<u64>)> = None;
         for rack in self.racks_to_try(&shape) {
             let inside = |id: WorkerId| {
-                if rack.is_none_or(|rack| self.cells.worker(id).rack == rack) {
+                if rack.is_none_or(|rack| self.inventory.worker(id).rack == rack) {
                     usable(id)
                 } else {
                     0
                 }
             };
-            let Some(places) = Search::new(&self.cells, inside).place(&shape) else {
+            let Some(places) = Search::new(&self.inventory, inside).place(&shape) else {
                 continue;
             };
             let Some(victims) = self.victims_on(&places, shape.accelerators_per_task, may_stop)
@@ -161,7 +161,7 @@
             return vec![None];
         }
         let mut racks: Vec<(u32, u32)> = self
-            .cells
+            .inventory
             .racks()
             .iter()
             .enumerate()
@@ -190,7 +190,7 @@
         }
         let mut victims: BTreeSet<u64> = BTreeSet::new();
         for (id, count) in needed {
-            let worker = self.cells.worker(id);
+            let worker = self.inventory.worker(id);
             // Accelerators of jobs that are already on their way out come free without a new victim.
             let mut coming = worker.free();
             let jobs = self.on_worker.get(&id).cloned().unwrap_or_default();
--- a/crates/bh-scheduler/src/scheduler/gang.rs
+++ b/crates/bh-scheduler/src/scheduler/gang.rs
@@ -65,8 +65,8 @@
 
     fn note_refusals(&mut self, now_ms: u64, number: u64, refused: &BTreeSet<Arc<str>>) {
         for name in refused {
-            if let Some(id) = self.cells.find(name) {
-                self.cells.health_mut(id).record_failure(now_ms, number);
+            if let Some(id) = self.inventory.find(name) {
+                self.inventory.health_mut(id).record_failure(now_ms, number);
             }
         }
     }
@@ -144,7 +144,7 @@
         self.runtimes.add(&job.spec.shape_name, took_ms);
         let places: BTreeSet<u32> = job.places.iter().copied().collect();
         for id in places {
-            self.cells.health_mut(id).record_success();
+            self.inventory.health_mut(id).record_success();
         }
         self.release(number);
         self.jobs.remove(&number);
--- a/crates/bh-scheduler/src/scheduler/invariants.rs
+++ b/crates/bh-scheduler/src/scheduler/invariants.rs
@@ -1,7 +1,7 @@
 //! What must hold after every step.
 
 use super::Scheduler;
-use crate::cells::WorkerId;
+use crate::inventory::WorkerId;
 use crate::job::State;
 use std::collections::BTreeMap;
 
@@ -26,7 +26,7 @@
             }
         }
         for (id, count) in firm {
-            let worker = self.cells.worker(id);
+            let worker = self.inventory.worker(id);
             let in_use = worker.bound_used == worker.bound;
             if worker.bound != count {
                 return Err(format!(
@@ -65,7 +65,7 @@
                 }
             }
         }
-        for (index, worker) in self.cells.workers().iter().enumerate() {
+        for (index, worker) in self.inventory.workers().iter().enumerate() {
             let id = WorkerId::try_from(index).unwrap_or(WorkerId::MAX);
             let held = used.get(&id).copied().unwrap_or(0);
             if worker.used != held {
--- a/crates/bh-scheduler/src/scheduler/mod.rs
+++ b/crates/bh-scheduler/src/scheduler/mod.rs
@@ -10,11 +10,11 @@
 mod workers;
 
 use crate::action::Action;
-use crate::cells::Cells;
-use crate::cells::WorkerId;
 use crate::event::Event;
 use crate::event::RecordedJob;
 use crate::guarantees::Guarantees;
+use crate::inventory::Inventory;
+use crate::inventory::WorkerId;
 use crate::job::Job;
 use crate::job::State;
 use crate::limits::Limits;
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug)]
 pub struct Scheduler {
     limits: Limits,
-    cells: Cells,
+    inventory: Inventory,
     guarantees: Guarantees,
     jobs: BTreeMap<u64, Job>,
     queue: BTreeSet<QueueKey>,
@@ -68,7 +68,7 @@
     pub fn new(term: u64, limits: Limits, lease_ms: u64, now_ms: u64) -> Self {
         Self {
             limits,
-            cells: Cells::new(),
+            inventory: Inventory::new(),
             guarantees: Guarantees::new(),
             jobs: BTreeMap::new(),
             queue: BTreeSet::new(),
@@ -139,8 +139,8 @@
     }
 
     /// The accelerators.
-    pub fn cells(&self) -> &Cells {
-        &self.cells
+    pub fn inventory(&self) -> &Inventory {
+        &self.inventory
     }
 
     /// The guarantees.
@@ -213,12 +213,12 @@
             return None;
         }
         let search =
-            crate::placement::Search::new(&self.cells, |id| self.cells.worker(id).capacity);
+            crate::placement::Search::new(&self.inventory, |id| self.inventory.worker(id).capacity);
         Some(search.place(shape).is_some())
     }
 
     fn placement(&self, job: &Job) -> Placement {
-        job.placement(|id| self.cells.worker(id).name.clone())
+        job.placement(|id| self.inventory.worker(id).name.clone())
     }
 
     fn change_limits(&mut self, limits: Limits) {
@@ -226,13 +226,13 @@
             return;
         }
         self.limits = limits;
-        let moved = self.guarantees.configure(&mut self.cells, &self.limits);
+        let moved = self.guarantees.configure(&mut self.inventory, &self.limits);
         for (job, cell) in moved {
             if let Some(job) = self.jobs.get_mut(&job) {
                 job.cell = cell;
             }
         }
-        self.guarantees.rebind(&mut self.cells);
+        self.guarantees.rebind(&mut self.inventory);
         self.dirty = true;
     }
 
@@ -257,15 +257,15 @@
     fn adopt(&mut self, now_ms: u64, number: u64, mut job: Job, placement: &Placement) {
         let incarnation = 0;
         for place in &placement.tasks {
-            let id = match self.cells.find(&place.worker) {
+            let id = match self.inventory.find(&place.worker) {
                 Some(id) => id,
                 None => {
                     // Not announced yet: known by name until it is, or until its time is over.
                     let unknown = Arc::from("");
                     let (id, _) =
-                        self.cells
+                        self.inventory
                             .announce(&place.worker, incarnation, &unknown, 0, true);
-                    self.cells.mark_lost(id);
+                    self.inventory.mark_lost(id);
                     id
                 }
             };
--- a/crates/bh-scheduler/src/scheduler/stop.rs
+++ b/crates/bh-scheduler/src/scheduler/stop.rs
@@ -47,7 +47,7 @@
         let pending: BTreeSet<Arc<str>> = job
             .held()
             .keys()
-            .map(|id| self.cells.worker(*id).name.clone())
+            .map(|id| self.inventory.worker(*id).name.clone())
             .collect();
         // A decision that is on its way to the record may yet be taken: it must be taken back there, too.
         let decided = matches!(job.state, State::RecordingStart | State::Running { .. });
@@ -219,9 +219,9 @@
         for (number, job) in &self.jobs {
             if let State::Stopping { pending, .. } = &job.state {
                 let lost = |name: &&Arc<str>| {
-                    self.cells
+                    self.inventory
                         .find(name)
-                        .is_none_or(|id| !self.cells.worker(id).alive)
+                        .is_none_or(|id| !self.inventory.worker(id).alive)
                 };
                 gone.extend(
                     pending
--- a/crates/bh-scheduler/src/scheduler/workers.rs
+++ b/crates/bh-scheduler/src/scheduler/workers.rs
@@ -30,9 +30,9 @@
         leaving: bool,
     ) {
         let known = self
-            .cells
+            .inventory
             .find(name)
-            .map(|id| self.cells.worker(id).clone());
+            .map(|id| self.inventory.worker(id).clone());
         let restarted = known.as_ref().is_some_and(|worker| {
             worker.alive && worker.incarnation != incarnation && worker.incarnation != 0
         });
@@ -42,10 +42,10 @@
             self.worker_lost(now_ms, name);
         }
         let (_, changed) = self
-            .cells
+            .inventory
             .announce(name, incarnation, rack, accelerators, leaving);
         if changed {
-            self.guarantees.rebind(&mut self.cells);
+            self.guarantees.rebind(&mut self.inventory);
             self.dirty = true;
         }
     }
@@ -53,7 +53,7 @@
     /// Counts a worker's restart against the jobs that had just started there, and ends those under which it happened too often.
     fn count_crash(&mut self, now_ms: u64, name: &Arc<str>) {
         let jobs = self
-            .cells
+            .inventory
             .find(name)
             .and_then(|id| self.on_worker.get(&id))
             .cloned()
@@ -76,10 +76,10 @@
     }
 
     pub(super) fn worker_lost(&mut self, now_ms: u64, name: &Arc<str>) {
-        let Some(id) = self.cells.find(name) else {
+        let Some(id) = self.inventory.find(name) else {
             return;
         };
-        self.cells.mark_lost(id);
+        self.inventory.mark_lost(id);
         let jobs: Vec<u64> = self
             .on_worker
             .get(&id)
@@ -96,7 +96,7 @@
             );
             self.worker_stopped_any(job, name);
         }
-        self.guarantees.rebind(&mut self.cells);
+        self.guarantees.rebind(&mut self.inventory);
         self.dirty = true;
     }
 
@@ -199,7 +199,7 @@
         name: &Arc<str>,
         reported: &BTreeMap<u64, Vec<&TaskReport>>,
     ) {
-        let Some(id) = self.cells.find(name) else {
+        let Some(id) = self.inventory.find(name) else {
             return;
         };
         let jobs: BTreeSet<u64> = self.on_worker.get(&id).cloned().unwrap_or_default();
@@ -262,7 +262,7 @@
     /// A task ended in failure: the whole gang stops. Whether that counts against the job or the worker is decided by
     /// what else fails where.
     fn task_failed(&mut self, now_ms: u64, number: u64, name: &Arc<str>) {
-        let Some(id) = self.cells.find(name) else {
+        let Some(id) = self.inventory.find(name) else {
             return;
         };
         let already = self.jobs.get(&number).is_some_and(|job| {
@@ -271,8 +271,8 @@
         if already {
             return;
         }
-        let suspect = self.cells.worker(id).health.is_suspect();
-        self.cells.health_mut(id).record_failure(now_ms, number);
+        let suspect = self.inventory.worker(id).health.is_suspect();
+        self.inventory.health_mut(id).record_failure(now_ms, number);
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
         };
@@ -288,7 +288,7 @@
         if everywhere {
             let blamed: Vec<u32> = job.failed_on.iter().copied().collect();
             for id in blamed {
-                self.cells.health_mut(id).clear_failure(number);
+                self.inventory.health_mut(id).clear_failure(number);
             }
             let reason = format!("failed on {failed_on} workers, last on {name}");
             self.stop(
--- a/crates/bh-scheduler/tests/fuzz.rs
+++ b/crates/bh-scheduler/tests/fuzz.rs
@@ -223,7 +223,7 @@
     let uncovered = site.scheduler.guarantees().uncovered() > 0;
     let aside = site
         .scheduler
-        .cells()
+        .inventory()
         .workers()
         .iter()
         .any(|worker| worker.health.is_suspect());
