--- a/crates/bh-scheduler/src/guarantees.rs
+++ b/crates/bh-scheduler/src/guarantees.rs
@@ -15,7 +15,7 @@
 
 /// One guaranteed shape and the accelerators bound to it.
 #[derive(Clone, Debug)]
-pub struct Cell {
+pub struct GuaranteedCell {
     /// Customer that has the guarantee.
     pub customer: Arc<str>,
     /// Name of the shape.
@@ -28,7 +28,7 @@
     pub used_by: Option<u64>,
 }
 
-impl Cell {
+impl GuaranteedCell {
     /// Whether the guarantee is bound to accelerators.
     pub fn is_covered(&self) -> bool {
         !self.bound_to.is_empty()
@@ -38,7 +38,7 @@
 /// All guaranteed shapes of a data centre.
 #[derive(Clone, Debug, Default)]
 pub struct Guarantees {
-    cells: Vec<Cell>,
+    cells: Vec<GuaranteedCell>,
 }
 
 impl Guarantees {
@@ -48,7 +48,7 @@
     }
 
     /// All guaranteed shapes.
-    pub fn cells(&self) -> &[Cell] {
+    pub fn cells(&self) -> &[GuaranteedCell] {
         &self.cells
     }
 
@@ -70,7 +70,7 @@
             .map(|(index, _)| index)
     }
 
-    pub(crate) fn cell(&self, index: usize) -> &Cell {
+    pub(crate) fn cell(&self, index: usize) -> &GuaranteedCell {
         &self.cells[index]
     }
 
@@ -110,7 +110,7 @@
         }
         for ((customer, shape_name), (shape, count)) in wanted {
             for _ in 0..count {
-                kept.push(Cell {
+                kept.push(GuaranteedCell {
                     customer: customer.clone(),
                     shape_name: shape_name.clone(),
                     shape,
@@ -200,7 +200,7 @@
     }
 }
 
-fn unbind(inventory: &mut Inventory, cell: &mut Cell) {
+fn unbind(inventory: &mut Inventory, cell: &mut GuaranteedCell) {
     let per_task = cell.shape.accelerators_per_task;
     for id in std::mem::take(&mut cell.bound_to) {
         inventory.unbind(id, per_task);
--- a/crates/bh-scheduler/src/inventory.rs
+++ b/crates/bh-scheduler/src/inventory.rs
@@ -11,7 +11,7 @@
 
 /// One worker.
 #[derive(Clone, Debug)]
-pub struct WorkerCell {
+pub struct Worker {
     /// Name.
     pub name: Arc<str>,
     /// Rack of the worker.
@@ -34,7 +34,7 @@
     pub health: Health,
 }
 
-impl WorkerCell {
+impl Worker {
     /// Accelerators that no job holds.
     pub fn free(&self) -> u32 {
         self.capacity.saturating_sub(self.used)
@@ -64,7 +64,7 @@
 
 /// One rack.
 #[derive(Clone, Debug)]
-pub struct RackCell {
+pub struct Rack {
     /// Name.
     pub name: Arc<str>,
     /// Workers of the rack.
@@ -75,7 +75,7 @@
     pub used: u32,
 }
 
-impl RackCell {
+impl Rack {
     /// Whether no job holds an accelerator of the rack.
     pub fn is_idle(&self) -> bool {
         self.used == 0
@@ -85,8 +85,8 @@
 /// All workers and racks of a data centre.
 #[derive(Clone, Debug, Default)]
 pub struct Inventory {
-    workers: Vec<WorkerCell>,
-    racks: Vec<RackCell>,
+    workers: Vec<Worker>,
+    racks: Vec<Rack>,
     worker_ids: BTreeMap<Arc<str>, WorkerId>,
     rack_ids: BTreeMap<Arc<str>, RackId>,
 }
@@ -103,22 +103,22 @@
     }
 
     /// All workers, in the order of their first announcement.
-    pub fn workers(&self) -> &[WorkerCell] {
+    pub fn workers(&self) -> &[Worker] {
         &self.workers
     }
 
     /// All racks, in the order of their first announcement.
-    pub fn racks(&self) -> &[RackCell] {
+    pub fn racks(&self) -> &[Rack] {
         &self.racks
     }
 
     /// The worker with this index.
-    pub fn worker(&self, id: WorkerId) -> &WorkerCell {
+    pub fn worker(&self, id: WorkerId) -> &Worker {
         &self.workers[index(id)]
     }
 
     /// The rack with this index.
-    pub fn rack(&self, id: RackId) -> &RackCell {
+    pub fn rack(&self, id: RackId) -> &Rack {
         &self.racks[index(id)]
     }
 
@@ -174,7 +174,7 @@
             return *id;
         }
         let id = RackId::try_from(self.racks.len()).unwrap_or(RackId::MAX);
-        self.racks.push(RackCell {
+        self.racks.push(Rack {
             name: rack.clone(),
             workers: Vec::new(),
             capacity: 0,
@@ -186,7 +186,7 @@
 
     fn add_worker(&mut self, name: &Arc<str>, rack: RackId) -> WorkerId {
         let id = WorkerId::try_from(self.workers.len()).unwrap_or(WorkerId::MAX);
-        self.workers.push(WorkerCell {
+        self.workers.push(Worker {
             name: name.clone(),
             rack,
             incarnation: 0,
@@ -219,9 +219,9 @@
         };
         let capacity = live().map(|worker| worker.capacity).sum();
         let used = live().map(|worker| worker.used).sum();
-        let cell = &mut self.racks[index(rack)];
-        cell.capacity = capacity;
-        cell.used = used;
+        let rack = &mut self.racks[index(rack)];
+        rack.capacity = capacity;
+        rack.used = used;
     }
 
     /// Counts `count` accelerators of a worker as used by a job.
--- a/crates/bh-scheduler/src/scheduler/accounts.rs
+++ b/crates/bh-scheduler/src/scheduler/accounts.rs
@@ -1,12 +1,12 @@
-//! What jobs hold: accelerators of workers, and shares of teams and customers.
+//! Accounting of the accelerators that jobs charge, by worker, team and customer.
 
 use super::Scheduler;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 impl Scheduler {
-    /// Notes that the attempt of a job holds its accelerators.
-    pub(super) fn hold(&mut self, number: u64) {
+    /// Charges the accelerators of a job's attempt to its workers, team and customer.
+    pub(super) fn charge(&mut self, number: u64) {
         let Some(job) = self.jobs.get(&number) else {
             return;
         };
@@ -22,7 +22,7 @@
             .or_insert(0) += total;
     }
 
-    /// Takes back all that the attempt of a job holds.
+    /// Frees all accelerators that a job's attempt holds.
     pub(super) fn release(&mut self, number: u64) {
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
@@ -43,7 +43,7 @@
         }
         if let Some(cell) = cell {
             self.guarantees.vacate(&mut self.inventory, cell);
-            // The cell may stand on a worker that was lost or is leaving while it was in use.
+            // While the cell was in use, one of its workers may have been lost or have started to leave.
             self.guarantees.rebind(&mut self.inventory);
         }
         sub(&mut self.team_used, &team, total);
--- a/crates/bh-scheduler/src/scheduler/dispatch.rs
+++ b/crates/bh-scheduler/src/scheduler/dispatch.rs
@@ -1,7 +1,7 @@
-//! One pass over the queue: who gets which accelerators.
+//! One pass over the queue, which gives accelerators to waiting jobs.
 
 use super::Scheduler;
-use super::tried::Tried;
+use super::failed_placements::FailedPlacements;
 use crate::inventory::WorkerId;
 use crate::job::AfterStop;
 use crate::job::Job;
@@ -13,25 +13,25 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Racks of victims looked at for one job; more would only find slightly cheaper ones.
-pub(super) const MAX_CANDIDATES: usize = 64;
+/// Racks or cells examined for one job when victims are chosen; more would only find slightly cheaper victims.
+pub(super) const MAX_VICTIM_CANDIDATES: usize = 64;
 
 impl Scheduler {
-    /// Gives accelerators to waiting jobs: guaranteed ones first, then by priority and age.
+    /// Places waiting jobs: guaranteed jobs first, then the others, in queue order.
     pub(super) fn dispatch(&mut self, now_ms: u64) {
-        let mut tried = Tried::default();
+        let mut failed = FailedPlacements::default();
         let keys = self.ordered_queue(now_ms);
         for number in &keys {
-            self.dispatch_guaranteed(now_ms, *number, &mut tried);
+            self.dispatch_guaranteed(now_ms, *number, &mut failed);
         }
         let mut reserved = BTreeSet::new();
         for number in &keys {
-            self.dispatch_plain(now_ms, *number, &mut tried, &mut reserved);
+            self.dispatch_unguaranteed(now_ms, *number, &mut failed, &mut reserved);
         }
     }
 
-    /// Waiting jobs: by priority, then by how long they have waited for their expected run time (highest response ratio
-    /// next). A short job behind long ones loses most by waiting; a long one comes to the front in time as well.
+    /// Waiting jobs by priority, then by the ratio of waiting time to expected run time (highest response ratio next).
+    /// Short jobs, which lose the most by waiting, go first, and a long job still reaches the front in time.
     fn ordered_queue(&self, now_ms: u64) -> Vec<u64> {
         let ratio = |number: &u64| -> u64 {
             let Some(job) = self.jobs.get(number) else {
@@ -41,7 +41,7 @@
                 .runtimes
                 .expected_ms(&job.spec.shape_name, job.spec.declared_ms);
             let waited_ms = now_ms.saturating_sub(job.submitted_ms);
-            // In millionths; far below 2^52.
+            // The ratio in millionths, far below 2^52.
             (waited_ms as f64 / expected_ms * 1e6) as u64
         };
         let mut keyed: Vec<(Reverse<u8>, Reverse<u64>, u64, u64)> = self
@@ -55,19 +55,19 @@
         keyed.into_iter().map(|(_, _, _, number)| number).collect()
     }
 
-    /// The job, if it waits and may be placed now.
+    /// Returns the job if it is queued and may be placed now.
     fn due_job(&self, now_ms: u64, number: u64) -> Option<&Job> {
         let is_due = |job: &&Job| job.state == State::Queued && now_ms >= job.not_before_ms;
         self.jobs.get(&number).filter(is_due)
     }
 
-    /// Starts a job in an unused guaranteed cell of its customer, stopping borrowers if need be.
-    fn dispatch_guaranteed(&mut self, now_ms: u64, number: u64, tried: &mut Tried) {
+    /// Starts a job in an unused guaranteed cell of its customer, and stops borrowers if necessary.
+    fn dispatch_guaranteed(&mut self, now_ms: u64, number: u64, failed: &mut FailedPlacements) {
         let Some(job) = self.due_job(now_ms, number) else {
             return;
         };
         let key = (job.spec.customer.clone(), job.spec.shape_name.clone());
-        if tried.guaranteed.contains(&key) {
+        if failed.guaranteed.contains(&key) {
             return;
         }
         let shape = job.spec.shape;
@@ -80,7 +80,7 @@
             })
             .collect();
         let Some(first) = unused.first().copied() else {
-            tried.guaranteed.insert(key);
+            failed.guaranteed.insert(key);
             return;
         };
         let free = unused
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Whether the cell's accelerators are free now.
+    /// Whether all accelerators of the cell are free now.
     fn is_cell_free(&self, index: usize, now_ms: u64) -> bool {
         let cell = self.guarantees.cell(index);
         let mut needed: BTreeMap<WorkerId, u32> = BTreeMap::new();
@@ -110,7 +110,7 @@
         })
     }
 
-    /// Free accelerators elsewhere that the cell could be bound to, so that no borrower has to stop.
+    /// Finds free accelerators elsewhere to which the cell can be bound, so that no borrower has to stop.
     fn free_place_for_cell(&self, now_ms: u64, index: usize) -> Option<Vec<WorkerId>> {
         let cell = self.guarantees.cell(index);
         let mut own: BTreeMap<WorkerId, u32> = BTreeMap::new();
@@ -129,11 +129,11 @@
         Search::new(&self.inventory, usable).place(&cell.shape)
     }
 
-    /// Chooses among the unused cells the one whose borrowers lose the least work, and stops them.
+    /// Reclaims the unused cell whose borrowers lose the least work.
     fn reclaim_cheapest(&mut self, now_ms: u64, number: u64, unused: &[usize]) {
         let best = unused
             .iter()
-            .take(MAX_CANDIDATES)
+            .take(MAX_VICTIM_CANDIDATES)
             .filter(|index| self.cell_admits(now_ms, **index))
             .filter_map(|index| {
                 let cell = self.guarantees.cell(*index);
@@ -166,7 +166,7 @@
         self.place(now_ms, number, places, victims);
     }
 
-    /// Gives `places` to the job, at once or when the victims have left.
+    /// Gives the accelerators on `places` to the job, at once or after the victims have stopped.
     pub(super) fn place(
         &mut self,
         now_ms: u64,
@@ -175,8 +175,8 @@
         victims: BTreeSet<u64>,
     ) {
         self.dequeue(number);
-        // The places may also hold accelerators of jobs that are stopping already, for whatever reason.
-        let leaving = self.leaving_jobs(&places);
+        // Other jobs on these workers may already be stopping for another reason.
+        let stopping = self.stopping_jobs(&places);
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
         };
@@ -184,9 +184,9 @@
         let waits_for: BTreeSet<u64> = if self.fits_now(number) {
             BTreeSet::new()
         } else {
-            victims.union(&leaving).copied().collect()
+            victims.union(&stopping).copied().collect()
         };
-        self.hold(number);
+        self.charge(number);
         if waits_for.is_empty() {
             self.prepare(number);
             return;
@@ -213,7 +213,7 @@
             .all(|(id, count)| self.inventory.worker(*id).free() >= *count)
     }
 
-    fn leaving_jobs(&self, places: &[WorkerId]) -> BTreeSet<u64> {
+    fn stopping_jobs(&self, places: &[WorkerId]) -> BTreeSet<u64> {
         let workers: BTreeSet<WorkerId> = places.iter().copied().collect();
         workers
             .iter()
@@ -224,12 +224,12 @@
             .collect()
     }
 
-    /// A job has left its accelerators: those that waited for it may go on.
-    pub(super) fn victim_gone(&mut self, gone: u64) {
+    /// Continues the jobs that waited for `stopped` to free its accelerators.
+    pub(super) fn victim_stopped(&mut self, stopped: u64) {
         let mut ready = Vec::new();
         for (number, job) in &mut self.jobs {
             if let State::Reclaiming { victims } = &mut job.state
-                && victims.remove(&gone)
+                && victims.remove(&stopped)
                 && victims.is_empty()
             {
                 ready.push(*number);
@@ -255,12 +255,12 @@
             )
     }
 
-    /// Starts a job outside of any guarantee: on free accelerators, or by stopping others when it is urgent or starves.
-    fn dispatch_plain(
+    /// Starts a job without a guarantee: on free accelerators or, if the job is urgent or starving, by stopping others.
+    fn dispatch_unguaranteed(
         &mut self,
         now_ms: u64,
         number: u64,
-        tried: &mut Tried,
+        failed: &mut FailedPlacements,
         reserved: &mut BTreeSet<WorkerId>,
     ) {
         let Some(job) = self.due_job(now_ms, number) else {
@@ -271,18 +271,18 @@
             return;
         }
         let shape = job.spec.shape;
-        if !tried.free.contains(&shape) {
+        if !failed.free.contains(&shape) {
             if let Some(places) = self.free_place(now_ms, &shape, reserved) {
                 self.place(now_ms, number, places, BTreeSet::new());
                 return;
             }
-            tried.free.insert(shape);
+            failed.free.insert(shape);
         }
-        self.dispatch_by_force(now_ms, number, tried, reserved);
+        self.dispatch_by_preemption(now_ms, number, failed, reserved);
     }
 
-    /// Free accelerators for the shape, outside of `reserved`. Accelerators that no guarantee is bound to go first:
-    /// a job there need never be stopped for one.
+    /// Finds free accelerators for the shape outside of `reserved`. It prefers accelerators that are not bound to a
+    /// guarantee, because a job on them is never stopped for one.
     fn free_place(
         &self,
         now_ms: u64,
--- a/crates/bh-scheduler/src/scheduler/gang.rs
+++ b/crates/bh-scheduler/src/scheduler/gang.rs
@@ -1,4 +1,4 @@
-//! From a placement to a running gang: prepare on all, decide, start on all.
+//! Starts gangs: prepares all workers, records the decision to start, then starts all tasks.
 
 use super::Scheduler;
 use crate::action::Action;
@@ -8,13 +8,13 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// First wait after an attempt that came to nothing, in milliseconds; doubles with each.
-const FIRST_RETRY_MS: u64 = 100;
-/// Longest such wait, in milliseconds.
-const LONGEST_RETRY_MS: u64 = 10_000;
+/// Backoff after the first attempt that didn't start. It doubles with each further one.
+const FIRST_BACKOFF_MS: u64 = 100;
+/// Upper limit of the backoff.
+const MAX_BACKOFF_MS: u64 = 10_000;
 
 impl Scheduler {
-    /// Asks the workers of a placed job to hold its accelerators. Nothing runs before all of them do.
+    /// Asks the workers of a placed job to reserve its accelerators. No task starts before all workers have done so.
     pub(super) fn prepare(&mut self, number: u64) {
         let epoch = self.next_epoch;
         self.next_epoch += 1;
@@ -47,10 +47,10 @@
         }
         if let Some(worker) = refused.first() {
             job.failures += 1;
-            let not_before_ms = now_ms + retry_wait_ms(job.failures);
+            let not_before_ms = now_ms + backoff_ms(job.failures);
             let reason = format!("worker {worker} refused or did not answer");
             job.reason = reason;
-            self.note_refusals(now_ms, number, refused);
+            self.record_refusals(now_ms, number, refused);
             self.stop(now_ms, number, AfterStop::Retry { not_before_ms }, false);
             return;
         }
@@ -63,7 +63,7 @@
         });
     }
 
-    fn note_refusals(&mut self, now_ms: u64, number: u64, refused: &BTreeSet<Arc<str>>) {
+    fn record_refusals(&mut self, now_ms: u64, number: u64, refused: &BTreeSet<Arc<str>>) {
         for name in refused {
             if let Some(id) = self.inventory.find(name) {
                 self.inventory.health_mut(id).record_failure(now_ms, number);
@@ -84,7 +84,7 @@
                 now_ms,
                 number,
                 AfterStop::Retry {
-                    not_before_ms: now_ms + FIRST_RETRY_MS,
+                    not_before_ms: now_ms + FIRST_BACKOFF_MS,
                 },
                 false,
             );
@@ -119,13 +119,13 @@
         let Some(worker) = refused.first().filter(|_| is_running) else {
             return;
         };
-        // Some tasks may run already: the whole gang stops, so that no part of it runs alone.
+        // Some tasks may run already. The whole gang is stopped, so that it never runs in part.
         let reason = format!("worker {worker} did not start its tasks");
-        self.note_refusals(now_ms, number, refused);
+        self.record_refusals(now_ms, number, refused);
         self.stop(now_ms, number, AfterStop::Requeue { reason }, false);
     }
 
-    /// Ends a job all of whose tasks are done.
+    /// Ends the job if all its tasks are done.
     pub(super) fn check_finished(&mut self, now_ms: u64, number: u64) {
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
@@ -140,8 +140,8 @@
             return;
         }
         let epoch = job.epoch;
-        let took_ms = now_ms.saturating_sub(job.started_ms);
-        self.runtimes.add(&job.spec.shape_name, took_ms);
+        let run_time_ms = now_ms.saturating_sub(job.started_ms);
+        self.runtimes.add(&job.spec.shape_name, run_time_ms);
         let places: BTreeSet<u32> = job.places.iter().copied().collect();
         for id in places {
             self.inventory.health_mut(id).record_success();
@@ -156,7 +156,7 @@
         });
     }
 
-    /// Gangs whose tasks have not all reported in time are stopped whole.
+    /// Stops the gangs of which some task was not reported in time.
     pub(super) fn tick_running(&mut self, now_ms: u64) {
         let late: Vec<u64> = self
             .jobs
@@ -178,6 +178,6 @@
     }
 }
 
-fn retry_wait_ms(failures: u32) -> u64 {
-    (FIRST_RETRY_MS << failures.min(16)).min(LONGEST_RETRY_MS)
+fn backoff_ms(failures: u32) -> u64 {
+    (FIRST_BACKOFF_MS << failures.min(16)).min(MAX_BACKOFF_MS)
 }
--- a/crates/bh-scheduler/src/scheduler/invariants.rs
+++ b/crates/bh-scheduler/src/scheduler/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold after every step.
+//! Invariants that hold after every step, for tests.
 
 use super::Scheduler;
 use crate::inventory::WorkerId;
@@ -6,26 +6,26 @@
 use std::collections::BTreeMap;
 
 impl Scheduler {
-    /// Checks what must hold after every step.
+    /// Checks the invariants that must hold after every step.
     ///
     /// # Errors
     ///
-    /// The first rule that is broken, in words.
+    /// Describes the first invariant that is violated.
     pub fn check_invariants(&self) -> Result<(), String> {
         self.check_guarantees_reclaimable()?;
         self.check_accounts()
     }
 
-    /// Every unused guaranteed shape with hardware behind it can be freed by stopping borrowers only: on each worker
-    /// the unused bound accelerators and those that guaranteed jobs hold fit together.
+    /// Checks that every covered and unused guaranteed shape can be freed by stopping borrowers only: on each worker, the
+    /// accelerators bound to guarantees, used or unused, fit its capacity.
     fn check_guarantees_reclaimable(&self) -> Result<(), String> {
-        let mut firm: BTreeMap<WorkerId, u32> = BTreeMap::new();
+        let mut bound: BTreeMap<WorkerId, u32> = BTreeMap::new();
         for cell in self.guarantees.cells() {
             for id in &cell.bound_to {
-                *firm.entry(*id).or_insert(0) += cell.shape.accelerators_per_task;
+                *bound.entry(*id).or_insert(0) += cell.shape.accelerators_per_task;
             }
         }
-        for (id, count) in firm {
+        for (id, count) in bound {
             let worker = self.inventory.worker(id);
             let in_use = worker.bound_used == worker.bound;
             if worker.bound != count {
@@ -56,12 +56,12 @@
 
     fn check_accounts(&self) -> Result<(), String> {
         let mut used: BTreeMap<WorkerId, u32> = BTreeMap::new();
-        let mut settled: BTreeMap<WorkerId, u32> = BTreeMap::new();
+        let mut active: BTreeMap<WorkerId, u32> = BTreeMap::new();
         for job in self.jobs.values() {
             for (id, count) in job.held() {
                 *used.entry(id).or_insert(0) += count;
                 if !matches!(job.state, State::Reclaiming { .. }) {
-                    *settled.entry(id).or_insert(0) += count;
+                    *active.entry(id).or_insert(0) += count;
                 }
             }
         }
@@ -74,7 +74,7 @@
                     worker.name, worker.used
                 ));
             }
-            let running = settled.get(&id).copied().unwrap_or(0);
+            let running = active.get(&id).copied().unwrap_or(0);
             if worker.alive && running > worker.capacity {
                 return Err(format!(
                     "worker {} runs {running} accelerators of {}",
--- a/crates/bh-scheduler/src/scheduler/mod.rs
+++ b/crates/bh-scheduler/src/scheduler/mod.rs
@@ -2,11 +2,11 @@
 
 mod accounts;
 mod dispatch;
-mod force;
+mod failed_placements;
 mod gang;
 mod invariants;
+mod preemption;
 mod stop;
-mod tried;
 mod workers;
 
 use crate::action::Action;
@@ -28,13 +28,13 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Bits of an epoch that count attempts within one leader's term.
+/// Number of low bits of an epoch that count attempts; the bits above hold the leader's term.
 const EPOCH_TERM_SHIFT: u32 = 24;
 
-/// Time between passes over the queue when nothing else asks for one, in milliseconds: a pass sorts the whole queue.
+/// Interval of passes over the queue that no event asks for. It limits their cost: each pass sorts the whole queue.
 const PASS_MS: u64 = 200;
 
-/// Order in the queue: priority, then age, then identity.
+/// Order in the queue: priority, then time of submission, then job number.
 type QueueKey = (Reverse<u8>, u64, u64);
 
 /// Places gangs on accelerators.
@@ -50,21 +50,22 @@
     customer_used: BTreeMap<Arc<str>, u32>,
     runtimes: Runtimes,
     next_epoch: u64,
-    /// Time a start may take to be reported, and a stop order to be confirmed, in milliseconds.
+    /// Lease of workers and tasks. A stop order that is not confirmed for so long is repeated; a start may take twice as
+    /// long to be reported.
     lease_ms: u64,
-    /// Jobs that run, by worker, so that a lost worker or a reclaim finds them without a scan.
+    /// Jobs that hold accelerators of each worker, so that a lost worker or a reclaim finds them without a scan.
     on_worker: BTreeMap<WorkerId, BTreeSet<u64>>,
-    /// Until then workers may still have to announce themselves to this leader.
-    settled_ms: u64,
+    /// Until this time, workers may not have announced themselves to this leader yet.
+    announcements_due_ms: u64,
     dirty: bool,
-    /// When waits that end by time alone are looked at again.
+    /// When the next pass runs for jobs whose wait ends by time alone.
     next_pass_ms: u64,
     actions: Vec<Action>,
 }
 
 impl Scheduler {
-    /// A scheduler for the leader of `term`, elected at `now_ms`. Workers have `lease_ms` to announce themselves before
-    /// their tasks count as lost.
+    /// Creates the scheduler of a leader elected for `term` at `now_ms`. Workers have `lease_ms` to announce themselves
+    /// before their tasks count as lost.
     pub fn new(term: u64, limits: Limits, lease_ms: u64, now_ms: u64) -> Self {
         Self {
             limits,
@@ -78,14 +79,14 @@
             next_epoch: (term << EPOCH_TERM_SHIFT) + 1,
             lease_ms,
             on_worker: BTreeMap::new(),
-            settled_ms: now_ms + lease_ms,
+            announcements_due_ms: now_ms + lease_ms,
             dirty: true,
             next_pass_ms: 0,
             actions: Vec::new(),
         }
     }
 
-    /// Reacts to `event` at `now_ms`.
+    /// Applies `event` at `now_ms` and returns the actions to carry out.
     pub fn step(&mut self, now_ms: u64, event: Event) -> Vec<Action> {
         match event {
             Event::Tick => self.tick(now_ms),
@@ -138,27 +139,27 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// The accelerators.
+    /// Workers and racks of the data centre.
     pub fn inventory(&self) -> &Inventory {
         &self.inventory
     }
 
-    /// The guarantees.
+    /// Guaranteed shapes and their cells.
     pub fn guarantees(&self) -> &Guarantees {
         &self.guarantees
     }
 
-    /// Where `job` is on its way.
+    /// State of `job`, or `None` if it has ended or is unknown.
     pub fn state_of(&self, job: u64) -> Option<&State> {
         self.jobs.get(&job).map(|job| &job.state)
     }
 
-    /// Why `job` waits, as far as the scheduler knows.
+    /// Why `job` waits; empty if the scheduler knows no reason.
     pub fn reason_of(&self, job: u64) -> &str {
         self.jobs.get(&job).map_or("", |job| &job.reason)
     }
 
-    /// Whether every task of `job` has reported itself running.
+    /// Whether every task of `job` is reported as running or done.
     pub fn is_running(&self, job: u64) -> bool {
         self.jobs.get(&job).is_some_and(|job| match &job.state {
             State::Running { running, done, .. } => running.len() + done.len() == job.places.len(),
@@ -166,7 +167,7 @@
         })
     }
 
-    /// Placement of the attempt in progress.
+    /// Placement of the current attempt.
     pub fn placement_of(&self, job: u64) -> Placement {
         self.jobs
             .get(&job)
@@ -174,12 +175,12 @@
             .unwrap_or_default()
     }
 
-    /// Number of waiting jobs.
+    /// Number of queued jobs.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Shapes that wait, for the fragmentation report.
+    /// Shapes of the queued jobs, for the fragmentation report.
     pub fn queued_shapes(&self) -> BTreeSet<Shape> {
         self.queue
             .iter()
@@ -188,7 +189,7 @@
             .collect()
     }
 
-    /// Whether the tasks of this attempt may go on: their lease is renewed.
+    /// Whether the leader should renew the lease of this task, so that it may continue to run.
     pub fn should_renew_lease(&self, key: &TaskKey) -> bool {
         self.jobs.get(&key.job).is_some_and(|job| {
             let holds = !matches!(
@@ -206,10 +207,9 @@
         })
     }
 
-    /// Whether the shape could be placed if nothing else ran. `None` while workers may still have to announce
-    /// themselves.
+    /// Whether the shape could be placed if no other job ran. `None` while workers may not have announced themselves yet.
     pub fn can_ever_fit(&self, shape: &Shape, now_ms: u64) -> Option<bool> {
-        if now_ms < self.settled_ms {
+        if now_ms < self.announcements_due_ms {
             return None;
         }
         let search =
@@ -226,8 +226,8 @@
             return;
         }
         self.limits = limits;
-        let moved = self.guarantees.configure(&mut self.inventory, &self.limits);
-        for (job, cell) in moved {
+        let new_cells = self.guarantees.configure(&mut self.inventory, &self.limits);
+        for (job, cell) in new_cells {
             if let Some(job) = self.jobs.get_mut(&job) {
                 job.cell = cell;
             }
@@ -251,16 +251,16 @@
         }
     }
 
-    /// Takes over a job that an earlier leader started. Its decision is recorded, so it is carried out to the end: a
-    /// worker that reports its tasks as held and not yet started gets the start order again, and tasks that do not
-    /// report themselves in time count as lost. Until the workers announce themselves nothing can be sent to them.
+    /// Takes over a job that an earlier leader started. The decision to start is recorded, so this leader completes it: a
+    /// worker that reports its tasks as prepared gets the start order again, and tasks that are not reported in time
+    /// count as lost. Nothing can be sent to a worker before it announces itself.
     fn adopt(&mut self, now_ms: u64, number: u64, mut job: Job, placement: &Placement) {
         let incarnation = 0;
         for place in &placement.tasks {
             let id = match self.inventory.find(&place.worker) {
                 Some(id) => id,
                 None => {
-                    // Not announced yet: known by name until it is, or until its time is over.
+                    // The worker has not announced itself yet and is known by name only.
                     let unknown = Arc::from("");
                     let (id, _) =
                         self.inventory
@@ -278,7 +278,7 @@
             report_by_ms: now_ms + 2 * self.lease_ms,
         };
         self.jobs.insert(number, job);
-        self.hold(number);
+        self.charge(number);
     }
 
     fn queue_key(&self, number: u64) -> Option<QueueKey> {
@@ -302,7 +302,7 @@
     fn tick(&mut self, now_ms: u64) {
         self.tick_running(now_ms);
         self.tick_stopping(now_ms);
-        // Waits that end by time alone: retries, patience, workers back from being set aside.
+        // Some waits end by time alone: retry waits, starvation, and workers that were set aside.
         if now_ms >= self.next_pass_ms {
             self.next_pass_ms = now_ms + PASS_MS;
             self.dirty |= !self.queue.is_empty();
--- a/crates/bh-scheduler/src/scheduler/force.rs
+++ b/crates/bh-scheduler/src/scheduler/preemption.rs
@@ -1,8 +1,8 @@
-//! Stopping others: whom an urgent, starving or guaranteed job may stop, and who loses the least.
+//! Preemption: which jobs an urgent, starving or guaranteed job may stop, and which of them lose the least work.
 
 use super::Scheduler;
-use super::dispatch::MAX_CANDIDATES;
-use super::tried::Tried;
+use super::dispatch::MAX_VICTIM_CANDIDATES;
+use super::failed_placements::FailedPlacements;
 use crate::inventory::WorkerId;
 use crate::job::Job;
 use crate::job::State;
@@ -13,20 +13,20 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-/// Times a job is stopped for others before it is left alone by all but guarantees.
+/// Number of times a job may be stopped for other jobs. After that, only urgent and guaranteed jobs may stop the job.
 const MAX_PREEMPTIONS: u32 = 3;
-/// How much longer than a gang a single task waits before others make room for it.
-const SINGLE_TASK_PATIENCE: u64 = 4;
-/// Least priority that counts as urgent: such a job stops others of less priority at once.
+/// How many times longer than a gang a single task waits before it counts as starving.
+const SINGLE_TASK_STARVATION_FACTOR: u64 = 4;
+/// Lowest priority that counts as urgent. An urgent job stops jobs of lower priority at once.
 const URGENT_PRIORITY: u8 = 8;
 
 impl Scheduler {
-    /// Stops others for an urgent or starving job.
-    pub(super) fn dispatch_by_force(
+    /// Starts an urgent or starving job by stopping other jobs.
+    pub(super) fn dispatch_by_preemption(
         &mut self,
         now_ms: u64,
         number: u64,
-        tried: &mut Tried,
+        failed: &mut FailedPlacements,
         reserved: &mut BTreeSet<WorkerId>,
     ) {
         let job = &self.jobs[&number];
@@ -37,14 +37,14 @@
             return;
         }
         let key = (job.spec.shape, job.spec.priority, starving);
-        if tried.preempting.contains(&key) {
+        if failed.preempting.contains(&key) {
             return;
         }
         let choice = self.cheapest_victims(now_ms, number, urgent, starving, reserved);
         match choice {
             Some((places, victims)) => self.place(now_ms, number, places, victims),
             None => {
-                tried.preempting.insert(key);
+                failed.preempting.insert(key);
                 if starving && reserved.is_empty() {
                     self.reserve(now_ms, number, reserved);
                 }
@@ -52,30 +52,31 @@
         }
     }
 
-    /// Whether the job has waited so long that smaller ones make room. A gang needs room in one place at one time and may
-    /// never find it; a single task finds it sooner or later as others end, and one accelerator always.
+    /// Whether the job has waited so long that smaller jobs are stopped for it. A gang needs free capacity in one place at
+    /// one time and may never find it. A single task finds it sooner or later as other jobs end, and a task with one
+    /// accelerator always does.
     fn is_starving(&self, now_ms: u64, job: &Job) -> bool {
         let shape = &job.spec.shape;
-        let patience_ms = match (shape.tasks, shape.accelerators_per_task) {
+        let starvation_ms = match (shape.tasks, shape.accelerators_per_task) {
             (1, 1) => return false,
-            (1, _) => self.gang_patience_ms() * SINGLE_TASK_PATIENCE,
-            _ => self.gang_patience_ms(),
+            (1, _) => self.gang_starvation_ms() * SINGLE_TASK_STARVATION_FACTOR,
+            _ => self.gang_starvation_ms(),
         };
-        now_ms >= job.submitted_ms + patience_ms
+        now_ms >= job.submitted_ms + starvation_ms
     }
 
-    /// Wait after which a gang counts as starving. The more fragmentation counts against completion time, the sooner small
-    /// jobs make room for it.
-    fn gang_patience_ms(&self) -> u64 {
+    /// Waiting time after which a gang counts as starving. The more weight the policy gives to fragmentation over
+    /// completion time, the sooner small jobs are stopped for the gang.
+    fn gang_starvation_ms(&self) -> u64 {
         let policy = &self.limits.policy;
         let weights = u64::from(policy.completion_weight + policy.fragmentation_weight).max(1);
         policy.starvation_ms * 2 * u64::from(policy.completion_weight) / weights
     }
 
-    /// Keeps the best rack for a starving job free of later ones, so that it drains.
+    /// Reserves the best workers for a starving job: jobs later in the queue are not placed there, so that the workers drain.
     fn reserve(&mut self, now_ms: u64, number: u64, reserved: &mut BTreeSet<WorkerId>) {
         let shape = self.jobs[&number].spec.shape;
-        let whole = |id: WorkerId| {
+        let reclaimable = |id: WorkerId| {
             let worker = self.inventory.worker(id);
             let guaranteed = worker.bound_used;
             if worker.admits(now_ms) && !reserved.contains(&id) {
@@ -84,7 +85,7 @@
                 0
             }
         };
-        if let Some(places) = Search::new(&self.inventory, whole).place(&shape) {
+        if let Some(places) = Search::new(&self.inventory, reclaimable).place(&shape) {
             reserved.extend(places);
         }
         self.set_reason(
@@ -93,7 +94,7 @@
         );
     }
 
-    /// The places with the least work lost, and whom to stop there.
+    /// Finds the placement that costs the least work, and the jobs to stop for it.
     fn cheapest_victims(
         &self,
         now_ms: u64,
@@ -102,18 +103,19 @@
         starving: bool,
         reserved: &BTreeSet<WorkerId>,
     ) -> Option<(Vec<WorkerId>, BTreeSet<u64>)> {
-        let asking = &self.jobs[&number];
-        let shape = asking.spec.shape;
+        let preemptor = &self.jobs[&number];
+        let shape = preemptor.spec.shape;
         let may_stop = |job: &Job| {
-            let below = job.spec.priority < asking.spec.priority;
+            let lower_priority = job.spec.priority < preemptor.spec.priority;
             let smaller = job.spec.shape.accelerators() * 2 <= shape.accelerators();
-            let spared = job.preemptions >= MAX_PREEMPTIONS;
-            (urgent && below)
+            let protected = job.preemptions >= MAX_PREEMPTIONS;
+            (urgent && lower_priority)
                 || (starving
-                    && !spared
-                    && (below || (smaller && job.spec.priority == asking.spec.priority)))
+                    && !protected
+                    && (lower_priority
+                        || (smaller && job.spec.priority == preemptor.spec.priority)))
         };
-        // Accelerators of each worker that are free or could be freed.
+        // Accelerators of each worker that can be freed by stopping jobs.
         let mut freeable: BTreeMap<WorkerId, u32> = BTreeMap::new();
         for (id, jobs) in &self.on_worker {
             let sum: u32 = jobs
@@ -155,7 +157,7 @@
         best.map(|(_, places, victims)| (places, victims))
     }
 
-    /// Racks to look at one by one, or the whole data centre for a shape that spans racks.
+    /// Racks to examine one by one, or `None` for the whole data centre if the shape spans racks.
     fn racks_to_try(&self, shape: &Shape) -> Vec<Option<u32>> {
         if shape.adjacent == Adjacency::DataCentre {
             return vec![None];
@@ -171,13 +173,13 @@
         racks.sort_unstable();
         racks
             .into_iter()
-            .take(MAX_CANDIDATES)
+            .take(MAX_VICTIM_CANDIDATES)
             .map(|(_, rack)| Some(rack))
             .collect()
     }
 
-    /// Borrowers to stop so that `per_task` accelerators a task come free on `places`; the least work first.
-    /// `None` when stopping every one that `may_stop` allows is not enough.
+    /// Jobs to stop so that `per_task` accelerators per task become free on `places`. On each worker it chooses the
+    /// lowest priority first, then the most recent start. Returns `None` if stopping all jobs that `may_stop` allows is not enough.
     pub(super) fn victims_on(
         &self,
         places: &[WorkerId],
@@ -191,37 +193,37 @@
         let mut victims: BTreeSet<u64> = BTreeSet::new();
         for (id, count) in needed {
             let worker = self.inventory.worker(id);
-            // Accelerators of jobs that are already on their way out come free without a new victim.
-            let mut coming = worker.free();
+            // Jobs that are already stopping free their accelerators without a new victim.
+            let mut available = worker.free();
             let jobs = self.on_worker.get(&id).cloned().unwrap_or_default();
             let mut candidates = Vec::new();
-            let mut over = worker.used.saturating_sub(worker.capacity);
+            let mut overcommitted = worker.used.saturating_sub(worker.capacity);
             for number in jobs {
                 let job = &self.jobs[&number];
                 let held = job.held().get(&id).copied().unwrap_or(0);
                 if victims.contains(&number) || matches!(job.state, State::Stopping { .. }) {
-                    coming += held.saturating_sub(over.min(held));
-                    over = over.saturating_sub(held);
+                    available += held.saturating_sub(overcommitted.min(held));
+                    overcommitted = overcommitted.saturating_sub(held);
                 } else if job.is_preemptible() && may_stop(job) {
                     candidates.push((job.spec.priority, Reverse(job.started_ms), number, held));
                 }
             }
             candidates.sort_unstable();
             for (_, _, number, held) in candidates {
-                if coming >= count {
+                if available >= count {
                     break;
                 }
-                coming += held;
+                available += held;
                 victims.insert(number);
             }
-            if coming < count {
+            if available < count {
                 return None;
             }
         }
         Some(victims)
     }
 
-    /// Work lost when the victims stop: accelerators times the time they have run.
+    /// Work lost when the victims stop: their accelerators times the time they have run.
     pub(super) fn cost_of(&self, now_ms: u64, victims: &BTreeSet<u64>) -> u64 {
         victims
             .iter()
--- a/crates/bh-scheduler/src/scheduler/stop.rs
+++ b/crates/bh-scheduler/src/scheduler/stop.rs
@@ -1,4 +1,4 @@
-//! Stopping whole gangs: for a reclaim, a cancellation, a failure or a lost worker.
+//! Stops whole gangs after a preemption, a cancellation, a failure or the loss of a worker.
 
 use super::Scheduler;
 use crate::action::Action;
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 
 impl Scheduler {
-    /// Stops the attempt of a job on all its workers, then does what `after` says. With `checkpoint` the tasks get the
-    /// time that the settings allow for one.
+    /// Stops a job's attempt on all its workers and then continues with `after`. With `checkpoint`, the tasks first get the
+    /// time that the settings allow for a checkpoint.
     pub(super) fn stop(&mut self, now_ms: u64, number: u64, after: AfterStop, checkpoint: bool) {
         let checkpoint_until_ms =
             checkpoint.then(|| now_ms + self.limits.policy.checkpoint_wait_ms);
@@ -21,7 +21,7 @@
         match &mut job.state {
             State::Queued | State::RecordingRequeue => return,
             State::Reclaiming { .. } => {
-                // Nothing was sent to any worker for this attempt.
+                // No order was sent to any worker for this attempt.
                 job.after_stop = Some(after);
                 self.stopped(number);
                 return;
@@ -33,7 +33,7 @@
                 if checkpoint {
                     return;
                 }
-                // An end outranks a requeue; a requeue of a recorded start outranks a plain retry.
+                // Only an end replaces the earlier `after_stop`. A retry must not replace the requeue of a recorded start.
                 if matches!(after, AfterStop::End { .. }) {
                     job.after_stop = Some(after);
                 }
@@ -49,10 +49,11 @@
             .keys()
             .map(|id| self.inventory.worker(*id).name.clone())
             .collect();
-        // A decision that is on its way to the record may yet be taken: it must be taken back there, too.
-        let decided = matches!(job.state, State::RecordingStart | State::Running { .. });
+        // A start that is being recorded may still be accepted, so it needs a requeue in the table as well.
+        let start_may_be_recorded =
+            matches!(job.state, State::RecordingStart | State::Running { .. });
         job.after_stop = Some(match after {
-            AfterStop::Retry { .. } if decided => AfterStop::Requeue {
+            AfterStop::Retry { .. } if start_may_be_recorded => AfterStop::Requeue {
                 reason: job.reason.clone(),
             },
             other => other,
@@ -80,14 +81,14 @@
         self.actions.push(action);
     }
 
-    /// A worker no longer holds any task of this attempt.
+    /// Handles the confirmation that a worker no longer holds any task of this attempt.
     pub(super) fn worker_stopped(&mut self, number: u64, epoch: u64, worker: &Arc<str>) {
         if self.jobs.get(&number).is_some_and(|job| job.epoch == epoch) {
-            self.worker_stopped_any(number, worker);
+            self.remove_pending_worker(number, worker);
         }
     }
 
-    pub(super) fn worker_stopped_any(&mut self, number: u64, worker: &Arc<str>) {
+    pub(super) fn remove_pending_worker(&mut self, number: u64, worker: &Arc<str>) {
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
         };
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Every task of the attempt has stopped.
+    /// Frees the accelerators and continues with `after_stop`, once every task of the attempt has stopped.
     fn stopped(&mut self, number: u64) {
         self.release(number);
         let Some(job) = self.jobs.get_mut(&number) else {
@@ -138,7 +139,7 @@
                 self.enqueue(number);
             }
         }
-        self.victim_gone(number);
+        self.victim_stopped(number);
     }
 
     pub(super) fn requeued(&mut self, number: u64, epoch: u64) {
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Cancels a wave of jobs in one pass: accelerators are given out again once, after the last of them.
+    /// Cancels jobs together: their accelerators are given out in one pass, after the last job.
     pub(super) fn jobs_cancelled(&mut self, now_ms: u64, numbers: &[u64]) {
         for number in numbers {
             let Some(job) = self.jobs.get(number) else {
@@ -180,9 +181,9 @@
         self.dirty = true;
     }
 
-    /// Ends checkpoint waits and repeats stop orders that were not confirmed.
+    /// Ends checkpoint waits that have expired and repeats unconfirmed stop orders.
     pub(super) fn tick_stopping(&mut self, now_ms: u64) {
-        self.forget_lost_workers(now_ms);
+        self.drop_lost_workers(now_ms);
         let lease_ms = self.lease_ms;
         let mut orders = Vec::new();
         for (number, job) in &mut self.jobs {
@@ -210,29 +211,30 @@
         self.actions.extend(orders);
     }
 
-    /// A worker that never announced itself to this leader confirms nothing; its tasks have ended by their leases.
-    fn forget_lost_workers(&mut self, now_ms: u64) {
-        if now_ms < self.settled_ms {
+    /// Stops waiting for workers that are lost or never announced themselves to this leader. They confirm nothing, and their
+    /// tasks have ended because their leases expired.
+    fn drop_lost_workers(&mut self, now_ms: u64) {
+        if now_ms < self.announcements_due_ms {
             return;
         }
-        let mut gone = Vec::new();
+        let mut lost_workers = Vec::new();
         for (number, job) in &self.jobs {
             if let State::Stopping { pending, .. } = &job.state {
-                let lost = |name: &&Arc<str>| {
+                let is_lost = |name: &&Arc<str>| {
                     self.inventory
                         .find(name)
                         .is_none_or(|id| !self.inventory.worker(id).alive)
                 };
-                gone.extend(
+                lost_workers.extend(
                     pending
                         .iter()
-                        .filter(lost)
+                        .filter(is_lost)
                         .map(|name| (*number, name.clone())),
                 );
             }
         }
-        for (number, name) in gone {
-            self.worker_stopped_any(number, &name);
+        for (number, name) in lost_workers {
+            self.remove_pending_worker(number, &name);
         }
     }
 }
--- a/crates/bh-scheduler/src/scheduler/workers.rs
+++ b/crates/bh-scheduler/src/scheduler/workers.rs
@@ -1,4 +1,4 @@
-//! Workers that come, report, leave and are lost.
+//! Announcements, task reports and losses of workers.
 
 use super::Scheduler;
 use crate::action::Action;
@@ -12,12 +12,12 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Workers that restart under one job soon after its start before it is given up. Two may come by chance; a job that crashes the workers
-/// that start it would take one after the other down, with all that runs there.
-const MOST_CRASHES: u32 = 3;
-/// Time after a job's start within which a restart of its worker counts, in milliseconds: what a start does to a worker it does at once,
-/// and the worker is back some seconds later.
-const SOON_MS: u64 = 30_000;
+/// Number of worker restarts soon after a job's start at which the job fails. Two restarts may be a coincidence. A job that
+/// crashes the workers that start it would otherwise take down one worker after the other, with everything that runs there.
+const CRASH_LIMIT: u32 = 3;
+/// Time after a job's start within which a restart of its worker counts against the job. A job that crashes its worker does so at
+/// once, and the worker is back some seconds later.
+const CRASH_WINDOW_MS: u64 = 30_000;
 
 impl Scheduler {
     pub(super) fn worker_announced(
@@ -37,7 +37,7 @@
             worker.alive && worker.incarnation != incarnation && worker.incarnation != 0
         });
         if restarted {
-            // Its process died and came back within its lease: every task it held is gone.
+            // The worker's process restarted before its lease expired, so all its earlier tasks are gone.
             self.count_crash(now_ms, name);
             self.worker_lost(now_ms, name);
         }
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Counts a worker's restart against the jobs that had just started there, and ends those under which it happened too often.
+    /// Counts a worker's restart against the jobs that had just started on it, and fails the jobs with too many such restarts.
     fn count_crash(&mut self, now_ms: u64, name: &Arc<str>) {
         let jobs = self
             .inventory
@@ -62,12 +62,12 @@
             let Some(job) = self.jobs.get_mut(&number) else {
                 continue;
             };
-            let soon = now_ms < job.started_ms + SOON_MS;
-            if !soon || !matches!(job.state, State::Running { .. }) {
+            let just_started = now_ms < job.started_ms + CRASH_WINDOW_MS;
+            if !just_started || !matches!(job.state, State::Running { .. }) {
                 continue;
             }
             job.crashes += 1;
-            if job.crashes >= MOST_CRASHES {
+            if job.crashes >= CRASH_LIMIT {
                 let reason = format!("{} workers crashed under it, last {name}", job.crashes);
                 let phase = bh_protocol::job::Phase::Failed;
                 self.stop(now_ms, number, AfterStop::End { phase, reason }, false);
@@ -94,13 +94,13 @@
                 },
                 false,
             );
-            self.worker_stopped_any(job, name);
+            self.remove_pending_worker(job, name);
         }
         self.guarantees.rebind(&mut self.inventory);
         self.dirty = true;
     }
 
-    /// Takes a worker's report on its tasks into account.
+    /// Applies a worker's reports on its tasks.
     pub(super) fn task_reports(&mut self, now_ms: u64, name: &Arc<str>, reports: &[TaskReport]) {
         let mut by_job: BTreeMap<u64, Vec<&TaskReport>> = BTreeMap::new();
         for report in reports {
@@ -125,7 +125,7 @@
             return;
         }
         if matches!(job.state, State::Running { .. }) {
-            self.start_again(number, name, &current);
+            self.resend_start(number, name, &current);
         }
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
@@ -166,9 +166,9 @@
         }
     }
 
-    /// Repeats the start order for tasks that are held though their start is decided: the leader that decided it died
-    /// before the order arrived, or the order was lost.
-    fn start_again(&mut self, number: u64, name: &Arc<str>, reports: &[&&TaskReport]) {
+    /// Repeats the start order for tasks that are still only prepared although their start is recorded, because the leader
+    /// died before the order arrived or the order was lost.
+    fn resend_start(&mut self, number: u64, name: &Arc<str>, reports: &[&&TaskReport]) {
         let held = reports
             .iter()
             .filter(|report| report.phase == TaskPhase::Prepared);
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Jobs that run on this worker as far as we know, but that it does not report: it has lost their tasks.
+    /// Handles jobs that should run on this worker but that it doesn't report: it has lost their tasks.
     fn missing_tasks(
         &mut self,
         now_ms: u64,
@@ -214,8 +214,9 @@
                 continue;
             }
             match &job.state {
-                // It may have written this before it held the tasks, and an entry that passes announcements on sends them again when its link broke.
-                // Until a lease has passed, after which tasks that nobody renews have ended, only the answer to the stop order counts.
+                // The worker may have written this announcement before it held the tasks, because an entry that forwards announcements sends them
+                // again after its link broke. So only the answer to the stop order counts until a lease has passed, after which the tasks have ended
+                // because nobody renewed their lease.
                 State::Stopping { since_ms, .. } if now_ms >= since_ms + self.lease_ms => {
                     let epoch = job.epoch;
                     self.worker_stopped(number, epoch, name);
@@ -259,16 +260,16 @@
             .all(|(task, place)| *place != id || done.contains(&(task as u32)))
     }
 
-    /// A task ended in failure: the whole gang stops. Whether that counts against the job or the worker is decided by
-    /// what else fails where.
+    /// Stops the whole gang after one of its tasks failed. Whether the failure counts against the job or the worker depends
+    /// on where else the job fails and what else fails on the worker.
     fn task_failed(&mut self, now_ms: u64, number: u64, name: &Arc<str>) {
         let Some(id) = self.inventory.find(name) else {
             return;
         };
-        let already = self.jobs.get(&number).is_some_and(|job| {
+        let stopping = self.jobs.get(&number).is_some_and(|job| {
             matches!(job.state, State::Stopping { .. } | State::RecordingRequeue)
         });
-        if already {
+        if stopping {
             return;
         }
         let suspect = self.inventory.worker(id).health.is_suspect();
@@ -282,12 +283,12 @@
         job.failures += 1;
         let failed_on = job.failed_on.len();
         let limit = usize::try_from(self.limits.policy.max_attempts).unwrap_or(usize::MAX);
-        // Where there are fewer workers than attempts allowed, repeated failures on the same ones count too.
-        let everywhere =
+        // With fewer workers than allowed attempts, repeated failures on the same workers count as well.
+        let job_fails =
             failed_on >= limit || job.failures >= self.limits.policy.max_attempts.saturating_mul(3);
-        if everywhere {
-            let blamed: Vec<u32> = job.failed_on.iter().copied().collect();
-            for id in blamed {
+        if job_fails {
+            let failed_workers: Vec<u32> = job.failed_on.iter().copied().collect();
+            for id in failed_workers {
                 self.inventory.health_mut(id).clear_failure(number);
             }
             let reason = format!("failed on {failed_on} workers, last on {name}");
