--- a/crates/bh-router/src/decision.rs
+++ b/crates/bh-router/src/decision.rs
@@ -1,4 +1,4 @@
-//! What the router asks its driver to do, and what it is told back.
+//! What the router asks its driver to do, and how attempts end.
 
 use bh_protocol::Failure;
 use std::sync::Arc;
@@ -6,29 +6,29 @@
 /// One output of the router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Send the request to a target; a slot is taken.
+    /// Send the request to a target, on which a slot is already taken.
     Send {
-        /// Request.
+        /// Id of the request.
         id: u64,
-        /// Target.
+        /// Name of the target.
         target: Arc<str>,
         /// Address of the target.
         address: Arc<str>,
-        /// Give the attempt up after this long, in milliseconds.
+        /// Timeout of the attempt, in milliseconds.
         timeout_ms: u64,
     },
-    /// Hand the request to another entry, which owns a free slot.
+    /// Forward the request to another entry that reports a free slot.
     Forward {
-        /// Request.
+        /// Id of the request.
         id: u64,
-        /// Entry.
+        /// Name of the entry.
         entry: Arc<str>,
     },
-    /// Answer the caller now: nothing was sent.
+    /// Answer the caller with a refusal. Nothing was sent.
     Refuse {
-        /// Request.
+        /// Id of the request.
         id: u64,
-        /// The refusal.
+        /// The failure to return.
         failure: Failure,
     },
 }
@@ -36,21 +36,21 @@
 /// How an attempt on a target ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The whole answer came back, and the target did not report a failure.
+    /// The complete answer arrived, and the target reported no failure.
     Answered,
-    /// The target reported a failure of its own.
+    /// The target reported a failure.
     Failed,
-    /// The connection broke, the answer was cut or the time ran out.
+    /// The connection broke, the answer was incomplete or the attempt timed out.
     Lost,
     /// No connection could be opened.
     NotConnected,
-    /// Nothing was sent, for a reason that lies with us.
+    /// Nothing was sent, for a reason on this entry's side.
     Unused,
 }
 
 impl AttemptOutcome {
-    /// Whether the attempt speaks against the target.
-    pub fn is_against_target(self) -> bool {
+    /// Whether the outcome counts as a failure of the target.
+    pub fn is_target_failure(self) -> bool {
         matches!(
             self,
             AttemptOutcome::Failed | AttemptOutcome::Lost | AttemptOutcome::NotConnected
--- a/crates/bh-router/src/health.rs
+++ b/crates/bh-router/src/health.rs
@@ -1,65 +1,67 @@
-//! Which targets fail what others answer.
+//! Detects targets that fail requests which other targets answer.
 
 use crate::decision::AttemptOutcome;
 
-/// Attempts in a row that must fail before a target is set aside.
+/// Number of consecutive attempts that must fail before a target is set aside.
 const FAILURES_TO_SET_ASIDE: u32 = 3;
-/// First time aside, in milliseconds; doubles each time.
-const FIRST_ASIDE_MS: u64 = 1_000;
-/// Longest time aside, in milliseconds.
-const LONGEST_ASIDE_MS: u64 = 60_000;
+/// How long a target is set aside the first time. The time doubles with each further failure.
+const FIRST_SET_ASIDE_MS: u64 = 1_000;
+/// Upper limit of the time a target is set aside.
+const MAX_SET_ASIDE_MS: u64 = 60_000;
 
-/// How the attempts on one target have ended.
+/// Failures of attempts on one target.
 ///
-/// A target that fails at once is free at once, and would be given most requests. Its failures are weighed against
-/// how the same request type fares elsewhere: where everything fails, it is the request, and no target is set aside.
+/// A target that fails requests at once is free at once, so it would get most requests. It is set aside, which means that
+/// it gets no requests for a while. A failure doesn't count if the same request type fails on other targets as well,
+/// because then the request is at fault.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TargetHealth {
-    failures_in_row: u32,
-    times_aside: u32,
-    aside_until_ms: u64,
+    consecutive_failures: u32,
+    set_aside_count: u32,
+    set_aside_until_ms: u64,
     probing: bool,
 }
 
 impl TargetHealth {
-    /// Notes the end of an attempt. `elsewhere_fails` says that the type fails on other targets as well.
-    pub fn note(&mut self, now_ms: u64, outcome: AttemptOutcome, elsewhere_fails: bool) {
+    /// Records the end of an attempt. `fails_elsewhere` tells that the request type fails on other targets as well.
+    pub fn record(&mut self, now_ms: u64, outcome: AttemptOutcome, fails_elsewhere: bool) {
         self.probing = false;
-        if !outcome.is_against_target() {
+        if !outcome.is_target_failure() {
             if outcome == AttemptOutcome::Answered {
                 *self = Self::default();
             }
             return;
         }
-        if elsewhere_fails && outcome == AttemptOutcome::Failed {
+        if fails_elsewhere && outcome == AttemptOutcome::Failed {
             return;
         }
-        self.failures_in_row += 1;
-        let needed = if self.times_aside > 0 {
+        self.consecutive_failures += 1;
+        let needed = if self.set_aside_count > 0 {
             1
         } else {
             FAILURES_TO_SET_ASIDE
         };
-        if self.failures_in_row >= needed {
-            let wait_ms = (FIRST_ASIDE_MS << self.times_aside.min(16)).min(LONGEST_ASIDE_MS);
-            self.aside_until_ms = now_ms + wait_ms;
-            self.times_aside += 1;
-            self.failures_in_row = 0;
+        if self.consecutive_failures >= needed {
+            let set_aside_ms =
+                (FIRST_SET_ASIDE_MS << self.set_aside_count.min(16)).min(MAX_SET_ASIDE_MS);
+            self.set_aside_until_ms = now_ms + set_aside_ms;
+            self.set_aside_count += 1;
+            self.consecutive_failures = 0;
         }
     }
 
-    /// Whether the target may get a request now. Back from being set aside it gets one at a time until it answers.
+    /// Whether the target may get a request now. After it was set aside, it gets one request at a time until it answers one.
     pub fn admits(&self, now_ms: u64) -> bool {
-        now_ms >= self.aside_until_ms && !(self.times_aside > 0 && self.probing)
+        now_ms >= self.set_aside_until_ms && !(self.set_aside_count > 0 && self.probing)
     }
 
-    /// Whether the target is set aside or on probation.
+    /// Whether the target has been set aside and has not answered a request since.
     pub fn is_suspect(&self) -> bool {
-        self.times_aside > 0
+        self.set_aside_count > 0
     }
 
-    /// Notes that a request is being sent.
-    pub fn note_sent(&mut self) {
-        self.probing = self.times_aside > 0;
+    /// Records that a request is being sent to the target.
+    pub fn record_sent(&mut self) {
+        self.probing = self.set_aside_count > 0;
     }
 }
--- a/crates/bh-router/src/ledger.rs
+++ b/crates/bh-router/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The replicated record that keeps non-idempotent requests at most once.
+//! The replicated record of non-idempotent requests, which makes each of them run at most once.
 
 use bh_protocol::request::RequestKey;
 use bh_protocol::request::StoredAnswer;
@@ -8,41 +8,41 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Requests remembered at most. The oldest ended ones go first.
-pub const MAX_ENTRIES: usize = 200_000;
-/// Bytes of answers kept at most; the oldest are dropped first, and their resends told so.
+/// Upper limit of ended requests in the record. The oldest ones are dropped first.
+pub const MAX_ENDED_REQUESTS: usize = 200_000;
+/// Upper limit of the bytes of all stored answer bodies. The oldest ones are dropped first; a resend of such a request is told so.
 pub const MAX_ANSWER_BYTES: usize = 16 << 20;
-/// Largest answer that is kept, in bytes.
-pub const MAX_KEPT_ANSWER: usize = 16 << 10;
+/// Largest answer body that is stored, in bytes.
+pub const MAX_STORED_ANSWER_BYTES: usize = 16 << 10;
 
-/// A change of the record.
+/// A change of the ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LedgerCommand {
-    /// The request is about to be sent to a target. Recorded before its first byte leaves.
+    /// Record that the request is about to be sent to a target, before its first byte is sent.
     Begin {
-        /// The request.
+        /// Key of the request.
         key: RequestKey,
-        /// Digest of its type and body: a key that is used again for something else is refused.
+        /// Digest of the request's type and body. A key that is reused for another request is refused.
         digest: u64,
-        /// Unique number of this attempt to begin; a repeated proposal gets its own first answer again.
+        /// Unique number of this attempt. A repeated proposal with the same number gets the same answer.
         attempt: u64,
-        /// Wall clock at which its outcome must be known, in milliseconds since 1970.
+        /// Wall clock by which the outcome is known, in milliseconds since 1970.
         expires_wall_ms: u64,
     },
-    /// The request ended, with an answer that resends get.
+    /// Record that the request ended, with the answer that resends get.
     End {
-        /// The request.
+        /// Key of the request.
         key: RequestKey,
-        /// Attempt that began it.
+        /// Attempt that began the request.
         attempt: u64,
         /// The answer.
         answer: StoredAnswer,
     },
-    /// Nothing was sent after all: the request may begin again.
+    /// Remove the request because nothing was sent, so that it may begin again.
     Withdraw {
-        /// The request.
+        /// Key of the request.
         key: RequestKey,
-        /// Attempt that began it.
+        /// Attempt that began the request.
         attempt: u64,
     },
 }
@@ -52,54 +52,54 @@
 pub enum LedgerAnswer {
     /// The attempt may send the request.
     Granted,
-    /// Another attempt began it and has not reported its outcome.
+    /// Another attempt began the request and has not reported its outcome.
     Begun {
-        /// Wall clock after which its outcome will not come any more.
+        /// Wall clock after which no outcome will be reported any more.
         expires_wall_ms: u64,
     },
-    /// It has ended, with this answer.
+    /// The request has ended with this answer.
     Ended(StoredAnswer),
-    /// The key was used for something else.
+    /// The key was used for another request.
     KeyReused,
     /// The change is recorded.
     Recorded,
 }
 
-/// One request in the record.
+/// One request in the ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct LedgerEntry {
     digest: u64,
     attempt: u64,
     expires_wall_ms: u64,
     answer: Option<StoredAnswer>,
 }
 
-/// All non-idempotent requests whose home is this group.
+/// All non-idempotent requests that this group keeps the record of.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Ledger {
-    entries: BTreeMap<Arc<str>, Entry>,
+    entries: BTreeMap<Arc<str>, LedgerEntry>,
     ended: VecDeque<Arc<str>>,
     with_body: VecDeque<Arc<str>>,
     answer_bytes: usize,
 }
 
 impl Ledger {
-    /// An empty record.
+    /// Creates an empty ledger.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Requests remembered.
+    /// Number of requests in the ledger.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no request is remembered.
+    /// Whether the ledger holds no request.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Applies one change. Replicas that apply the same changes in the same order are equal.
+    /// Applies one change. It is deterministic: replicas that apply the same changes in the same order are equal.
     pub fn apply(&mut self, command: LedgerCommand) -> LedgerAnswer {
         match command {
             LedgerCommand::Begin {
@@ -128,7 +128,7 @@
             None => {
                 self.entries.insert(
                     name.clone(),
-                    Entry {
+                    LedgerEntry {
                         digest,
                         attempt,
                         expires_wall_ms,
@@ -138,11 +138,11 @@
                 LedgerAnswer::Granted
             }
             Some(entry) if entry.digest != digest => LedgerAnswer::KeyReused,
-            Some(Entry {
+            Some(LedgerEntry {
                 answer: Some(answer),
                 ..
             }) => LedgerAnswer::Ended(answer.clone()),
-            // The proposal was repeated because its answer was lost between entries; nothing was sent yet.
+            // The same proposal was repeated because its answer was lost between entries. Nothing was sent yet.
             Some(entry) if entry.attempt == attempt => LedgerAnswer::Granted,
             Some(entry) => LedgerAnswer::Begun {
                 expires_wall_ms: entry.expires_wall_ms,
@@ -161,7 +161,7 @@
         if answer
             .body
             .as_ref()
-            .is_some_and(|body| body.len() > MAX_KEPT_ANSWER)
+            .is_some_and(|body| body.len() > MAX_STORED_ANSWER_BYTES)
         {
             answer.body = None;
         }
@@ -171,7 +171,7 @@
         }
         entry.answer = Some(answer);
         self.ended.push_back(name.clone());
-        self.forget();
+        self.enforce_limits();
         LedgerAnswer::Recorded
     }
 
@@ -186,9 +186,9 @@
         LedgerAnswer::Recorded
     }
 
-    /// Keeps the record within its bounds. A request without an outcome is never forgotten: its resend would run it
-    /// a second time.
-    fn forget(&mut self) {
+    /// Drops the oldest answers and ended requests until the ledger is within its limits. A request without an outcome is
+    /// never dropped, because a resend would then run it a second time.
+    fn enforce_limits(&mut self) {
         while self.answer_bytes > MAX_ANSWER_BYTES {
             let Some(oldest) = self.with_body.pop_front() else {
                 break;
@@ -201,7 +201,7 @@
                 self.answer_bytes -= body.len();
             }
         }
-        while self.ended.len() > MAX_ENTRIES {
+        while self.ended.len() > MAX_ENDED_REQUESTS {
             let Some(oldest) = self.ended.pop_front() else {
                 break;
             };
--- a/crates/bh-router/src/lib.rs
+++ b/crates/bh-router/src/lib.rs
@@ -1,22 +1,24 @@
-//! Short requests: admission, queues, slots, retries, and the record that keeps non-idempotent ones at most once.
+//! Admission, queueing, routing and retries of short requests, and the record that runs non-idempotent requests at most
+//! once.
 //!
-//! [`Router`] is pure: it takes the time and events and returns [`Decision`]s. [`Ledger`] is the replicated record.
+//! [`Router`] is pure decision code: it takes the current time and events and returns [`Decision`]s. [`Ledger`] is the
+//! replicated record.
 
-mod budget;
 mod decision;
-mod estimate;
 mod health;
 mod ledger;
 mod pending_request;
 mod queue;
+mod retry_budget;
 mod router;
-mod type_record;
+mod service_times;
+mod type_outcomes;
 
 pub use decision::AttemptOutcome;
 pub use decision::Decision;
-pub use ledger::Entry;
 pub use ledger::Ledger;
 pub use ledger::LedgerAnswer;
 pub use ledger::LedgerCommand;
+pub use ledger::LedgerEntry;
 pub use pending_request::PendingRequest;
 pub use router::Router;
--- a/crates/bh-router/src/pending_request.rs
+++ b/crates/bh-router/src/pending_request.rs
@@ -1,33 +1,33 @@
-//! One request in the router.
+//! One request that the router holds.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// What the router knows of a request.
+/// A request that is queued or in progress.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingRequest {
-    /// Identity, chosen by the driver.
+    /// Id of the request, chosen by the driver.
     pub id: u64,
-    /// Customer it is charged to.
+    /// Customer that the request is charged to.
     pub customer: Arc<str>,
-    /// The customer's share.
+    /// The customer's weight in fair queueing.
     pub weight: u32,
-    /// Request type; service times are learnt by it.
+    /// Request type, by which service times are estimated.
     pub request_type: Arc<str>,
-    /// Priority from the request type.
+    /// Priority of the request type.
     pub priority: u8,
-    /// When the caller stops waiting.
+    /// Time at which the caller stops waiting.
     pub deadline_ms: u64,
-    /// Whether it may run again after an unclear outcome.
+    /// Whether the request may run again after an unknown outcome.
     pub idempotent: bool,
-    /// Whether another entry handed it over: it is not handed on, so that it cannot wander.
+    /// Whether another entry forwarded the request. It is not forwarded again, so that it can't circulate between entries.
     pub forwarded: bool,
-    /// Targets that failed it.
+    /// Targets on which the request failed.
     pub failed_on: BTreeSet<Arc<str>>,
-    /// Entries that could not take it.
+    /// Entries that refused the forwarded request.
     pub refused_by: BTreeSet<Arc<str>>,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: u32,
-    /// When it arrived.
+    /// Time at which the request arrived at this entry.
     pub arrived_ms: u64,
 }
--- a/crates/bh-router/src/queue.rs
+++ b/crates/bh-router/src/queue.rs
@@ -1,4 +1,4 @@
-//! Waiting requests: priorities first, then the customers' shares.
+//! The queue of waiting requests, ordered by priority and then by the customers' shares.
 
 use crate::pending_request::PendingRequest;
 use std::cmp::Reverse;
@@ -6,8 +6,8 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Units of virtual time that one request of weight 1 costs.
-const UNIT: u64 = 1_000_000;
+/// Virtual time that one request of weight 1 costs.
+const VIRTUAL_TIME_PER_REQUEST: u64 = 1_000_000;
 
 #[derive(Clone, Debug, Default)]
 struct Lane {
@@ -18,8 +18,8 @@
 
 /// Requests that wait for a slot.
 ///
-/// Within a priority each customer has a lane; lanes take turns by weight (start-time fair queueing), so that one
-/// customer's burst delays its own requests and not another's.
+/// Within a priority, each customer has its own lane. Lanes take turns by weight (start-time fair queueing), so that a
+/// burst of one customer delays only this customer's requests.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Queue {
     priorities: BTreeMap<Reverse<u8>, BTreeMap<Arc<str>, Lane>>,
@@ -28,12 +28,12 @@
 }
 
 impl Queue {
-    /// Number of waiting requests.
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Adds a request at the end of its lane.
+    /// Adds a request at the back of its lane.
     pub fn push(&mut self, request: PendingRequest) {
         self.insert(request, false);
     }
@@ -50,7 +50,7 @@
             .or_default();
         let lane = lanes.entry(request.customer.clone()).or_default();
         if lane.waiting.is_empty() {
-            // A lane that was empty gains nothing for the time it asked for nothing.
+            // A lane earns no credit for the time in which it was empty.
             lane.due = lane.due.max(self.virtual_time);
         }
         if front {
@@ -61,7 +61,7 @@
         self.len += 1;
     }
 
-    /// Takes the next request.
+    /// Removes and returns the next request.
     pub fn pop(&mut self) -> Option<PendingRequest> {
         for lanes in self.priorities.values_mut() {
             let next = lanes
@@ -75,14 +75,14 @@
                 continue;
             };
             self.virtual_time = self.virtual_time.max(lane.due);
-            lane.due += UNIT / u64::from(request.weight.max(1));
+            lane.due += VIRTUAL_TIME_PER_REQUEST / u64::from(request.weight.max(1));
             self.len -= 1;
             return Some(request);
         }
         None
     }
 
-    /// Requests that would be served before a new one of `customer` with this priority and weight.
+    /// Estimates how many requests would be served before a new one of `customer` with this priority and weight.
     pub fn ahead_of(&self, customer: &str, priority: u8, weight: u32) -> usize {
         let mut ahead = 0;
         for (Reverse(level), lanes) in &self.priorities {
@@ -95,7 +95,7 @@
             }
             let own = lanes.get(customer).map_or(0, |lane| lane.waiting.len());
             ahead += own;
-            // While this lane's requests are served, another gets as many turns as its weight allows.
+            // While this customer's requests are served, each other lane gets as many turns as its weight allows.
             for (_, lane) in lanes.iter().filter(|(name, _)| &***name != customer) {
                 let other_weight = lane
                     .waiting
@@ -108,9 +108,9 @@
         ahead
     }
 
-    /// Lets waiting requests be handed to `entry` again. It refused them because it had no slot for the moment: held to that, a request whose own
-    /// targets fail it would wait for its whole time beside slots that are free.
-    pub fn forget_refusals_of(&mut self, entry: &Arc<str>) {
+    /// Allows queued requests to be forwarded to `entry` again. The entry refused them because it had no free slot at that time. If the refusal
+    /// were kept, a request that fails on its own entry's targets would wait until its deadline although `entry` has free slots.
+    pub fn clear_refusals_of(&mut self, entry: &Arc<str>) {
         let lanes = self
             .priorities
             .values_mut()
@@ -120,23 +120,26 @@
         }
     }
 
-    /// Takes out the requests that `dead` picks.
-    pub fn remove_where(&mut self, dead: impl Fn(&PendingRequest) -> bool) -> Vec<PendingRequest> {
+    /// Removes and returns the requests that match `predicate`.
+    pub fn remove_where(
+        &mut self,
+        predicate: impl Fn(&PendingRequest) -> bool,
+    ) -> Vec<PendingRequest> {
         let mut removed = Vec::new();
         for lane in self
             .priorities
             .values_mut()
             .flat_map(|lanes| lanes.values_mut())
         {
-            let (gone, kept) = std::mem::take(&mut lane.waiting)
+            let (matching, kept) = std::mem::take(&mut lane.waiting)
                 .into_iter()
-                .partition(|request| dead(request));
+                .partition(|request| predicate(request));
             lane.waiting = kept;
-            let gone: VecDeque<PendingRequest> = gone;
-            removed.extend(gone);
+            let matching: VecDeque<PendingRequest> = matching;
+            removed.extend(matching);
         }
         self.len -= removed.len();
-        // Lanes of customers that have gone quiet are forgotten, so that the map does not grow with every name.
+        // Lanes of inactive customers are removed, so that the map doesn't grow with every customer name.
         let now = self.virtual_time;
         for lanes in self.priorities.values_mut() {
             lanes.retain(|_, lane| !lane.waiting.is_empty() || lane.due > now);
@@ -146,6 +149,6 @@
 }
 
 fn to_usize(count: u32) -> usize {
-    // Lossless on the 32- and 64-bit systems this is built for.
+    // Lossless on the supported 32- and 64-bit platforms.
     count as usize
 }
--- a/crates/bh-router/src/type_record.rs
+++ b/crates/bh-router/src/type_outcomes.rs
@@ -1,27 +1,27 @@
-//! How a request type fares over all targets.
+//! Failures of a request type over all targets.
 
 use crate::decision::AttemptOutcome;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A type that fails more than this share of its attempts fails everywhere, in thousandths.
-const FAILS_EVERYWHERE: u64 = 500;
+/// Share of failed attempts, in thousandths, above which a request type counts as failing everywhere.
+const FAILS_EVERYWHERE_THOUSANDTHS: u64 = 500;
 
-/// How a request type fares over all targets.
+/// Answers and failures of a request type over all targets.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct TypeRecord {
-    /// Failures by target, forgotten by halves.
+pub(crate) struct TypeOutcomes {
+    /// Failures by target.
     failed: BTreeMap<Arc<str>, u64>,
     answered: u64,
     attempts: u64,
 }
 
-impl TypeRecord {
-    /// Attempts after which all counts are halved.
+impl TypeOutcomes {
+    /// Number of attempts after which all counts are halved, so that old outcomes lose weight.
     const WINDOW: u64 = 64;
 
-    /// Takes the end of an attempt into account.
-    pub fn note(&mut self, target: &Arc<str>, outcome: AttemptOutcome) {
+    /// Records the end of an attempt.
+    pub fn record(&mut self, target: &Arc<str>, outcome: AttemptOutcome) {
         self.attempts += 1;
         match outcome {
             AttemptOutcome::Answered => self.answered += 1,
@@ -38,12 +38,12 @@
         }
     }
 
-    /// Whether the type fails on several targets other than `target`, and mostly.
+    /// Whether the type fails on at least two targets other than `target`, in most of the attempts.
     pub fn fails_elsewhere(&self, target: &Arc<str>) -> bool {
         let others = self.failed.iter().filter(|(name, _)| *name != target);
         let (targets, failures) = others.fold((0, 0), |(targets, sum), (_, count)| {
             (targets + 1, sum + count)
         });
-        targets >= 2 && failures * 1_000 > (failures + self.answered) * FAILS_EVERYWHERE
+        targets >= 2 && failures * 1_000 > (failures + self.answered) * FAILS_EVERYWHERE_THOUSANDTHS
     }
 }
