--- a/crates/bh-membership/src/claim.rs
+++ b/crates/bh-membership/src/claim.rs
@@ -1,4 +1,4 @@
-//! What an entry tells the leader when it renews its targets.
+//! An entry's renewal of its targets.
 
 use bh_protocol::target::Announcement;
 use serde::Deserialize;
@@ -8,30 +8,30 @@
 /// One target that an entry owns.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The target as the entry knows it. A new leader learns of targets from their owners before they announce
-    /// themselves again, so that a change of leader interrupts nothing.
+    /// The target as the entry knows it. A new leader learns about targets from their owners before the targets announce
+    /// themselves again, so that a change of leader doesn't interrupt requests.
     pub target: Announcement,
-    /// Time left of the entry's lease on it, in milliseconds.
+    /// Remaining time of the entry's lease on the target, in milliseconds.
     pub remaining_ms: u64,
-    /// Slots that requests of the owner before this one may still take.
+    /// Slots that requests of the previous owner may still use.
     pub withheld: u32,
 }
 
-/// An entry's renewal. In the steady state it names no target: its size does not grow with them.
+/// An entry's renewal. Usually it lists no targets, so that its size doesn't grow with their number.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claims {
     /// Name of the entry.
     pub entry: Arc<str>,
     /// Changes when the entry's process restarts.
     pub incarnation: u64,
-    /// Whether it is shutting down and gives its targets away.
+    /// Whether the entry is shutting down and gives up its targets.
     pub draining: bool,
-    /// Registry whose grant the entry holds; another one asks for `claims`.
+    /// Id of the registry whose grant the entry holds. A leader with another registry asks for `claims`.
     pub registry: u64,
-    /// Version of that grant; the leader repeats the targets only when they have changed since.
+    /// Version of that grant. The leader sends the targets only if they have changed since then.
     pub version: u64,
-    /// Targets that were to be released and have no request of this entry any more.
+    /// Targets that the entry was asked to release and on which it has no requests in progress.
     pub released: Vec<Arc<str>>,
-    /// All that the entry owns, when a new leader has asked.
+    /// All targets that the entry owns, if a new leader has asked for them.
     pub claims: Option<Vec<Claim>>,
 }
--- a/crates/bh-membership/src/lib.rs
+++ b/crates/bh-membership/src/lib.rs
@@ -1,8 +1,8 @@
-//! Targets: who is there, who is leaving, and which entry may send work to which.
+//! Membership of targets, and the leases by which entries own them.
 //!
-//! A target takes eight short requests at a time, over all entries together, and does not protect itself. So every
-//! target is owned by one entry at a time, under a lease that the leader of the data centre grants; the other entries
-//! hand requests to the owner. [`Registry`] is the leader's side, [`OwnedTargets`] the entry's.
+//! A target serves eight short requests at a time, from all entries together, and doesn't protect itself against more. So
+//! each target is owned by one entry at a time, under a lease that the leader of the data centre grants. The other
+//! entries forward requests to the owner. [`Registry`] is the leader's side and [`OwnedTargets`] the entry's.
 
 mod claim;
 mod grant;
--- a/crates/bh-membership/src/owned_targets.rs
+++ b/crates/bh-membership/src/owned_targets.rs
@@ -1,4 +1,4 @@
-//! The targets an entry owns, and how long it may use them.
+//! The targets that an entry owns, and how long it may use them.
 
 use crate::claim::Claim;
 use crate::claim::Claims;
@@ -10,18 +10,18 @@
 
 /// One owned target.
 #[derive(Clone, Debug)]
-struct Held {
+struct OwnedTarget {
     announcement: Announcement,
     withheld: u32,
     releasing: bool,
-    /// Another entry may own it by now; only this entry's requests in progress there are still counted.
-    taken_away: bool,
+    /// Whether the entry no longer owns the target. It only counts its requests that are still in progress there.
+    withdrawn: bool,
     in_flight: u32,
 }
 
-impl Held {
+impl OwnedTarget {
     fn admits(&self) -> bool {
-        !self.releasing && !self.taken_away && !self.announcement.leaving
+        !self.releasing && !self.withdrawn && !self.announcement.leaving
     }
 
     fn free(&self) -> u32 {
@@ -31,10 +31,10 @@
     }
 }
 
-/// All targets this entry owns.
+/// All targets that this entry owns.
 ///
-/// Work may be sent to a target only while the entry's lease and the target's slots allow it. A target whose own lease
-/// lapses is taken away by the leader with the next renewal.
+/// Requests may be sent to a target only while the entry's lease is valid and the target has free slots. When the target's
+/// own lease expires, the leader withdraws the target with the next renewal.
 #[derive(Clone, Debug)]
 pub struct OwnedTargets {
     entry: Arc<str>,
@@ -43,11 +43,11 @@
     registry: u64,
     version: u64,
     wants_claims: bool,
-    held: BTreeMap<Arc<str>, Held>,
+    by_name: BTreeMap<Arc<str>, OwnedTarget>,
 }
 
 impl OwnedTargets {
-    /// No targets.
+    /// Creates an empty set of targets.
     pub fn new(entry: impl Into<Arc<str>>, incarnation: u64) -> Self {
         Self {
             entry: entry.into(),
@@ -56,16 +56,16 @@
             registry: 0,
             version: 0,
             wants_claims: false,
-            held: BTreeMap::new(),
+            by_name: BTreeMap::new(),
         }
     }
 
-    /// The renewal to send now.
+    /// Returns the renewal to send now.
     pub fn claims(&self, now_ms: u64, draining: bool) -> Claims {
         let released = self
-            .held
+            .by_name
             .iter()
-            .filter(|(_, held)| held.releasing && !held.taken_away && held.in_flight == 0)
+            .filter(|(_, owned)| owned.releasing && !owned.withdrawn && owned.in_flight == 0)
             .map(|(name, _)| name.clone());
         Claims {
             entry: self.entry.clone(),
@@ -80,21 +80,21 @@
 
     fn all_claims(&self, now_ms: u64) -> Vec<Claim> {
         let remaining_ms = self.until_ms.saturating_sub(now_ms);
-        self.held
+        self.by_name
             .values()
-            .filter(|held| {
-                remaining_ms > 0 && !held.taken_away && (held.in_flight > 0 || !held.releasing)
+            .filter(|owned| {
+                remaining_ms > 0 && !owned.withdrawn && (owned.in_flight > 0 || !owned.releasing)
             })
-            .map(|held| Claim {
-                target: held.announcement.clone(),
+            .map(|owned| Claim {
+                target: owned.announcement.clone(),
                 remaining_ms,
-                withheld: held.withheld,
+                withheld: owned.withheld,
             })
             .collect()
     }
 
-    /// Takes the leader's answer over. The lease counts from `sent_ms`, when the renewal was sent: the leader counts
-    /// it from when the renewal arrived, so that it never ends there before it ends here.
+    /// Applies the leader's answer. The lease starts at `sent_ms`, when the renewal was sent. The leader counts it from the
+    /// arrival of the renewal, so that the lease never ends there before it ends here.
     pub fn accept(&mut self, sent_ms: u64, grant: Grant) {
         self.wants_claims = grant.wants_claims;
         if grant.wants_claims {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Takes over the targets that the entry owns without a leader, for `lease_ms`.
+    /// Sets the targets that the entry owns without a leader, for `lease_ms`.
     pub fn accept_without_leader(
         &mut self,
         now_ms: u64,
@@ -123,73 +123,73 @@
         let mut next = BTreeMap::new();
         for granted in targets {
             let name = granted.target.name.clone();
-            let in_flight = self.held.get(&name).map_or(0, |held| held.in_flight);
-            let held = Held {
+            let in_flight = self.by_name.get(&name).map_or(0, |owned| owned.in_flight);
+            let owned = OwnedTarget {
                 announcement: granted.target,
                 withheld: granted.withheld,
                 releasing: granted.release,
-                taken_away: false,
+                withdrawn: false,
                 in_flight,
             };
-            next.insert(name, held);
+            next.insert(name, owned);
         }
-        // Requests in progress on a target that was taken away are still counted until they end.
-        for (name, mut held) in std::mem::take(&mut self.held) {
-            if held.in_flight > 0 {
-                held.taken_away = true;
-                next.entry(name).or_insert(held);
+        // Requests in progress on a withdrawn target are counted until they end.
+        for (name, mut owned) in std::mem::take(&mut self.by_name) {
+            if owned.in_flight > 0 {
+                owned.withdrawn = true;
+                next.entry(name).or_insert(owned);
             }
         }
-        self.held = next;
+        self.by_name = next;
     }
 
-    /// Whether the entry's lease holds.
+    /// Whether the entry's lease is valid.
     pub fn is_valid(&self, now_ms: u64) -> bool {
         now_ms < self.until_ms
     }
 
-    /// Targets that may get a request now: name, address, free slots and slots.
+    /// Targets that may get a request now: name, announcement and free slots.
     pub fn usable(&self, now_ms: u64) -> impl Iterator<Item = (&Arc<str>, &Announcement, u32)> {
         let valid = self.is_valid(now_ms);
-        self.held
+        self.by_name
             .iter()
-            .filter(move |(_, held)| valid && held.admits())
-            .map(|(name, held)| (name, &held.announcement, held.free()))
+            .filter(move |(_, owned)| valid && owned.admits())
+            .map(|(name, owned)| (name, &owned.announcement, owned.free()))
     }
 
-    /// Free slots over all targets.
+    /// Number of free slots over all usable targets.
     pub fn free_slots(&self, now_ms: u64) -> u32 {
         self.usable(now_ms).map(|(_, _, free)| free).sum()
     }
 
-    /// Slots over all usable targets, free or not.
+    /// Number of slots over all usable targets, free or not.
     pub fn slots(&self, now_ms: u64) -> u32 {
         self.usable(now_ms).map(|(_, target, _)| target.slots).sum()
     }
 
-    /// Takes a slot of a target; `false` when none may be taken.
-    pub fn take(&mut self, now_ms: u64, target: &str) -> bool {
+    /// Takes a slot of a target. Returns `false` if no slot may be taken.
+    pub fn take_slot(&mut self, now_ms: u64, target: &str) -> bool {
         let valid = self.is_valid(now_ms);
-        match self.held.get_mut(target) {
-            Some(held) if valid && held.admits() && held.free() > 0 => {
-                held.in_flight += 1;
+        match self.by_name.get_mut(target) {
+            Some(owned) if valid && owned.admits() && owned.free() > 0 => {
+                owned.in_flight += 1;
                 true
             }
             _ => false,
         }
     }
 
-    /// Gives a slot back.
-    pub fn give_back(&mut self, target: &str) {
-        if let Some(held) = self.held.get_mut(target) {
-            held.in_flight = held.in_flight.saturating_sub(1);
+    /// Frees a slot of a target.
+    pub fn release_slot(&mut self, target: &str) {
+        if let Some(owned) = self.by_name.get_mut(target) {
+            owned.in_flight = owned.in_flight.saturating_sub(1);
         }
     }
 
-    /// Notes that a target said it is leaving, without waiting for the leader's word.
+    /// Marks a target as leaving after the target said so itself, without waiting for the leader.
     pub fn note_leaving(&mut self, target: &str) {
-        if let Some(held) = self.held.get_mut(target) {
-            held.announcement.leaving = true;
+        if let Some(owned) = self.by_name.get_mut(target) {
+            owned.announcement.leaving = true;
         }
     }
 }
--- a/crates/bh-membership/src/registry.rs
+++ b/crates/bh-membership/src/registry.rs
@@ -1,4 +1,4 @@
-//! The leader's table of targets and their owners.
+//! The leader's registry of targets and their owners.
 
 use crate::claim::Claim;
 use crate::claim::Claims;
@@ -12,34 +12,34 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Longest time that slots are withheld for requests of an earlier owner, in milliseconds.
-const WITHHOLD_MS: u64 = 60_000;
+/// Longest time that slots are withheld for requests of an earlier owner.
+const MAX_WITHHOLD_MS: u64 = 60_000;
 
-/// An announcement counts for a change of owner only when it arrives this long after the old owner's lease ended, in
-/// milliseconds: workers report with a lag, and a request sent at the last moment is still on its way.
+/// How long after the end of the old owner's lease an announcement must arrive to count for a change of owner. Workers
+/// report with a lag, and a request that was sent at the last moment may still be on its way.
 const REPORT_LAG_MS: u64 = 500;
 
 /// All targets of a data centre, as its leader knows them.
 ///
-/// It is kept in memory only: a new leader learns it from the owners' claims and the targets' announcements.
+/// The registry is kept in memory only. A new leader rebuilds it from the owners' claims and the targets' announcements.
 #[derive(Clone, Debug)]
 pub struct Registry {
     id: u64,
     target_lease_ms: u64,
     owner_lease_ms: u64,
-    /// Until then entries may hold grants of an earlier leader, so that only their claims are honoured.
+    /// Until this time, entries may hold grants of an earlier leader, so only claims are accepted.
     grace_until_ms: u64,
     targets: BTreeMap<Arc<str>, Target>,
     entries: BTreeMap<Arc<str>, Renewal>,
-    /// What each entry was last granted, and the version of it.
+    /// The targets last granted to each entry, and their version.
     granted: BTreeMap<Arc<str>, (u64, Vec<GrantedTarget>)>,
-    /// Targets whose lease lapsed and that were not told of yet.
-    gone: Vec<Arc<str>>,
+    /// Targets whose lease expired and that `take_expired_targets` has not returned yet.
+    expired_targets: Vec<Arc<str>>,
 }
 
 impl Registry {
-    /// The registry `id` of a leader elected at `now_ms`; no two leaders have the same id. A leader before it may still have granted for `overlap_ms` after
-    /// that, until it noticed that it leads no more.
+    /// Creates the registry of a leader elected at `now_ms`. Each leader has a different `id`. The previous leader may have granted targets
+    /// for up to `overlap_ms` after the election, until it noticed that it is no longer the leader.
     pub fn new(
         id: u64,
         now_ms: u64,
@@ -55,25 +55,25 @@
             targets: BTreeMap::new(),
             entries: BTreeMap::new(),
             granted: BTreeMap::new(),
-            gone: Vec::new(),
+            expired_targets: Vec::new(),
         }
     }
 
-    /// Takes a target's announcement into account.
+    /// Applies a target's announcement.
     pub fn announce(&mut self, now_ms: u64, announcement: Announcement) {
         let expires_ms = now_ms + self.target_lease_ms;
         let name = announcement.name.clone();
         let unknown = self.unknown_target(now_ms, &announcement, expires_ms);
         let target = self.targets.entry(name).or_insert(unknown);
-        target.lapsed = false;
+        target.expired = false;
         target.announcement = announcement;
         target.announced_ms = now_ms;
         target.expires_ms = expires_ms;
     }
 
-    /// A target that this leader did not know. While grants of an earlier leader may hold, an entry that cannot be reached
-    /// may own it: it is nobody's until they are over and it has announced itself once more, and what it is busy with by
-    /// then stays withheld.
+    /// Creates a target that this leader didn't know. During the grace period, an unreachable entry may own the target under
+    /// an earlier leader's grant. So it gets no owner before the grace period has ended and it has announced itself again, and
+    /// the slots that are busy then are withheld.
     fn unknown_target(&self, now_ms: u64, announcement: &Announcement, expires_ms: u64) -> Target {
         let in_grace = now_ms < self.grace_until_ms;
         let (free_from_ms, withheld) = if in_grace {
@@ -86,18 +86,18 @@
             expires_ms,
             announced_ms: now_ms,
             owner: None,
-            lapsed: false,
+            expired: false,
             free_from_ms,
             withheld,
-            withheld_until_ms: free_from_ms + WITHHOLD_MS,
+            withheld_until_ms: free_from_ms + MAX_WITHHOLD_MS,
         }
     }
 
-    /// Renews an entry's targets and grants it others.
+    /// Renews an entry's lease and returns the targets it owns from now on.
     pub fn renew(&mut self, now_ms: u64, claims: Claims) -> Grant {
         let entry = claims.entry.clone();
-        let is_stranger = claims.registry != self.id && claims.claims.is_none();
-        if is_stranger && now_ms < self.grace_until_ms {
+        let is_unknown_entry = claims.registry != self.id && claims.claims.is_none();
+        if is_unknown_entry && now_ms < self.grace_until_ms {
             return Grant {
                 registry: self.id,
                 wants_claims: true,
@@ -105,7 +105,7 @@
             };
         }
         self.note_entry(now_ms, &claims);
-        self.honour_claims(now_ms, &claims);
+        self.accept_claims(now_ms, &claims);
         self.expire(now_ms);
         self.assign(now_ms);
         self.rebalance(now_ms);
@@ -120,7 +120,7 @@
         }
     }
 
-    /// What an entry is granted now, under a version that changes with it.
+    /// Returns the targets granted to an entry, with a version that changes with them.
     fn granted_to(&mut self, now_ms: u64, entry: &Arc<str>) -> (u64, Vec<GrantedTarget>) {
         let targets: Vec<GrantedTarget> = self
             .targets
@@ -148,8 +148,8 @@
             .get(&claims.entry)
             .is_some_and(|renewal| renewal.incarnation != claims.incarnation);
         if restarted {
-            // The process before it is dead, and so are its connections: nothing of it is in progress that this
-            // entry answers for. What its requests still do on the targets is withheld.
+            // The previous process and its connections are gone, so the new process has no requests in progress. The
+            // slots that the old requests may still use on the targets are withheld.
             self.drop_owner(now_ms, &claims.entry.clone());
         }
         let renewal = Renewal {
@@ -160,8 +160,8 @@
         self.entries.insert(claims.entry.clone(), renewal);
     }
 
-    /// Ends the ownership of an entry. Its targets go to others only after an announcement newer than now, whose busy
-    /// count covers all that the entry may have started.
+    /// Ends the ownership of an entry. Its targets get another owner only after a newer announcement, whose busy slots include
+    /// all requests that the entry may have started.
     fn drop_owner(&mut self, now_ms: u64, entry: &Arc<str>) {
         for target in self.targets.values_mut() {
             if target
@@ -172,15 +172,15 @@
                 target.owner = None;
                 target.free_from_ms = now_ms + REPORT_LAG_MS;
                 target.withheld = target.announcement.slots;
-                target.withheld_until_ms = now_ms + WITHHOLD_MS;
+                target.withheld_until_ms = now_ms + MAX_WITHHOLD_MS;
             }
         }
     }
 
-    fn honour_claims(&mut self, now_ms: u64, claims: &Claims) {
+    fn accept_claims(&mut self, now_ms: u64, claims: &Claims) {
         let in_grace = now_ms < self.grace_until_ms;
         for claim in claims.claims.iter().flatten().filter(|_| in_grace) {
-            self.learn(now_ms, claim, &claims.entry);
+            self.accept_claim(now_ms, claim, &claims.entry);
         }
         for name in &claims.released {
             let Some(target) = self.targets.get_mut(name) else {
@@ -197,23 +197,23 @@
         }
     }
 
-    /// A new leader takes an owner's word for what it owns.
-    fn learn(&mut self, now_ms: u64, claim: &Claim, entry: &Arc<str>) {
+    /// Accepts an owner's claim during the grace period of a new leader.
+    fn accept_claim(&mut self, now_ms: u64, claim: &Claim, entry: &Arc<str>) {
         let name = claim.target.name.clone();
         let target = self.targets.entry(name).or_insert_with(|| Target {
             announcement: claim.target.clone(),
             expires_ms: now_ms + claim.remaining_ms,
             announced_ms: now_ms,
             owner: None,
-            lapsed: false,
+            expired: false,
             free_from_ms: now_ms,
             withheld: 0,
             withheld_until_ms: 0,
         });
         if target.owner.is_none() {
-            // What else it is busy with are the owner's own requests.
+            // All other busy slots are taken by the owner's own requests.
             target.withheld = claim.withheld;
-            target.withheld_until_ms = now_ms + WITHHOLD_MS;
+            target.withheld_until_ms = now_ms + MAX_WITHHOLD_MS;
             target.owner = Some(Owner {
                 entry: entry.clone(),
                 releasing: false,
@@ -221,42 +221,42 @@
         }
     }
 
-    /// Ends leases that have lapsed; returns the targets that are gone since the last call.
+    /// Expires leases and returns the targets whose lease has expired since the last call.
     pub fn take_expired_targets(&mut self, now_ms: u64) -> Vec<Arc<str>> {
         self.expire(now_ms);
-        std::mem::take(&mut self.gone)
+        std::mem::take(&mut self.expired_targets)
     }
 
     fn expire(&mut self, now_ms: u64) {
-        let silent: Vec<Arc<str>> = self
+        let expired_entries: Vec<Arc<str>> = self
             .entries
             .iter()
             .filter(|(_, renewal)| now_ms >= renewal.until_ms)
             .map(|(name, _)| name.clone())
             .collect();
-        for entry in silent {
+        for entry in expired_entries {
             self.drop_owner(now_ms, &entry);
             self.entries.remove(&entry);
         }
-        self.lapse_targets(now_ms);
+        self.expire_targets(now_ms);
         self.targets
-            .retain(|_, target| !target.lapsed || now_ms < target.free_from_ms);
+            .retain(|_, target| !target.expired || now_ms < target.free_from_ms);
     }
 
-    /// Ends the leases of targets that fell silent. The owner of one hears of it with its next renewal at the latest, and
-    /// uses it no longer than its own lease; a target that comes back before that must not go to another entry.
-    fn lapse_targets(&mut self, now_ms: u64) {
+    /// Expires the leases of targets that stopped announcing themselves. The owner learns of this with its next renewal, and
+    /// uses the target no longer than its own lease. A target that returns before then must not go to another entry.
+    fn expire_targets(&mut self, now_ms: u64) {
         let owner_until_ms = now_ms + self.owner_lease_ms + REPORT_LAG_MS;
         for (name, target) in &mut self.targets {
-            if target.lapsed || now_ms < target.expires_ms {
+            if target.expired || now_ms < target.expires_ms {
                 continue;
             }
-            target.lapsed = true;
-            self.gone.push(name.clone());
+            target.expired = true;
+            self.expired_targets.push(name.clone());
             if target.owner.take().is_some() {
                 target.free_from_ms = owner_until_ms;
                 target.withheld = target.announcement.slots;
-                target.withheld_until_ms = owner_until_ms + WITHHOLD_MS;
+                target.withheld_until_ms = owner_until_ms + MAX_WITHHOLD_MS;
             }
         }
     }
@@ -273,7 +273,7 @@
             .count()
     }
 
-    /// Gives targets without an owner to the entries that own the fewest.
+    /// Gives targets without an owner to the entries that own the fewest targets.
     fn assign(&mut self, now_ms: u64) {
         if now_ms < self.grace_until_ms {
             return;
@@ -285,10 +285,10 @@
             .map(|(name, _)| (name.clone(), self.owned_by(name)))
             .collect();
         for target in self.targets.values_mut() {
-            let ready = target.owner.is_none()
-                && !target.lapsed
+            let assignable = target.owner.is_none()
+                && !target.expired
                 && target.announced_ms >= target.free_from_ms;
-            if !ready {
+            if !assignable {
                 continue;
             }
             let Some((entry, count)) = counts.iter_mut().min_by_key(|(_, count)| **count) else {
@@ -305,8 +305,8 @@
         }
     }
 
-    /// Asks the entry that owns the most targets to release one, when another owns at least two fewer; and an entry
-    /// that shuts down to release all.
+    /// Asks the entry with the most targets to release one if another entry has at least two fewer, and asks entries that shut
+    /// down to release all targets.
     fn rebalance(&mut self, now_ms: u64) {
         if now_ms < self.grace_until_ms {
             return;
@@ -328,7 +328,8 @@
         let counts: Vec<(usize, Arc<str>)> = staying
             .map(|name| (self.owned_by(name), name.clone()))
             .collect();
-        let (Some((least, _)), Some((most, fullest))) = (counts.iter().min(), counts.iter().max())
+        let (Some((least, _)), Some((most, most_loaded))) =
+            (counts.iter().min(), counts.iter().max())
         else {
             return;
         };
@@ -343,7 +344,7 @@
             target
                 .owner
                 .as_ref()
-                .is_some_and(|owner| owner.entry == *fullest)
+                .is_some_and(|owner| owner.entry == *most_loaded)
         };
         if let Some(target) = self.targets.values_mut().find(owned)
             && let Some(owner) = &mut target.owner
@@ -352,11 +353,11 @@
         }
     }
 
-    /// All targets, for operators.
+    /// All live targets, for display to operators.
     pub fn views(&self, now_ms: u64) -> Vec<TargetView> {
         self.targets
             .values()
-            .filter(|target| !target.lapsed)
+            .filter(|target| !target.expired)
             .map(|target| TargetView {
                 target: target.announcement.clone(),
                 remaining_ms: target.expires_ms.saturating_sub(now_ms),
@@ -365,15 +366,15 @@
             .collect()
     }
 
-    /// Address of a live target.
+    /// Returns the address of a live target.
     pub fn address_of(&self, name: &str) -> Option<Arc<str>> {
         self.targets
             .get(name)
-            .filter(|target| !target.lapsed)
+            .filter(|target| !target.expired)
             .map(|target| target.announcement.address.clone())
     }
 
-    /// Names of the entries that renew.
+    /// Names of the entries whose lease is valid.
     pub fn entries(&self) -> impl Iterator<Item = &Arc<str>> {
         self.entries.keys()
     }
--- a/crates/bh-membership/src/target.rs
+++ b/crates/bh-membership/src/target.rs
@@ -1,4 +1,4 @@
-//! A target as the leader's registry keeps it.
+//! A target in the leader's registry.
 
 use crate::grant::GrantedTarget;
 use bh_protocol::target::Announcement;
@@ -18,9 +18,9 @@
     pub expires_ms: u64,
     pub announced_ms: u64,
     pub owner: Option<Owner>,
-    /// Its lease lapsed. It is still remembered while its owner may not have heard of that.
-    pub lapsed: bool,
-    /// No entry may use it before; and only after an announcement that is newer than this.
+    /// Whether the target's lease has expired. The target is kept while its owner may not know that yet.
+    pub expired: bool,
+    /// Time from which the target may get an owner, after an announcement that is not older.
     pub free_from_ms: u64,
     pub withheld: u32,
     pub withheld_until_ms: u64,
@@ -33,19 +33,19 @@
     pub draining: bool,
 }
 
-/// A target as read back by operators.
+/// A target as displayed to operators.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TargetView {
-    /// The target as it last announced itself.
+    /// The target's last announcement.
     pub target: Announcement,
-    /// Time left of its lease, in milliseconds.
+    /// Remaining time of the target's lease, in milliseconds.
     pub remaining_ms: u64,
-    /// Entry that owns it.
+    /// Entry that owns the target.
     pub owner: Option<Arc<str>>,
 }
 
 impl Target {
-    /// The target as its owner is granted it.
+    /// Returns the grant for the target's owner.
     pub fn granted(&mut self, now_ms: u64) -> GrantedTarget {
         if now_ms >= self.withheld_until_ms {
             self.withheld = 0;
--- a/crates/bh-membership/tests/fuzz.rs
+++ b/crates/bh-membership/tests/fuzz.rs
@@ -166,7 +166,7 @@
         {
             return;
         }
-        if self.entries[entry].take(self.now_ms, &target_name(target)) {
+        if self.entries[entry].take_slot(self.now_ms, &target_name(target)) {
             self.in_progress
                 .push((entry, self.incarnations[entry], target));
             let count = self
@@ -190,7 +190,7 @@
         let place = place % self.in_progress.len();
         let (entry, incarnation, target) = self.in_progress.remove(place);
         if incarnation == self.incarnations[entry] {
-            self.entries[entry].give_back(&target_name(target));
+            self.entries[entry].release_slot(&target_name(target));
         }
     }
 
--- a/crates/bh-router/benches/overload.rs
+++ b/crates/bh-router/benches/overload.rs
@@ -106,7 +106,7 @@
     owned: Vec<Vec<usize>>,
     broken: BTreeSet<usize>,
     requests: BTreeMap<u64, Request>,
-    pending: BTreeMap<u64, PendingRequest>,
+    pending_requests: BTreeMap<u64, PendingRequest>,
     random: Random,
     tally: Tally,
     next_id: u64,
@@ -167,7 +167,7 @@
             owned,
             broken: (0..broken).map(|index| index * 9).collect(),
             requests: BTreeMap::new(),
-            pending: BTreeMap::new(),
+            pending_requests: BTreeMap::new(),
             random: Random(0x1234_5678_9abc_def1),
             tally: Tally::default(),
             next_id: 1,
@@ -327,7 +327,7 @@
             attempts: 0,
             arrived_ms: self.now_ms,
         };
-        self.pending.insert(id, pending.clone());
+        self.pending_requests.insert(id, pending.clone());
         let decisions = self.routers[entry].arrive(self.now_ms, pending);
         self.carry_out(entry, decisions);
     }
@@ -354,7 +354,7 @@
                 }
                 Decision::Forward { id, entry: to } => {
                     let to: usize = to[1..].parse().unwrap_or(0);
-                    let pending = self.pending[&id].clone();
+                    let pending = self.pending_requests[&id].clone();
                     self.later(
                         HOP_MS,
                         Event::Handed {
@@ -478,7 +478,7 @@
             (false, true) => self.tally.failed += 1,
             (false, false) => self.tally.refused += 1,
         }
-        self.pending.remove(&id);
+        self.pending_requests.remove(&id);
     }
 }
 
--- a/crates/bh-router/src/router.rs
+++ b/crates/bh-router/src/router.rs
@@ -150,7 +150,7 @@
     }
 
     /// Time in milliseconds that must be left until the deadline when a request is sent. A slot that is given to a request
-    /// that can't end in time is lost to one that can, and under overload that starves all requests. It is at most half
+    /// that can't end in time is lost to one that can, and under overload that starves all requests. The time is at most half
     /// of the request's whole time, so that a type whose deadlines are short for its service time is still attempted, within
     /// the first half of that time.
     fn required_ms(&self, request: &PendingRequest) -> f64 {
@@ -187,7 +187,7 @@
         outcome: AttemptOutcome,
         took_ms: u64,
     ) -> (bool, Vec<Decision>) {
-        self.owned_targets.give_back(target);
+        self.owned_targets.release_slot(target);
         let Some(mut request) = self.in_progress.remove(&id) else {
             return (false, self.dispatch_queued(now_ms));
         };
@@ -330,7 +330,7 @@
     /// Sends the request to a target or forwards it to another entry. Returns it if neither is possible.
     fn dispatch(&mut self, now_ms: u64, mut request: PendingRequest) -> Option<PendingRequest> {
         if let Some((target, address)) = self.choose_target(now_ms, &request)
-            && self.owned_targets.take(now_ms, &target)
+            && self.owned_targets.take_slot(now_ms, &target)
         {
             request.attempts += 1;
             self.targets
