--- a/crates/bh-router/src/health.rs
+++ b/crates/bh-router/src/health.rs
@@ -61,7 +61,7 @@
     }
 
     /// Records that a request is being sent to the target.
-    pub fn record_sent(&mut self) {
+    pub fn mark_sent(&mut self) {
         self.probing = self.set_aside_count > 0;
     }
 }
--- a/crates/bh-router/src/router.rs
+++ b/crates/bh-router/src/router.rs
@@ -22,7 +22,7 @@
 const MIN_RETRY_AFTER_MS: u64 = 100;
 /// Longest time that a request waits while no entry has a usable target. It is enough for a change of owners or a first
 /// announcement. Waiting until the deadline would only delay the refusal.
-const MAX_NO_TARGET_WAIT_MS: u64 = 500;
+const NO_TARGET_WAIT_MS: u64 = 500;
 /// Shortest time for which an attempt is worthwhile.
 const MIN_ATTEMPT_MS: u64 = 1;
 
@@ -149,10 +149,9 @@
         Err(self.overloaded((wait_ms - left_ms as f64 + service_ms).max(0.0) as u64))
     }
 
-    /// Time in milliseconds that must be left until the deadline when a request is sent. A slot that is given to a request
-    /// that can't end in time is lost to one that can, and under overload that starves all requests. The time is at most half
-    /// of the request's whole time, so that a type whose deadlines are short for its service time is still attempted, within
-    /// the first half of that time.
+    /// Time in milliseconds that must be left when a request is sent. A slot given to a request that can't end in time is lost to one
+    /// that can, and under overload that starves all requests. The time is at most half of the request's whole time, so that a type
+    /// whose deadlines are short for its service time is still attempted, within the first half of that time.
     fn required_ms(&self, request: &PendingRequest) -> f64 {
         let total_ms = request.deadline_ms.saturating_sub(request.arrived_ms) as f64;
         self.service_times
@@ -222,8 +221,7 @@
         }
     }
 
-    /// Whether the request may be attempted again: it can't have run or may run twice, and the deadline, the number of
-    /// attempts and the retry budget allow it.
+    /// Whether the request may be attempted again: it can't have run or may run twice, and its deadline, its attempts and the budget allow it.
     fn may_retry(
         &mut self,
         now_ms: u64,
@@ -262,8 +260,7 @@
             let mut queue = std::mem::take(&mut self.queue);
             let no_target = self.reachable_slots(now_ms) == 0;
             let late = queue.remove_where(|request| {
-                let waited_too_long =
-                    no_target && now_ms >= request.arrived_ms + MAX_NO_TARGET_WAIT_MS;
+                let waited_too_long = no_target && now_ms >= request.arrived_ms + NO_TARGET_WAIT_MS;
                 waited_too_long || self.is_too_late(now_ms, request)
             });
             self.queue = queue;
@@ -333,10 +330,7 @@
             && self.owned_targets.take_slot(now_ms, &target)
         {
             request.attempts += 1;
-            self.targets
-                .entry(target.clone())
-                .or_default()
-                .record_sent();
+            self.targets.entry(target.clone()).or_default().mark_sent();
             let timeout_ms = self.attempt_timeout_ms(now_ms, &request);
             let id = request.id;
             self.in_progress.insert(id, request);
