--- a/crates/bh-scheduler/benches/cost.rs
+++ b/crates/bh-scheduler/benches/cost.rs
@@ -1,4 +1,4 @@
-//! What one decision costs at the two-year size, and how it grows.
+//! Measures the cost of scheduling decisions, and how it grows, with up to 16,000 workers (the two-year size).
 //!
 //! `cargo bench -p bh-scheduler --bench cost`.
 
@@ -49,10 +49,10 @@
     })
 }
 
-/// Carries a job's actions out at once, as workers that accept everything.
-fn run(scheduler: &mut Scheduler, now_ms: u64, actions: Vec<Action>) {
-    let mut waiting = actions;
-    while let Some(action) = waiting.pop() {
+/// Carries out a job's actions at once, like workers that accept every order.
+fn carry_out(scheduler: &mut Scheduler, now_ms: u64, actions: Vec<Action>) {
+    let mut pending = actions;
+    while let Some(action) = pending.pop() {
         let event = match action {
             Action::Prepare { job, epoch, .. } => Event::Prepared {
                 job,
@@ -70,7 +70,7 @@
                 workers,
             } => {
                 for worker in workers {
-                    waiting.extend(scheduler.step(
+                    pending.extend(scheduler.step(
                         now_ms,
                         Event::StopSent {
                             job,
@@ -84,11 +84,11 @@
             }
             _ => continue,
         };
-        waiting.extend(scheduler.step(now_ms, event));
+        pending.extend(scheduler.step(now_ms, event));
     }
 }
 
-/// A data centre of `workers` with 2.375 accelerators each on the mean, 94 in 100 of them in use by single tasks.
+/// Builds a data centre of `workers` with 2.375 accelerators each on average, 94 % of them in use by tasks with one accelerator.
 fn build(workers: u32) -> (Scheduler, u32) {
     let mut scheduler = Scheduler::new(1, Limits::default(), 3_000, 0);
     let mut accelerators = 0;
@@ -106,13 +106,13 @@
         scheduler.step(10_000, event);
     }
     let tasks = accelerators / 100 * 94;
-    // Gangs of eight, so that the number of jobs is that of the letter's order.
+    // Gangs of eight tasks, so that the number of jobs has the required order of magnitude.
     for number in 0..u64::from(tasks / 8) {
         let actions = scheduler.step(
             10_000,
             job(number + 1, Shape::new(8, 1, Adjacency::DataCentre)),
         );
-        run(&mut scheduler, 10_000, actions);
+        carry_out(&mut scheduler, 10_000, actions);
     }
     (scheduler, tasks)
 }
@@ -142,7 +142,7 @@
                 matches!(actions.first(), Some(Action::Prepare { .. })),
                 "the gang was not placed"
             );
-            run(&mut scheduler, 20_000, actions);
+            carry_out(&mut scheduler, 20_000, actions);
             let name: Arc<str> = Arc::from(format!("worker-{:05}", decision % u64::from(workers)));
             let report = Event::WorkerAnnounced {
                 name,
@@ -168,14 +168,14 @@
                 Vec::new()
             };
             announce.push(start.elapsed().as_secs_f64() * 1e6);
-            run(&mut scheduler, 20_000, actions);
+            carry_out(&mut scheduler, 20_000, actions);
             let start = Instant::now();
             let actions = scheduler.step(20_000, Event::Tick);
             tick.push(start.elapsed().as_secs_f64() * 1e3);
-            run(&mut scheduler, 20_000, actions);
-            // Confirm the cancelled gang's stop on every worker.
+            carry_out(&mut scheduler, 20_000, actions);
+            // Confirms the stop of the cancelled gang on every worker.
             for action in scheduler.step(20_000 + 3_001, Event::Tick) {
-                run(&mut scheduler, 20_000, vec![action]);
+                carry_out(&mut scheduler, 20_000, vec![action]);
             }
         }
         println!(
--- a/crates/bh-scheduler/benches/policy.rs
+++ b/crates/bh-scheduler/benches/policy.rs
@@ -1,7 +1,8 @@
-//! The placement policy against three baselines on the same arrivals.
+//! Compares the placement policy with three baselines on the same arrivals.
 //!
-//! `cargo bench -p bh-scheduler --bench policy [-- SEED]`. Prints, for each profile and policy, completion time over the
-//! job's ideal by class, mean fragmentation for the large shape, guaranteed shapes that waited, and work lost to stops.
+//! `cargo bench -p bh-scheduler --bench policy [-- SEED]`. Prints for each profile and policy the slowdown by class (the
+//! time from arrival to completion, divided by the run time), the mean fragmentation for the large shape, the guaranteed
+//! jobs that waited, and the work lost when jobs were stopped.
 
 #[path = "support/baseline.rs"]
 mod baseline;
@@ -26,17 +27,17 @@
 
 const TICK_MS: u64 = 5_000;
 const CHECKPOINT_WAIT_MS: u64 = 2_000;
-/// A guaranteed job has waited when it starts later than the checkpoint wait and the orders' time.
-const GUARANTEE_MS: u64 = CHECKPOINT_WAIT_MS + 500;
+/// A guaranteed job counts as delayed if it starts later than this: the checkpoint wait plus the time of the orders.
+const MAX_GUARANTEED_START_MS: u64 = CHECKPOINT_WAIT_MS + 500;
 
 struct Row {
     policy: String,
-    stretch: BTreeMap<Class, Vec<f64>>,
+    slowdown: BTreeMap<Class, Vec<f64>>,
     start_ms: BTreeMap<Class, Vec<u64>>,
     fragmentation: f64,
     lost_hours: f64,
     unfinished: usize,
-    /// Guaranteed jobs that arrived while the customer used less than its guarantee, and how many of them waited.
+    /// Guaranteed jobs that arrived while the customer used less than its guarantee, and how many of them were delayed.
     guaranteed: (usize, usize),
 }
 
@@ -62,7 +63,8 @@
         fragmentation_weight: 3,
         ..kaupluse.clone()
     };
-    // One of the 20 data centres of the two-year size: 800 workers with 1,900 accelerators; here 240 with 8.
+    // One of the 20 data centres of the two-year size has 800 workers with 1,900 accelerators. This profile
+    // has 240 workers with 8 accelerators each.
     let two_years = Profile {
         name: "two-years",
         workers: 240,
@@ -75,7 +77,7 @@
     vec![kaupluse, manizales, two_years]
 }
 
-fn ours(profile: &Profile, arrivals: &[Arrival]) -> Row {
+fn run_scheduler(profile: &Profile, arrivals: &[Arrival]) -> Row {
     let mut limits = Limits::default();
     limits.policy.checkpoint_wait_ms = CHECKPOINT_WAIT_MS;
     limits.policy.completion_weight = profile.completion_weight;
@@ -119,97 +121,106 @@
         );
     }
     let last_ms = site.now_ms + 48 * 3_600_000;
-    while site.now_ms < last_ms && site.lives.values().any(|life| life.ended_ms.is_none()) {
+    while site.now_ms < last_ms
+        && site
+            .histories
+            .values()
+            .any(|history| history.ended_ms.is_none())
+    {
         let to = site.now_ms + 60_000;
         site.run_until(to);
     }
     let mut row = Row {
         policy: "beechhollow".to_owned(),
-        stretch: BTreeMap::new(),
+        slowdown: BTreeMap::new(),
         start_ms: BTreeMap::new(),
         fragmentation: samples.0 / f64::from(samples.1.max(1)),
         lost_hours: 0.0,
         unfinished: 0,
         guaranteed: (0, 0),
     };
-    let mut lives = Vec::new();
+    let mut guaranteed_times = Vec::new();
     for (job, index) in numbers {
-        let (life, arrival) = (&site.lives[&job], &arrivals[index]);
-        row.lost_hours += life.lost_work as f64 / 3_600_000.0;
-        match (life.ended_ms, life.first_start_ms) {
+        let (history, arrival) = (&site.histories[&job], &arrivals[index]);
+        row.lost_hours += history.lost_work as f64 / 3_600_000.0;
+        match (history.ended_ms, history.first_start_ms) {
             (Some(ended), Some(started)) => {
-                note(&mut row, arrival, started, ended);
+                add_job(&mut row, arrival, started, ended);
                 if arrival.class == Class::Guaranteed {
-                    lives.push((arrival.at_ms, started, ended));
+                    guaranteed_times.push((arrival.at_ms, started, ended));
                 }
             }
             _ => row.unfinished += 1,
         }
     }
-    row.guaranteed = within_guarantee(profile, &lives);
+    row.guaranteed = within_guarantee(profile, &guaranteed_times);
     row
 }
 
 /// Arrival, start and end of a guaranteed job.
-type GuaranteedLife = (u64, u64, u64);
+type GuaranteedTimes = (u64, u64, u64);
 
-/// Guaranteed jobs that arrived while fewer than the guaranteed number were unfinished, and how many of them waited.
-fn within_guarantee(profile: &Profile, lives: &[GuaranteedLife]) -> (usize, usize) {
-    let within = lives.iter().filter(|(at, _, _)| {
-        let open = lives
+/// Counts the guaranteed jobs that arrived while fewer than the guaranteed number were unfinished, and how many of these
+/// jobs were delayed.
+fn within_guarantee(profile: &Profile, guaranteed_times: &[GuaranteedTimes]) -> (usize, usize) {
+    let within = guaranteed_times.iter().filter(|(at, _, _)| {
+        let unfinished = guaranteed_times
             .iter()
             .filter(|(other, _, ended)| other < at && ended > at)
             .count();
-        open < profile.guaranteed as usize
+        unfinished < profile.guaranteed as usize
     });
-    let within: Vec<&GuaranteedLife> = within.collect();
+    let within: Vec<&GuaranteedTimes> = within.collect();
     (
         within.len(),
         within
             .iter()
-            .filter(|(at, started, _)| started - at > GUARANTEE_MS)
+            .filter(|(at, started, _)| started - at > MAX_GUARANTEED_START_MS)
             .count(),
     )
 }
 
-fn note(row: &mut Row, arrival: &Arrival, started_ms: u64, ended_ms: u64) {
-    let stretch = (ended_ms - arrival.at_ms) as f64 / arrival.run_ms as f64;
-    row.stretch.entry(arrival.class).or_default().push(stretch);
+fn add_job(row: &mut Row, arrival: &Arrival, started_ms: u64, ended_ms: u64) {
+    let slowdown = (ended_ms - arrival.at_ms) as f64 / arrival.run_ms as f64;
+    row.slowdown
+        .entry(arrival.class)
+        .or_default()
+        .push(slowdown);
     row.start_ms
         .entry(arrival.class)
         .or_default()
         .push(started_ms - arrival.at_ms);
 }
 
-fn theirs(mode: Mode, profile: &Profile, arrivals: &[Arrival]) -> Row {
+fn run_baseline(mode: Mode, profile: &Profile, arrivals: &[Arrival]) -> Row {
     let mut baseline = Baseline::new(mode, profile);
     let fragmentation = baseline.run(arrivals, &profile.shape(Class::Large).1);
     let mut row = Row {
         policy: format!("{mode:?}"),
-        stretch: BTreeMap::new(),
+        slowdown: BTreeMap::new(),
         start_ms: BTreeMap::new(),
         fragmentation,
         lost_hours: 0.0,
         unfinished: arrivals.len() - baseline.finished.len(),
         guaranteed: (0, 0),
     };
-    let mut lives = Vec::new();
+    let mut guaranteed_times = Vec::new();
     for finished in &baseline.finished {
         if arrivals[finished.arrival].class == Class::Guaranteed {
-            lives.push((
+            guaranteed_times.push((
                 arrivals[finished.arrival].at_ms,
                 finished.started_ms,
                 finished.ended_ms,
             ));
         }
-        note(
+        add_job(
             &mut row,
             &arrivals[finished.arrival],
             finished.started_ms,
             finished.ended_ms,
         );
     }
-    row.guaranteed = within_guarantee(profile, &lives);
+    row.guaranteed = within_guarantee(profile, &guaranteed_times);
     row
 }
 
@@ -222,7 +233,7 @@
 fn print(profile: &Profile, mut row: Row) {
     print!("{:<10} {:<16}", profile.name, row.policy);
     for class in CLASSES {
-        let mut values = row.stretch.remove(&class).unwrap_or_default();
+        let mut values = row.slowdown.remove(&class).unwrap_or_default();
         let mean = values.iter().sum::<f64>() / values.len().max(1) as f64;
         let (p50, p99) = (percentile(&mut values, 0.5), percentile(&mut values, 0.99));
         print!(" | {mean:>6.2} {p50:>5.2} {p99:>7.2}");
@@ -259,9 +270,9 @@
             arrivals.len(),
             arrivals.iter().filter(|a| a.class == Class::Large).count()
         );
-        print(&profile, ours(&profile, &arrivals));
+        print(&profile, run_scheduler(&profile, &arrivals));
         for mode in [Mode::FirstFit, Mode::BestFit, Mode::StaticPartition] {
-            print(&profile, theirs(mode, &profile, &arrivals));
+            print(&profile, run_baseline(mode, &profile, &arrivals));
         }
     }
 }
--- a/crates/bh-scheduler/benches/support/baseline.rs
+++ b/crates/bh-scheduler/benches/support/baseline.rs
@@ -1,4 +1,4 @@
-//! Baselines: no reservation, no stopping; jobs run where they are first placed.
+//! Baseline policies without reservations and preemption: a job runs to its end where it is placed first.
 
 use super::trace::Arrival;
 use super::trace::Profile;
@@ -6,14 +6,14 @@
 use bh_protocol::shape::Shape;
 use std::collections::BTreeMap;
 
-/// How a baseline chooses.
+/// How a baseline chooses a placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// The first worker or rack with room.
+    /// The first worker or rack with enough free accelerators.
     FirstFit,
-    /// The worker or rack with the least room left.
+    /// The worker or rack with the fewest accelerators left over.
     BestFit,
-    /// Each customer has racks of its own.
+    /// Each customer has its own racks.
     StaticPartition,
 }
 
@@ -22,7 +22,7 @@
     rack: usize,
 }
 
-/// One end of a job.
+/// A finished job.
 pub struct Finished {
     pub arrival: usize,
     pub started_ms: u64,
@@ -53,7 +53,7 @@
         for (index, worker) in workers.iter().enumerate() {
             racks[worker.rack].push(index);
         }
-        // By load: grocer 17, archive 39, press 17, bakery and market 14 each of a hundred.
+        // Cumulative shares of the load: grocer 17 %, archive 39 %, press 17 %, bakery and market 14 % each.
         let shares = [
             ("grocer", 0.17),
             ("archive", 0.56),
@@ -98,7 +98,7 @@
                 for worker in members {
                     let free = self.workers[*worker].free;
                     if free >= shape.accelerators() {
-                        self.take_better(
+                        self.keep_better(
                             &mut best,
                             free - shape.accelerators(),
                             *worker,
@@ -107,11 +107,11 @@
                     }
                 }
             } else {
-                let room: u32 = members
+                let fitting_tasks: u32 = members
                     .iter()
                     .map(|worker| self.workers[*worker].free / per_task)
                     .sum();
-                if room >= shape.tasks {
+                if fitting_tasks >= shape.tasks {
                     let left = members
                         .iter()
                         .map(|worker| self.workers[*worker].free)
@@ -125,14 +125,14 @@
                             }
                         }
                     }
-                    self.take_better(&mut best, left, rack, places);
+                    self.keep_better(&mut best, left, rack, places);
                 }
             }
         }
         best.map(|(_, _, places)| places)
     }
 
-    fn take_better(
+    fn keep_better(
         &self,
         best: &mut Option<(u32, usize, Vec<usize>)>,
         left: u32,
@@ -184,7 +184,7 @@
         self.queue = waiting;
     }
 
-    /// Share of free accelerators that no whole copy of the shape can take.
+    /// Share of free accelerators that no whole copy of the shape can use.
     fn fragmentation(&self, shape: &Shape) -> f64 {
         let free: u32 = self.workers.iter().map(|worker| worker.free).sum();
         let copies: u32 = self
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Runs all arrivals to their ends; returns the mean fragmentation, sampled once a minute while they arrive.
+    /// Runs all jobs to their ends. Returns the mean fragmentation, sampled once a minute until the last arrival.
     pub fn run(&mut self, arrivals: &[Arrival], shape: &Shape) -> f64 {
         let mut next = 0;
         let mut samples = (0.0, 0u32);
--- a/crates/bh-scheduler/benches/support/random.rs
+++ b/crates/bh-scheduler/benches/support/random.rs
@@ -1,6 +1,6 @@
-//! A small deterministic random source: the same seed gives the same arrivals to every policy.
+//! A small deterministic random number generator: with the same seed, every policy gets the same arrivals.
 
-/// Xorshift.
+/// A xorshift generator.
 pub struct Random(u64);
 
 impl Random {
@@ -15,17 +15,17 @@
         self.0
     }
 
-    /// From 0 to below 1.
+    /// Uniform in the range from 0 to below 1.
     pub fn unit(&mut self) -> f64 {
         (self.next() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Exponential with this mean.
+    /// Exponentially distributed with this mean.
     pub fn exponential(&mut self, mean: f64) -> f64 {
         -mean * (1.0 - self.unit()).ln()
     }
 
-    /// Log-normal with this median and spread.
+    /// Log-normally distributed with this median and spread.
     pub fn log_normal(&mut self, median: f64, sigma: f64) -> f64 {
         let (a, b) = (1.0 - self.unit(), self.unit());
         let normal = (-2.0 * a.ln()).sqrt() * (std::f64::consts::TAU * b).cos();
--- a/crates/bh-scheduler/benches/support/site.rs
+++ b/crates/bh-scheduler/benches/support/site.rs
@@ -1,4 +1,4 @@
-//! One data centre in memory: the scheduler, its record, and workers that carry orders out. Deterministic; no network.
+//! A deterministic in-memory simulation of one data centre: the scheduler, the job table and workers that carry out orders.
 #![allow(dead_code, reason = "the tests and the benches each use a part of it")]
 
 use bh_protocol::job::Phase;
@@ -18,14 +18,14 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Time an order or a record takes, in milliseconds.
+/// Time until an action of the scheduler is carried out.
 const ORDER_MS: u64 = 5;
-/// Leases of workers and tasks, in milliseconds.
+/// Lease of workers and tasks.
 pub const LEASE_MS: u64 = 3_000;
 
 /// Tasks of one attempt on one worker.
 #[derive(Clone, Debug)]
-struct Held {
+struct HeldTasks {
     tasks: Vec<u32>,
     accelerators: u32,
     phase: TaskPhase,
@@ -33,18 +33,18 @@
     checkpoint_ms: Option<u64>,
 }
 
-/// A fake worker.
+/// A simulated worker.
 #[derive(Clone, Debug)]
 pub struct FakeWorker {
     pub rack: Arc<str>,
     pub accelerators: u32,
     pub incarnation: u64,
     pub up: bool,
-    pub cut: bool,
+    pub disconnected: bool,
     pub leaving: bool,
     pub fails_everything: bool,
     pub refuses: bool,
-    held: BTreeMap<(u64, u64), Held>,
+    held: BTreeMap<(u64, u64), HeldTasks>,
 }
 
 #[derive(Clone, Debug)]
@@ -73,38 +73,38 @@
     },
 }
 
-/// What the site knows of a job beside the scheduler.
+/// What the simulation tracks about a job, independently of the scheduler.
 #[derive(Clone, Debug)]
-pub struct Life {
+pub struct JobHistory {
     pub fails: bool,
     pub first_start_ms: Option<u64>,
     pub ended_ms: Option<u64>,
-    /// Accelerator milliseconds of attempts that were stopped.
+    /// Accelerator milliseconds that were lost when attempts were stopped.
     pub lost_work: u64,
     attempt_start_ms: u64,
     remaining_ms: u64,
 }
 
-/// Faults planted in the site, to see the checks catch them.
+/// Faults to inject, which the checks must detect.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Planted {
-    /// The decision to start is reported as recorded and is not.
-    pub skips_record: bool,
-    /// Workers confirm a stop and run on.
-    pub runs_on_after_stop: bool,
-    /// Tasks of workers that are cut off do not end by their leases.
+pub struct InjectedFaults {
+    /// The decision to start is reported as recorded although it is not.
+    pub skips_start_record: bool,
+    /// Workers confirm a stop order but continue to run the tasks.
+    pub ignores_stops: bool,
+    /// Tasks of disconnected workers don't end when their leases expire.
     pub ignores_leases: bool,
 }
 
-/// The data centre.
+/// The simulated data centre.
 pub struct Site {
-    pub planted: Planted,
+    pub faults: InjectedFaults,
     pub scheduler: Scheduler,
     pub table: JobTable,
     pub now_ms: u64,
     pub workers: BTreeMap<Arc<str>, FakeWorker>,
-    pub lives: BTreeMap<u64, Life>,
-    /// Time a checkpoint takes, in milliseconds; an attempt that was checkpointed goes on from there.
+    pub histories: BTreeMap<u64, JobHistory>,
+    /// Time that a checkpoint takes. A checkpointed job resumes from its checkpoint.
     pub checkpoint_ms: u64,
     pub problems: Vec<String>,
     pending: BTreeMap<(u64, u64), Pending>,
@@ -118,12 +118,12 @@
         let mut scheduler = Scheduler::new(1, Limits::default(), LEASE_MS, 0);
         scheduler.step(0, Event::LimitsChanged(limits.clone()));
         Self {
-            planted: Planted::default(),
+            faults: InjectedFaults::default(),
             scheduler,
             table: JobTable::new(),
             now_ms: 0,
             workers: BTreeMap::new(),
-            lives: BTreeMap::new(),
+            histories: BTreeMap::new(),
             checkpoint_ms: 200,
             problems: Vec::new(),
             pending: BTreeMap::new(),
@@ -139,7 +139,7 @@
             accelerators,
             incarnation: 1,
             up: true,
-            cut: false,
+            disconnected: false,
             leaving: false,
             fails_everything: false,
             refuses: false,
@@ -163,13 +163,13 @@
         }
     }
 
-    /// Changes the settings.
+    /// Changes the limits.
     pub fn set_limits(&mut self, limits: Limits) {
         self.limits = limits.clone();
         self.feed(Event::LimitsChanged(limits));
     }
 
-    /// Submits a job that needs `run_ms`; returns its number.
+    /// Submits a job that has to run for `run_ms`. Returns its number.
     pub fn submit(&mut self, spec: Spec, run_ms: u64, fails: bool) -> u64 {
         let outcome = self.table.apply(Command::Submit {
             spec,
@@ -178,7 +178,7 @@
         let Outcome::Submitted { job } = outcome else {
             panic!("a submission of the test was refused: {outcome:?}");
         };
-        let life = Life {
+        let history = JobHistory {
             fails,
             first_start_ms: None,
             ended_ms: None,
@@ -186,12 +186,12 @@
             attempt_start_ms: 0,
             remaining_ms: run_ms,
         };
-        self.lives.insert(job, life);
-        self.tell(job);
+        self.histories.insert(job, history);
+        self.announce_job(job);
         job
     }
 
-    fn tell(&mut self, job: u64) {
+    fn announce_job(&mut self, job: u64) {
         let Some(record) = self.table.get(job) else {
             return;
         };
@@ -212,13 +212,13 @@
             jobs,
         }) {
             for job in &jobs {
-                self.note_end(*job);
+                self.record_end(*job);
             }
             self.feed(Event::JobsCancelled { jobs });
         }
     }
 
-    /// The leader dies; another takes over with what is recorded and what the workers say.
+    /// Replaces the leader. The new one knows only the job table and what the workers announce.
     pub fn change_leader(&mut self) {
         self.term += 1;
         self.pending
@@ -232,7 +232,7 @@
             .map(|(job, _)| job)
             .collect();
         for job in open {
-            self.tell(job);
+            self.announce_job(job);
         }
         let names: Vec<Arc<str>> = self.workers.keys().cloned().collect();
         for name in names {
@@ -240,7 +240,7 @@
         }
     }
 
-    /// A worker's process dies and its tasks with it; the leader notices when the lease lapses.
+    /// Kills a worker's process with its tasks. The leader notices when the worker's lease expires.
     pub fn kill_worker(&mut self, name: &Arc<str>) {
         let Some(worker) = self.workers.get_mut(name).filter(|worker| worker.up) else {
             return;
@@ -262,24 +262,24 @@
             return;
         };
         worker.up = true;
-        worker.cut = false;
+        worker.disconnected = false;
         worker.incarnation += 1;
         self.announce(name);
     }
 
-    /// A worker is cut off: orders and reports are lost, and its tasks end by their leases before the leader gives
-    /// their places away.
-    pub fn set_cut(&mut self, name: &Arc<str>, cut: bool) {
+    /// Disconnects or reconnects a worker. While it is disconnected, orders and reports are lost. Its tasks end when their
+    /// leases expire, before the leader gives their accelerators to other jobs.
+    pub fn set_disconnected(&mut self, name: &Arc<str>, disconnected: bool) {
         let Some(worker) = self
             .workers
             .get_mut(name)
-            .filter(|worker| worker.up && worker.cut != cut)
+            .filter(|worker| worker.up && worker.disconnected != disconnected)
         else {
             return;
         };
-        worker.cut = cut;
+        worker.disconnected = disconnected;
         let incarnation = worker.incarnation;
-        if cut {
+        if disconnected {
             self.later(
                 LEASE_MS - ORDER_MS,
                 Pending::LeaseEnds {
@@ -302,10 +302,10 @@
     fn reaches(&self, name: &str) -> bool {
         self.workers
             .get(name)
-            .is_some_and(|worker| worker.up && !worker.cut)
+            .is_some_and(|worker| worker.up && !worker.disconnected)
     }
 
-    /// Sends a worker's announcement.
+    /// Sends a worker's announcement to the leader.
     pub fn announce(&mut self, name: &Arc<str>) {
         if !self.reaches(name) {
             return;
@@ -331,11 +331,11 @@
             tasks: tasks.clone(),
         };
         self.feed(event);
-        self.answer(name, &tasks);
+        self.apply_answer(name, &tasks);
     }
 
-    /// What the leader's answer to an announcement makes a worker do.
-    fn answer(&mut self, name: &Arc<str>, reports: &[TaskReport]) {
+    /// Applies the leader's answer to an announcement on the worker.
+    fn apply_answer(&mut self, name: &Arc<str>, reports: &[TaskReport]) {
         for report in reports {
             let key = bh_protocol::target::TaskKey {
                 job: report.job,
@@ -343,21 +343,21 @@
                 task: report.task,
             };
             let holds = matches!(report.phase, TaskPhase::Prepared | TaskPhase::Running);
-            let settled = self.table.get(report.job).is_none_or(|record| {
+            let end_recorded = self.table.get(report.job).is_none_or(|record| {
                 record.phase.is_final()
                     || record.epoch != report.epoch
                     || record.phase == Phase::Queued
             });
             let wanted = self.scheduler.should_renew_lease(&key);
             if let Some(worker) = self.workers.get_mut(name)
-                && ((holds && !wanted) || (!holds && settled))
+                && ((holds && !wanted) || (!holds && end_recorded))
             {
                 worker.held.remove(&(report.job, report.epoch));
             }
         }
     }
 
-    /// Lets time pass up to `until_ms`, carrying out what falls due.
+    /// Advances time to `until_ms` and carries out everything that is due by then.
     pub fn run_until(&mut self, until_ms: u64) {
         while let Some((at, _)) = self
             .pending
@@ -367,14 +367,14 @@
         {
             self.now_ms = self.now_ms.max(at);
             if let Some((_, pending)) = self.pending.pop_first() {
-                self.fall_due(pending);
+                self.handle_pending(pending);
             }
         }
         self.now_ms = self.now_ms.max(until_ms);
         self.feed(Event::Tick);
     }
 
-    fn fall_due(&mut self, pending: Pending) {
+    fn handle_pending(&mut self, pending: Pending) {
         match pending {
             Pending::CarryOut(action) => self.carry_out(action),
             Pending::TaskEnds { worker, job, epoch } => self.task_ends(&worker, job, epoch),
@@ -382,7 +382,7 @@
                 self.checkpoint_ends(&worker, job, epoch)
             }
             Pending::Announce { worker } => self.announce(&worker),
-            Pending::LeaseEnds { .. } if self.planted.ignores_leases => {}
+            Pending::LeaseEnds { .. } if self.faults.ignores_leases => {}
             Pending::LeaseEnds {
                 worker,
                 incarnation,
@@ -390,7 +390,7 @@
                 if let Some(worker) = self
                     .workers
                     .get_mut(&worker)
-                    .filter(|worker| worker.cut && worker.incarnation == incarnation)
+                    .filter(|worker| worker.disconnected && worker.incarnation == incarnation)
                 {
                     for held in worker.held.values_mut() {
                         held.phase = TaskPhase::Stopped;
@@ -401,11 +401,11 @@
                 worker,
                 incarnation,
             } => {
-                let gone = self
+                let is_lost = self
                     .workers
                     .get(&worker)
-                    .is_some_and(|w| w.incarnation == incarnation && (!w.up || w.cut));
-                if gone {
+                    .is_some_and(|w| w.incarnation == incarnation && (!w.up || w.disconnected));
+                if is_lost {
                     self.feed(Event::WorkerLost { name: worker });
                 }
             }
@@ -413,7 +413,10 @@
     }
 
     fn task_ends(&mut self, name: &Arc<str>, job: u64, epoch: u64) {
-        let fails_job = self.lives.get(&job).is_some_and(|life| life.fails);
+        let fails_job = self
+            .histories
+            .get(&job)
+            .is_some_and(|history| history.fails);
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
@@ -442,37 +445,37 @@
             held.checkpoint_ms.is_some_and(|at| at <= now_ms) && held.phase == TaskPhase::Running
         }) {
             held.phase = TaskPhase::Stopped;
-            self.keep_progress(job);
+            self.save_progress(job);
             self.announce(name);
         }
     }
 
-    /// A checkpoint keeps what the attempt has done.
-    fn keep_progress(&mut self, job: u64) {
+    /// Deducts the work since the last checkpoint from the job's remaining time.
+    fn save_progress(&mut self, job: u64) {
         let now_ms = self.now_ms;
-        if let Some(life) = self.lives.get_mut(&job) {
-            let done = now_ms.saturating_sub(life.attempt_start_ms);
-            life.remaining_ms = life.remaining_ms.saturating_sub(done).max(1);
-            life.attempt_start_ms = now_ms;
+        if let Some(history) = self.histories.get_mut(&job) {
+            let done = now_ms.saturating_sub(history.attempt_start_ms);
+            history.remaining_ms = history.remaining_ms.saturating_sub(done).max(1);
+            history.attempt_start_ms = now_ms;
         }
     }
 
-    /// Counts what the stopped attempt did since its last checkpoint.
-    fn note_lost(&mut self, job: u64) {
+    /// Counts the work that the stopped attempt did since its last checkpoint as lost.
+    fn count_lost_work(&mut self, job: u64) {
         let now_ms = self.now_ms;
         let accelerators = self
             .table
             .get(job)
             .map_or(0, |record| u64::from(record.spec.shape.accelerators()));
-        if let Some(life) = self.lives.get_mut(&job) {
-            life.lost_work += now_ms.saturating_sub(life.attempt_start_ms) * accelerators;
+        if let Some(history) = self.histories.get_mut(&job) {
+            history.lost_work += now_ms.saturating_sub(history.attempt_start_ms) * accelerators;
         }
     }
 
-    fn note_end(&mut self, job: u64) {
+    fn record_end(&mut self, job: u64) {
         let now_ms = self.now_ms;
-        if let Some(life) = self.lives.get_mut(&job) {
-            life.ended_ms.get_or_insert(now_ms);
+        if let Some(history) = self.histories.get_mut(&job) {
+            history.ended_ms.get_or_insert(now_ms);
         }
     }
 
@@ -488,7 +491,7 @@
                 epoch,
                 placement,
             } => {
-                let accepted = self.planted.skips_record
+                let accepted = self.faults.skips_start_record
                     || self.table.apply(Command::Start {
                         job,
                         epoch,
@@ -541,7 +544,7 @@
                 for name in workers {
                     let confirmed = self.reaches(&name);
                     if confirmed
-                        && !self.planted.runs_on_after_stop
+                        && !self.faults.ignores_stops
                         && let Some(worker) = self.workers.get_mut(&name)
                     {
                         worker.held.retain(|(held_job, held_epoch), _| {
@@ -557,7 +560,7 @@
                 }
             }
             Action::RecordRequeue { job, epoch, reason } => {
-                self.note_lost(job);
+                self.count_lost_work(job);
                 self.table.apply(Command::Requeue { job, epoch, reason });
                 self.feed(Event::Requeued { job, epoch });
             }
@@ -573,7 +576,7 @@
                     phase,
                     reason,
                 });
-                self.note_end(job);
+                self.record_end(job);
             }
         }
     }
@@ -606,7 +609,7 @@
             }
             worker.held.insert(
                 (job, epoch),
-                Held {
+                HeldTasks {
                     tasks,
                     accelerators: needed,
                     phase: TaskPhase::Prepared,
@@ -624,16 +627,19 @@
 
     fn start(&mut self, job: u64, epoch: u64, placement: &Placement) {
         let now_ms = self.now_ms;
-        let decided = self
+        let start_recorded = self
             .table
             .get(job)
             .is_some_and(|record| record.epoch == epoch && record.phase != Phase::Queued);
-        if !decided {
+        if !start_recorded {
             self.problems.push(format!(
                 "job {job} attempt {epoch} is started without a decision"
             ));
         }
-        let remaining_ms = self.lives.get(&job).map_or(1, |life| life.remaining_ms);
+        let remaining_ms = self
+            .histories
+            .get(&job)
+            .map_or(1, |history| history.remaining_ms);
         let mut refused = BTreeSet::new();
         for name in placement.tasks_by_worker().into_keys() {
             let reaches = self.reaches(&name);
@@ -656,16 +662,16 @@
                     );
                     self.later(ORDER_MS, Pending::Announce { worker: name });
                 }
-                // Started before, by an earlier leader.
+                // An earlier leader has already started these tasks.
                 Some(held) if held.phase == TaskPhase::Running => {}
                 _ => {
                     refused.insert(name);
                 }
             }
         }
-        if let Some(life) = self.lives.get_mut(&job) {
-            life.first_start_ms.get_or_insert(now_ms);
-            life.attempt_start_ms = now_ms;
+        if let Some(history) = self.histories.get_mut(&job) {
+            history.first_start_ms.get_or_insert(now_ms);
+            history.attempt_start_ms = now_ms;
         }
         self.feed(Event::StartSent {
             job,
@@ -674,7 +680,7 @@
         });
     }
 
-    /// Attempts with a running task, and on how many workers each runs.
+    /// Returns the attempts with a running task, and on how many workers each of them runs.
     pub fn running_attempts(&self) -> BTreeMap<(u64, u64), usize> {
         let mut attempts = BTreeMap::new();
         for worker in self.workers.values().filter(|worker| worker.up) {
@@ -687,7 +693,7 @@
         attempts
     }
 
-    /// Checks what must hold at every moment.
+    /// Checks what must hold at all times.
     pub fn check(&mut self) {
         if let Err(problem) = self.scheduler.check_invariants() {
             self.problems.push(problem);
@@ -724,8 +730,8 @@
         }
     }
 
-    /// Checks that every running attempt runs on all its workers: only after a time without faults.
-    pub fn check_whole(&mut self) {
+    /// Checks that every running attempt runs on all its workers. This holds only after a time without faults.
+    pub fn check_gangs_complete(&mut self) {
         for ((job, epoch), count) in self.running_attempts() {
             let workers = self
                 .table
--- a/crates/bh-scheduler/benches/support/trace.rs
+++ b/crates/bh-scheduler/benches/support/trace.rs
@@ -1,4 +1,4 @@
-//! Arrivals of one site: the same for every policy.
+//! Synthetic job arrivals of one site, the same for every policy.
 
 use super::random::Random;
 use bh_protocol::job::Spec;
@@ -6,7 +6,7 @@
 use bh_protocol::shape::Shape;
 use std::sync::Arc;
 
-/// A kind of job.
+/// A class of jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Class {
     Small,
@@ -24,7 +24,7 @@
     Class::Urgent,
 ];
 
-/// One arrival.
+/// One arriving job.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub at_ms: u64,
@@ -40,10 +40,11 @@
     pub workers: u32,
     pub per_rack: u32,
     pub accelerators: u32,
-    /// Tasks of a large gang of four accelerators each, in one rack.
+    /// Tasks of a large gang, which runs in one rack with four accelerators per task.
     pub large_tasks: u32,
-    /// Tasks of a guaranteed gang of four accelerators each, in one rack, and how many are guaranteed.
+    /// Tasks of a guaranteed gang, which runs in one rack with four accelerators per task.
     pub guaranteed_tasks: u32,
+    /// Number of guaranteed gangs.
     pub guaranteed: u32,
     pub hours: f64,
     /// Offered load as a share of all accelerators.
@@ -53,8 +54,8 @@
 }
 
 const MINUTE_MS: f64 = 60_000.0;
-/// Small jobs come in bursts: this many times the mean rate, for this part of each period.
-const BURST: f64 = 4.0;
+/// Small jobs arrive in bursts: at this multiple of the mean relative_rate, for `BURST_SHARE` of each `BURST_PERIOD_MS`.
+const BURST_RATE: f64 = 4.0;
 const BURST_SHARE: f64 = 0.2;
 const BURST_PERIOD_MS: f64 = 120.0 * MINUTE_MS;
 
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Share of the offered load and median run time of each class, in minutes.
+    /// Share of the offered load, median run time in minutes and spread (sigma) of the run time of each class.
     fn mix(class: Class) -> (f64, f64, f64) {
         match class {
             Class::Small => (0.40, 20.0, 0.8),
@@ -105,7 +106,7 @@
         f64::from(self.workers * self.accelerators)
     }
 
-    /// All arrivals in order of time. Declared run times are off by factors.
+    /// Returns all arrivals in order of time. The declared run times are declared_factor by random factors.
     pub fn arrivals(&self, seed: u64) -> Vec<Arrival> {
         let mut arrivals = Vec::new();
         for class in CLASSES {
@@ -117,14 +118,14 @@
             let gap_ms = per_job / (self.capacity() * self.load * share);
             let mut at = 0.0;
             loop {
-                at += random.exponential(gap_ms / rate(class, at));
+                at += random.exponential(gap_ms / relative_rate(class, at));
                 if at > self.hours * 60.0 * MINUTE_MS {
                     break;
                 }
                 let run_ms = random
                     .log_normal(median_min * MINUTE_MS, sigma)
                     .max(1_000.0);
-                let wrong = random.log_normal(1.0, 1.0);
+                let declared_factor = random.log_normal(1.0, 1.0);
                 let customer = Self::customer(class, &mut random);
                 let spec = Spec {
                     team: Arc::from("users"),
@@ -133,7 +134,7 @@
                     shape_name: Arc::from(name),
                     shape,
                     priority: Self::priority(class),
-                    declared_ms: (run_ms * wrong) as u64,
+                    declared_ms: (run_ms * declared_factor) as u64,
                     payload: String::new(),
                 };
                 arrivals.push(Arrival {
@@ -149,14 +150,14 @@
     }
 }
 
-fn rate(class: Class, at_ms: f64) -> f64 {
+fn relative_rate(class: Class, at_ms: f64) -> f64 {
     if class != Class::Small {
         return 1.0;
     }
     let in_burst = (at_ms % BURST_PERIOD_MS) < BURST_PERIOD_MS * BURST_SHARE;
     if in_burst {
-        BURST
+        BURST_RATE
     } else {
-        (1.0 - BURST * BURST_SHARE) / (1.0 - BURST_SHARE)
+        (1.0 - BURST_RATE * BURST_SHARE) / (1.0 - BURST_SHARE)
     }
 }
--- a/crates/bh-scheduler/tests/crashes.rs
+++ b/crates/bh-scheduler/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Jobs that crash the workers that start them.
+//! Tests that a job which crashes the workers that start it fails.
 #[path = "../benches/support/site.rs"]
 mod site;
 
@@ -11,8 +11,8 @@
 use site::Site;
 use std::sync::Arc;
 
-/// A worker dies each time it starts the caller's job, and is back a moment later. A job that does that at once is ended after three of
-/// them, and its caller told why; one that had run for an hour each time had bad luck, and is started again.
+/// A worker crashes each time while it runs the job, and restarts a moment later. If the crashes come soon after the start, the job fails
+/// after three of them. If the job ran for an hour each time, the crashes don't count against it and it is restarted.
 #[rstest]
 #[case::at_once(500, Some(Phase::Failed))]
 #[case::after_an_hour(3_600_000, None)]
--- a/crates/bh-scheduler/tests/fuzz.rs
+++ b/crates/bh-scheduler/tests/fuzz.rs
@@ -1,5 +1,6 @@
-//! Random events against the scheduler: workers die, are cut off, fail and leave; leaders change; jobs come in waves and
-//! are cancelled in waves. After every step the guarantees must be reclaimable and no gang may run in part.
+//! Fuzz test of the scheduler with random events: workers crash, are disconnected, fail tasks and leave, leaders change, and
+//! jobs are submitted and cancelled. After every step the invariants must hold; in particular, all guarantees are reclaimable.
+//! After the faults, every running gang must run on all its workers.
 
 #[path = "../benches/support/site.rs"]
 mod site;
@@ -24,7 +25,7 @@
 const WORKERS: usize = RACKS * WORKERS_PER_RACK;
 const ACCELERATORS: u32 = 8;
 
-/// Shapes of the test; the first two are guaranteed to customer `lumen`.
+/// Returns the shapes of the test. The first two are guaranteed to customer `lumen`.
 fn shapes() -> Vec<(&'static str, Shape)> {
     vec![
         ("rack16", Shape::new(4, 4, Adjacency::Rack)),
@@ -49,7 +50,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Pass(u64),
+    Advance(u64),
     Submit {
         lumen: bool,
         shape: usize,
@@ -60,8 +61,8 @@
     CancelWave(usize),
     Kill(usize),
     Start(usize),
-    Cut(usize),
-    Mend(usize),
+    Disconnect(usize),
+    Reconnect(usize),
     Leave(usize, bool),
     FailEverything(usize, bool),
     Refuse(usize, bool),
@@ -72,14 +73,14 @@
 fn step() -> impl Strategy<Value = Step> {
     let worker = 0..WORKERS;
     prop_oneof![
-        20 => (1u64..2_000).prop_map(Step::Pass),
+        20 => (1u64..2_000).prop_map(Step::Advance),
         16 => (any::<bool>(), 0..5usize, 0u8..10, 10u64..20_000, prop::bool::weighted(0.05))
             .prop_map(|(lumen, shape, priority, run_ms, fails)| Step::Submit { lumen, shape, priority, run_ms, fails }),
         1 => (1..10usize).prop_map(Step::CancelWave),
         2 => worker.clone().prop_map(Step::Kill),
         3 => worker.clone().prop_map(Step::Start),
-        2 => worker.clone().prop_map(Step::Cut),
-        3 => worker.clone().prop_map(Step::Mend),
+        2 => worker.clone().prop_map(Step::Disconnect),
+        3 => worker.clone().prop_map(Step::Reconnect),
         1 => (worker.clone(), any::<bool>()).prop_map(|(w, on)| Step::Leave(w, on)),
         1 => (worker.clone(), any::<bool>()).prop_map(|(w, on)| Step::FailEverything(w, on)),
         1 => (worker, any::<bool>()).prop_map(|(w, on)| Step::Refuse(w, on)),
@@ -118,7 +119,7 @@
 fn apply(site: &mut Site, step: &Step, number: usize) {
     let name = |worker: usize| -> Arc<str> { Arc::from(format!("w{worker}")) };
     match *step {
-        Step::Pass(ms) => pass(site, ms),
+        Step::Advance(ms) => advance(site, ms),
         Step::Submit {
             lumen,
             shape,
@@ -141,18 +142,20 @@
         }
         Step::Kill(worker) => site.kill_worker(&name(worker)),
         Step::Start(worker) => site.start_worker(&name(worker)),
-        Step::Cut(worker) => site.set_cut(&name(worker), true),
-        Step::Mend(worker) => site.set_cut(&name(worker), false),
-        Step::Leave(worker, on) => set(site, worker, |w| w.leaving = on),
-        Step::FailEverything(worker, on) => set(site, worker, |w| w.fails_everything = on),
-        Step::Refuse(worker, on) => set(site, worker, |w| w.refuses = on),
+        Step::Disconnect(worker) => site.set_disconnected(&name(worker), true),
+        Step::Reconnect(worker) => site.set_disconnected(&name(worker), false),
+        Step::Leave(worker, on) => update_worker(site, worker, |w| w.leaving = on),
+        Step::FailEverything(worker, on) => {
+            update_worker(site, worker, |w| w.fails_everything = on)
+        }
+        Step::Refuse(worker, on) => update_worker(site, worker, |w| w.refuses = on),
         Step::ChangeLeader => site.change_leader(),
         Step::Guarantee(count) => site.set_limits(limits(count)),
     }
     site.check();
 }
 
-fn set(site: &mut Site, worker: usize, change: impl Fn(&mut site::FakeWorker)) {
+fn update_worker(site: &mut Site, worker: usize, change: impl Fn(&mut site::FakeWorker)) {
     let name: Arc<str> = Arc::from(format!("w{worker}"));
     if let Some(worker) = site.workers.get_mut(&name) {
         change(worker);
@@ -160,8 +163,8 @@
     site.announce(&name);
 }
 
-/// Lets time pass in ticks, with the announcements that every worker sends once a second.
-fn pass(site: &mut Site, ms: u64) {
+/// Advances time in ticks. Every worker announces itself once a second.
+fn advance(site: &mut Site, ms: u64) {
     const TICK_MS: u64 = 50;
     const RENEW_MS: u64 = 1_000;
     let until_ms = site.now_ms + ms;
@@ -179,7 +182,7 @@
     }
 }
 
-fn calm(site: &mut Site) {
+fn clear_faults(site: &mut Site) {
     for worker in 0..WORKERS {
         let name: Arc<str> = Arc::from(format!("w{worker}"));
         if let Some(worker) = site.workers.get_mut(&name) {
@@ -188,7 +191,7 @@
             worker.refuses = false;
         }
         site.start_worker(&name);
-        site.set_cut(&name, false);
+        site.set_disconnected(&name, false);
         site.announce(&name);
     }
 }
@@ -204,14 +207,15 @@
             return site;
         }
     }
-    calm(&mut site);
-    pass(&mut site, 15_000);
-    site.check_whole();
+    clear_faults(&mut site);
+    advance(&mut site, 15_000);
+    site.check_gangs_complete();
     check_guarantee(&mut site, steps.len());
     site
 }
 
-/// In quiet, a guaranteed job starts within the checkpoint wait and the orders' time, whoever borrows.
+/// Checks that a guaranteed job starts within the checkpoint wait and the time of the orders, while no faults happen and
+/// whatever jobs borrow its accelerators.
 fn check_guarantee(site: &mut Site, number: usize) {
     site.set_limits(limits(1));
     let used = site
@@ -221,19 +225,19 @@
         .iter()
         .any(|cell| cell.used_by.is_some());
     let uncovered = site.scheduler.guarantees().uncovered() > 0;
-    let aside = site
+    let set_aside = site
         .scheduler
         .inventory()
         .workers()
         .iter()
         .any(|worker| worker.health.is_suspect());
-    // An older job of the customer with the same shape has the first claim on its guarantee.
+    // An older job of the customer with the same shape takes precedence on its guarantee.
     let older = site.table.iter().any(|(_, record)| {
         !record.phase.is_final()
             && &*record.spec.customer == "lumen"
             && &*record.spec.shape_name == "rack16"
     });
-    if used || aside || older {
+    if used || set_aside || older {
         return;
     }
     if uncovered {
@@ -242,7 +246,7 @@
         return;
     }
     let job = site.submit(spec("lumen", 0, 0, number + 1_000), 100_000, false);
-    pass(site, 1_500);
+    advance(site, 1_500);
     if !site.scheduler.is_running(job) {
         let state = site.scheduler.state_of(job).cloned();
         site.problems.push(format!(
@@ -271,8 +275,8 @@
     })
 }
 
-/// Whatever happens, every unused guaranteed shape can be freed by stopping borrowers only, no worker holds more than it
-/// has, no job runs twice at a time, and after the faults every running gang is whole and guarantees are served.
+/// At all times, every unused guaranteed shape can be freed by stopping borrowers only, no worker runs more accelerators than
+/// it has, and no job runs twice at the same time. After the faults, every running gang is complete and guarantees are met.
 #[test]
 fn fuzz_scheduler() {
     let result = runner().run(&proptest::collection::vec(step(), 1..STEPS), |steps| {
@@ -288,12 +292,12 @@
     }
 }
 
-/// Whether the checks catch a fault planted in the site.
-fn is_caught(plant: impl Fn(&mut Site)) -> bool {
+/// Returns whether the checks detect the faults that `inject` enables.
+fn is_detected(inject: impl Fn(&mut Site)) -> bool {
     let strategy = proptest::collection::vec(step(), 20..STEPS);
     let result = runner().run(&strategy, |steps| {
         let mut site = new_site();
-        plant(&mut site);
+        inject(&mut site);
         let site = run_on(site, &steps);
         if site.problems.is_empty() {
             Ok(())
@@ -304,11 +308,11 @@
     result.is_err()
 }
 
-/// The checks are shown faults: gangs that start without a recorded decision, workers that confirm a stop and run on, and
-/// workers that never end their tasks when they are cut off.
+/// The checks detect injected faults: gangs that start without a recorded decision, workers that confirm a stop and continue to
+/// run the tasks, and workers that don't end their tasks when they are disconnected.
 #[test]
 fn planted_faults_are_caught() {
-    assert!(is_caught(|site| site.planted.skips_record = true));
-    assert!(is_caught(|site| site.planted.runs_on_after_stop = true));
-    assert!(is_caught(|site| site.planted.ignores_leases = true));
+    assert!(is_detected(|site| site.faults.skips_start_record = true));
+    assert!(is_detected(|site| site.faults.ignores_stops = true));
+    assert!(is_detected(|site| site.faults.ignores_leases = true));
 }
--- a/crates/bh-scheduler/tests/late_reports.rs
+++ b/crates/bh-scheduler/tests/late_reports.rs
@@ -1,5 +1,5 @@
-//! Announcements that were written before an order was carried out, and arrive after it: an entry that passes them on sends them
-//! again over a new link when the first one broke.
+//! Tests announcements that a worker wrote before it carried out an order and that arrive after the order. This happens when an entry
+//! forwards announcements, its link breaks, and it sends them again over a new link.
 
 use bh_protocol::job::Phase;
 use bh_protocol::job::Placement;
@@ -15,11 +15,11 @@
 use std::sync::Arc;
 
 const LEASE_MS: u64 = 3_000;
-/// After the time in which workers may still have to announce themselves.
+/// A time after which all workers have announcement themselves to the leader.
 const SETTLED_MS: u64 = 2 * LEASE_MS;
 
-/// A worker's announcement that lists no task.
-fn announced(name: &str) -> Event {
+/// Returns a worker's announcement that lists no tasks.
+fn announcement(name: &str) -> Event {
     Event::WorkerAnnounced {
         name: Arc::from(name),
         incarnation: 1,
@@ -30,7 +30,7 @@
     }
 }
 
-/// A gang of two, one task on each of two workers.
+/// Returns a gang of two tasks, one on each of two workers.
 fn gang() -> RecordedJob {
     RecordedJob {
         job: 1,
@@ -51,15 +51,15 @@
     }
 }
 
-/// Both members of a gang run; the answer of one to its start is lost, so that the gang is stopped whole. The other's stop is still on its way when
-/// an announcement arrives that it wrote before it held anything. The gang waits for that stop, or for the lease: begun anew at once, the member
-/// would run twice.
+/// Both tasks of a gang run, but one worker's answer to the start order is lost, so the whole gang is stopped. Before the other worker confirms its
+/// stop order, an announcement arrives that this worker wrote before it held any task. The scheduler must wait for the confirmation or for the end
+/// of the lease. If it restarted the gang at once, the task would run twice at the same time.
 #[test]
 fn an_announcement_from_before_the_start_confirms_no_stop() {
     let mut scheduler = Scheduler::new(1, Limits::default(), LEASE_MS, 0);
     let mut now_ms = SETTLED_MS;
     for name in ["w0", "w1"] {
-        scheduler.step(now_ms, announced(name));
+        scheduler.step(now_ms, announcement(name));
     }
     let actions = scheduler.step(now_ms, Event::JobRecorded(gang()));
     let Some(Action::Prepare { job, epoch, .. }) = actions.first().cloned() else {
@@ -102,18 +102,18 @@
         worker: Arc::from(worker),
         confirmed: true,
     };
-    let ends = |actions: &[Action]| {
+    let is_requeued = |actions: &[Action]| {
         let mut actions = actions.iter();
         actions.any(|action| matches!(action, Action::RecordRequeue { .. }))
     };
-    assert!(!ends(&scheduler.step(now_ms, stopped("w1"))));
+    assert!(!is_requeued(&scheduler.step(now_ms, stopped("w1"))));
     now_ms += 100;
-    let actions = scheduler.step(now_ms, announced("w0"));
+    let actions = scheduler.step(now_ms, announcement("w0"));
     assert!(
-        !ends(&actions),
-        "begun anew beside a member that runs: {actions:?}"
+        !is_requeued(&actions),
+        "requeued while a task still runs: {actions:?}"
     );
-    // After a lease that nobody renewed the member has ended by itself, and what its worker reports counts.
+    // After the lease has expired, the task has ended by itself, and the worker's announcement counts.
     now_ms += LEASE_MS;
-    assert!(ends(&scheduler.step(now_ms, announced("w0"))));
+    assert!(is_requeued(&scheduler.step(now_ms, announcement("w0"))));
 }
