--- a/crates/bh-membership/tests/fuzz.rs
+++ b/crates/bh-membership/tests/fuzz.rs
@@ -1,4 +1,4 @@
-//! Random faults against the ownership of targets: whatever happens, no target has more requests at a time than slots.
+//! Fuzz test of target ownership with random faults: no target ever has more requests in progress than slots.
 #![expect(
     clippy::unwrap_used,
     reason = "a test that meets the unexpected shall end"
@@ -24,12 +24,12 @@
 const SLOTS: u32 = 2;
 const LEASE_MS: u64 = 1_000;
 const OVERLAP_MS: u64 = 200;
-/// Time a message takes at most, in milliseconds.
+/// Time from a renewal until its answer arrives.
 const DELAY_MS: u64 = 60;
 
 #[derive(Clone, Debug)]
 enum Step {
-    Pass(u64),
+    Advance(u64),
     Renew(usize),
     Announce(usize),
     Send(usize, usize),
@@ -42,7 +42,7 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        10 => (1u64..400).prop_map(Step::Pass),
+        10 => (1u64..400).prop_map(Step::Advance),
         10 => (0..ENTRIES).prop_map(Step::Renew),
         6 => (0..TARGETS).prop_map(Step::Announce),
         20 => (0..ENTRIES, 0..TARGETS).prop_map(|(e, t)| Step::Send(e, t)),
@@ -54,13 +54,13 @@
     ]
 }
 
-/// A planted fault, to see the check catch it.
+/// Faults to inject, which the check must detect.
 #[derive(Clone, Copy, Default)]
-struct Planted {
-    /// A new leader grants at once instead of waiting for the leases of the one before it.
+struct InjectedFaults {
+    /// A new leader grants targets at once instead of waiting for the end of the previous leader's leases.
     no_grace: bool,
-    /// An entry counts its lease from when the answer arrives.
-    late_lease: bool,
+    /// An entry counts its lease from the arrival of the answer instead of the time it sent the renewal.
+    lease_from_answer: bool,
 }
 
 struct System {
@@ -70,9 +70,9 @@
     entries: Vec<OwnedTargets>,
     incarnations: Vec<u64>,
     frozen: Vec<Option<(u64, u64, Grant)>>,
-    /// Requests in progress on targets: entry, its incarnation, target.
+    /// Requests in progress on targets, as entry, the entry's incarnation and target.
     in_progress: Vec<(usize, u64, usize)>,
-    planted: Planted,
+    faults: InjectedFaults,
     problems: Vec<String>,
 }
 
@@ -85,7 +85,7 @@
 }
 
 impl System {
-    fn new(planted: Planted) -> Self {
+    fn new(faults: InjectedFaults) -> Self {
         let mut system = Self {
             now_ms: 10_000,
             terms: 1,
@@ -96,7 +96,7 @@
             incarnations: vec![1; ENTRIES],
             frozen: vec![None; ENTRIES],
             in_progress: Vec::new(),
-            planted,
+            faults,
             problems: Vec::new(),
         };
         for target in 0..TARGETS {
@@ -129,11 +129,11 @@
         self.registry.announce(self.now_ms, announcement);
     }
 
-    /// An entry renews. The answer arrives later; a frozen entry gets it only when it wakes up.
+    /// Renews an entry's lease. The answer arrives later; if the entry freezes, it handles the answer only when it resumes.
     fn renew(&mut self, entry: usize, frozen: bool) {
-        if let Some((sent_ms, woken_ms, grant)) = self.frozen[entry].take() {
-            if self.now_ms < woken_ms {
-                self.frozen[entry] = Some((sent_ms, woken_ms, grant));
+        if let Some((sent_ms, resumed_ms, grant)) = self.frozen[entry].take() {
+            if self.now_ms < resumed_ms {
+                self.frozen[entry] = Some((sent_ms, resumed_ms, grant));
                 return;
             }
             self.accept(entry, sent_ms, grant);
@@ -151,7 +151,7 @@
     }
 
     fn accept(&mut self, entry: usize, sent_ms: u64, grant: Grant) {
-        let counted_from = if self.planted.late_lease {
+        let counted_from = if self.faults.lease_from_answer {
             self.now_ms
         } else {
             sent_ms
@@ -162,7 +162,7 @@
     fn send(&mut self, entry: usize, target: usize) {
         if self.frozen[entry]
             .as_ref()
-            .is_some_and(|(_, woken_ms, _)| self.now_ms < *woken_ms)
+            .is_some_and(|(_, resumed_ms, _)| self.now_ms < *resumed_ms)
         {
             return;
         }
@@ -183,12 +183,12 @@
         }
     }
 
-    fn finish(&mut self, place: usize) {
+    fn finish(&mut self, index: usize) {
         if self.in_progress.is_empty() {
             return;
         }
-        let place = place % self.in_progress.len();
-        let (entry, incarnation, target) = self.in_progress.remove(place);
+        let index = index % self.in_progress.len();
+        let (entry, incarnation, target) = self.in_progress.remove(index);
         if incarnation == self.incarnations[entry] {
             self.entries[entry].release_slot(&target_name(target));
         }
@@ -203,13 +203,13 @@
     fn change_leader(&mut self) {
         self.now_ms += 300;
         self.terms += 1;
-        let (lease_ms, overlap_ms) = if self.planted.no_grace {
+        let (lease_ms, overlap_ms) = if self.faults.no_grace {
             (0, 0)
         } else {
             (LEASE_MS, OVERLAP_MS)
         };
         self.registry = Registry::new(self.terms, self.now_ms, LEASE_MS, lease_ms, overlap_ms);
-        if self.planted.no_grace {
+        if self.faults.no_grace {
             self.registry = Registry::new(
                 self.terms,
                 self.now_ms.saturating_sub(LEASE_MS + OVERLAP_MS),
@@ -225,11 +225,11 @@
 
     fn apply(&mut self, step: &Step) {
         match *step {
-            Step::Pass(ms) => self.now_ms += ms,
+            Step::Advance(ms) => self.now_ms += ms,
             Step::Renew(entry) => self.renew(entry, false),
             Step::Announce(target) => self.announce(target, false),
             Step::Send(entry, target) => self.send(entry, target),
-            Step::Finish(place) => self.finish(place),
+            Step::Finish(index) => self.finish(index),
             Step::Freeze(entry) => self.renew(entry, true),
             Step::Kill(entry) => self.kill(entry),
             Step::ChangeLeader => self.change_leader(),
@@ -238,15 +238,15 @@
     }
 }
 
-fn run(steps: &[Step], planted: Planted) -> System {
-    let mut system = System::new(planted);
+fn run(steps: &[Step], faults: InjectedFaults) -> System {
+    let mut system = System::new(faults);
     for step in steps {
         system.apply(step);
     }
     system
 }
 
-fn search(cases: u32, planted: Planted) -> Result<(), String> {
+fn search(cases: u32, faults: InjectedFaults) -> Result<(), String> {
     let cases = std::env::var("PROPTEST_CASES")
         .ok()
         .and_then(|text| text.parse().ok())
@@ -264,7 +264,7 @@
     });
     runner
         .run(&proptest::collection::vec(step(), 1..300), |steps| {
-            let system = run(&steps, planted);
+            let system = run(&steps, faults);
             if system.problems.is_empty() {
                 Ok(())
             } else {
@@ -274,50 +274,50 @@
         .map_err(|error| error.to_string())
 }
 
-/// Entries renew, freeze, die and come back; leaders change; targets report with a lag. No target ever has more requests
+/// Entries renew, freeze, crash and restart, leaders change, and targets report with a lag. No target ever has more requests
 /// in progress than slots, over all entries together.
 #[test]
 fn fuzz_slots_hold() {
-    if let Err(problem) = search(CASES, Planted::default()) {
+    if let Err(problem) = search(CASES, InjectedFaults::default()) {
         panic!("{problem}");
     }
 }
 
-/// A leader that grants targets before the leases of its predecessor have ended gives one target two owners.
+/// A leader that grants targets before the previous leader's leases have ended gives a target two owners.
 #[test]
 fn a_leader_without_grace_is_caught() {
     assert!(
         search(
             3_000,
-            Planted {
+            InjectedFaults {
                 no_grace: true,
-                ..Planted::default()
+                ..InjectedFaults::default()
             }
         )
         .is_err()
     );
 }
 
-/// An entry that was frozen while the answer was on its way, and counts its lease from the answer, goes on using a
-/// target that was given to another.
+/// An entry that was frozen while the answer was on its way, and that counts its lease from the arrival of the answer,
+/// continues to use a target that another entry owns by then.
 #[test]
 fn a_lease_counted_from_the_answer_is_caught() {
     assert!(
         search(
             3_000,
-            Planted {
-                late_lease: true,
-                ..Planted::default()
+            InjectedFaults {
+                lease_from_answer: true,
+                ..InjectedFaults::default()
             }
         )
         .is_err()
     );
 }
 
-/// Targets are shared out evenly, and a second entry gets its share of those that the first one had.
+/// Targets are distributed evenly: a second entry gets its share of the targets that the first entry owned.
 #[test]
 fn targets_move_to_a_new_entry() {
-    let mut system = System::new(Planted::default());
+    let mut system = System::new(InjectedFaults::default());
     let mut owned = BTreeMap::new();
     for _ in 0..40 {
         system.now_ms += 100;
@@ -333,16 +333,19 @@
     assert!(owned.values().all(|count| *count >= 1), "{owned:?}");
 }
 
-/// A target's lease lapses just as an entry renews. The leader still hears that it is gone: its gangs would otherwise
-/// wait for it for ever.
+/// A target's lease expires while an entry renews. The leader must still learn that the target is lost, because the target's
+/// gangs would otherwise wait for it forever.
 #[test]
 fn a_renewal_does_not_swallow_a_lost_target() {
-    let mut system = System::new(Planted::default());
+    let mut system = System::new(InjectedFaults::default());
     system.now_ms += LEASE_MS + 1;
     system.renew(0, false);
-    let mut gone = system.registry.take_expired_targets(system.now_ms);
-    gone.sort();
-    assert_eq!(gone, (0..TARGETS).map(target_name).collect::<Vec<_>>());
+    let mut expired_targets = system.registry.take_expired_targets(system.now_ms);
+    expired_targets.sort();
+    assert_eq!(
+        expired_targets,
+        (0..TARGETS).map(target_name).collect::<Vec<_>>()
+    );
     assert!(
         system
             .registry
--- a/crates/bh-membership/tests/task_leases.rs
+++ b/crates/bh-membership/tests/task_leases.rs
@@ -1,10 +1,10 @@
-//! When the tasks of a silent worker count as ended.
+//! Tests when the tasks of a lost worker count as ended.
 
 use bh_membership::TaskLeases;
 use std::sync::Arc;
 
-/// A worker's last announcement was long ago, but a start order went to it just before it was lost. Its tasks may run
-/// for one lease from the order on; only then may they be started elsewhere.
+/// A worker's last announcement was long ago, but a start order was sent to it just before it was lost. Its tasks may run for one
+/// lease after the order, and only then may they be started elsewhere.
 #[test]
 fn an_order_just_before_the_loss_counts() {
     let worker: Arc<str> = Arc::from("w");
@@ -20,7 +20,7 @@
     assert_eq!(leases.expire_workers(1_190, &[]), vec![worker]);
 }
 
-/// A worker comes back within the wait: its tasks were never lost.
+/// A worker that announces itself again before its tasks count as ended has not lost them.
 #[test]
 fn a_worker_that_is_back_was_not_lost() {
     let worker: Arc<str> = Arc::from("w");
--- a/crates/bh-router/benches/overload.rs
+++ b/crates/bh-router/benches/overload.rs
@@ -1,7 +1,7 @@
-//! Goodput of eight entries and fifty workers from half to five times their capacity, with failing workers and a killed
-//! entry, against a first-come queue without admission.
+//! Measures the goodput of eight entries and fifty workers at half to five times their capacity, with failing workers and a
+//! killed entry, and compares it with a first-come queue without admission control.
 //!
-//! `cargo bench -p bh-router --bench overload`. One deterministic driver over the pure router; no network.
+//! `cargo bench -p bh-router --bench overload`. A deterministic driver runs the pure router without a network.
 
 use bh_membership::Grant;
 use bh_membership::GrantedTarget;
@@ -24,9 +24,9 @@
 const HEARTBEAT_MS: u64 = 200;
 const HOP_MS: u64 = 1;
 const FAIL_MS: u64 = 1;
-/// Time until the targets of a killed entry have new owners.
+/// Time after which the targets of a killed entry have new owners.
 const TAKEOVER_MS: u64 = 3_500;
-/// Shares of the arrivals and weights of four customers; the first floods.
+/// Name, share of the arrivals and weight of each customer. The first one floods the entries.
 const CUSTOMERS: [(&str, f64, u32); 4] = [
     ("flood", 0.70, 1),
     ("grocer", 0.10, 1),
@@ -61,13 +61,13 @@
         ok: bool,
         took_ms: u64,
     },
-    Handed {
+    Forwarded {
         from: usize,
         to: usize,
         id: u64,
         pending: PendingRequest,
     },
-    HandedBack {
+    ForwardRefused {
         entry: usize,
         id: u64,
         by: Arc<str>,
@@ -78,7 +78,7 @@
 }
 
 #[derive(Default)]
-struct Tally {
+struct Counters {
     offered: u64,
     good: u64,
     refused: u64,
@@ -108,7 +108,7 @@
     requests: BTreeMap<u64, Request>,
     pending_requests: BTreeMap<u64, PendingRequest>,
     random: Random,
-    tally: Tally,
+    counters: Counters,
     next_id: u64,
 }
 
@@ -169,7 +169,7 @@
             requests: BTreeMap::new(),
             pending_requests: BTreeMap::new(),
             random: Random(0x1234_5678_9abc_def1),
-            tally: Tally::default(),
+            counters: Counters::default(),
             next_id: 1,
         };
         let capacity_per_ms = TARGETS as f64 * f64::from(SLOTS) / SERVICE_MS;
@@ -209,7 +209,7 @@
         self.at(self.now_ms + after_ms, event);
     }
 
-    fn run(mut self) -> Tally {
+    fn run(mut self) -> Counters {
         while let Some(((at, _), event)) = self.events.pop_first() {
             while self.now_ms < at {
                 self.now_ms += 1;
@@ -217,9 +217,9 @@
                     self.tick();
                 }
             }
-            self.happen(event);
+            self.handle(event);
         }
-        self.tally
+        self.counters
     }
 
     fn tick(&mut self) {
@@ -245,7 +245,7 @@
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive { customer } => self.arrive(customer),
             Event::Done {
@@ -255,13 +255,13 @@
                 ok,
                 took_ms,
             } => self.done(entry, id, &target, ok, took_ms),
-            Event::Handed {
+            Event::Forwarded {
                 from,
                 to,
                 id,
                 pending,
-            } => self.handed(from, to, id, pending),
-            Event::HandedBack { entry, id, by } => {
+            } => self.forwarded_to(from, to, id, pending),
+            Event::ForwardRefused { entry, id, by } => {
                 let decisions = self.routers[entry].forward_refused(self.now_ms, id, &by);
                 self.carry_out(entry, decisions);
             }
@@ -301,8 +301,8 @@
         if !self.alive[entry] {
             entry = (entry + 1) % ENTRIES;
         }
-        self.tally.offered += 1;
-        self.tally.by_customer.entry(customer).or_default().0 += 1;
+        self.counters.offered += 1;
+        self.counters.by_customer.entry(customer).or_default().0 += 1;
         self.requests.insert(
             id,
             Request {
@@ -336,7 +336,7 @@
         for decision in decisions {
             match decision {
                 Decision::Send { id, target, .. } => {
-                    self.tally.attempts += 1;
+                    self.counters.attempts += 1;
                     let index: usize = target[1..].parse().unwrap_or(0);
                     let ok = !self.broken.contains(&index);
                     let service = -(1.0 - self.random.unit()).ln() * SERVICE_MS;
@@ -357,7 +357,7 @@
                     let pending = self.pending_requests[&id].clone();
                     self.later(
                         HOP_MS,
-                        Event::Handed {
+                        Event::Forwarded {
                             from: entry,
                             to,
                             id,
@@ -370,11 +370,11 @@
         }
     }
 
-    fn handed(&mut self, from: usize, to: usize, id: u64, pending: PendingRequest) {
+    fn forwarded_to(&mut self, from: usize, to: usize, id: u64, pending: PendingRequest) {
         if !self.alive[to] {
             self.later(
                 HOP_MS,
-                Event::HandedBack {
+                Event::ForwardRefused {
                     entry: from,
                     id,
                     by: entry_name(to),
@@ -387,17 +387,17 @@
             ..pending
         };
         let decisions = self.routers[to].arrive(self.now_ms, pending);
-        self.carry_out_handed(from, to, id, decisions);
+        self.carry_out_forwarded(from, to, id, decisions);
     }
 
-    /// A refusal by the entry a request was handed to sends it back.
-    fn carry_out_handed(&mut self, from: usize, to: usize, id: u64, decisions: Vec<Decision>) {
+    /// Carries out the decisions about a forwarded request. If the entry refuses the request, it is sent back.
+    fn carry_out_forwarded(&mut self, from: usize, to: usize, id: u64, decisions: Vec<Decision>) {
         for decision in decisions {
             match decision {
                 Decision::Refuse { id: other, .. } if other == id => {
                     self.later(
                         HOP_MS,
-                        Event::HandedBack {
+                        Event::ForwardRefused {
                             entry: from,
                             id,
                             by: entry_name(to),
@@ -417,7 +417,7 @@
         if home != entry {
             self.later(
                 HOP_MS,
-                Event::HandedBack {
+                Event::ForwardRefused {
                     entry: home,
                     id,
                     by: entry_name(entry),
@@ -426,7 +426,7 @@
             return;
         }
         if let Some(request) = self.requests.get(&id) {
-            self.tally
+            self.counters
                 .refusal_waits
                 .push(self.now_ms - request.arrived_ms);
         }
@@ -442,10 +442,10 @@
         } else {
             AttemptOutcome::Failed
         };
-        let (again, decisions) =
+        let (will_retry, decisions) =
             self.routers[entry].finished(self.now_ms, id, target, outcome, took_ms);
         self.carry_out(entry, decisions);
-        if again {
+        if will_retry {
             return;
         }
         let home = self
@@ -466,24 +466,24 @@
         let took_ms = self.now_ms - request.arrived_ms;
         match (ok, ran) {
             (true, _) if took_ms <= DEADLINE_MS => {
-                self.tally.good += 1;
-                self.tally.latencies.push(took_ms);
-                self.tally
+                self.counters.good += 1;
+                self.counters.latencies.push(took_ms);
+                self.counters
                     .by_customer
                     .entry(request.customer)
                     .or_default()
                     .1 += 1;
             }
-            (true, _) => self.tally.late += 1,
-            (false, true) => self.tally.failed += 1,
-            (false, false) => self.tally.refused += 1,
+            (true, _) => self.counters.late += 1,
+            (false, true) => self.counters.failed += 1,
+            (false, false) => self.counters.refused += 1,
         }
         self.pending_requests.remove(&id);
     }
 }
 
-/// One queue, first come first served, every request run to its end whatever its deadline.
-fn first_come(load: f64) -> f64 {
+/// Returns the goodput of a single first-come queue in which every request runs to its end, whatever its deadline.
+fn first_come_goodput(load: f64) -> f64 {
     let mut random = Random(0x1234_5678_9abc_def1);
     let capacity_per_ms = TARGETS as f64 * f64::from(SLOTS) / SERVICE_MS;
     let (mut at, mut good) = (1.0, 0u64);
@@ -514,11 +514,11 @@
 }
 
 fn print(load: f64, broken: usize, kill: bool) {
-    let mut tally = Bench::new(load, broken, kill).run();
+    let mut counters = Bench::new(load, broken, kill).run();
     let seconds = LENGTH_MS as f64 / 1_000.0;
-    let goodput = tally.good as f64 / seconds;
+    let goodput = counters.good as f64 / seconds;
     let share = |customer: usize| {
-        let (offered, good) = tally
+        let (offered, good) = counters
             .by_customer
             .get(&customer)
             .copied()
@@ -526,19 +526,20 @@
         good as f64 / offered.max(1) as f64
     };
     let (flood, grocer, press) = (share(0), share(1), share(3));
-    let wasted = (tally.attempts as f64 - tally.good as f64) / tally.attempts.max(1) as f64;
+    let wasted =
+        (counters.attempts as f64 - counters.good as f64) / counters.attempts.max(1) as f64;
     println!(
         "{load:>4} {broken:>6} {:>6} | {:>8.0} {:>7.0} | {:>8} {:>5} {:>6} | {:>4} {:>4} | {:.3} | {flood:.2} {grocer:.2} {press:.2} | {}",
         if kill { "yes" } else { "no" },
         goodput,
-        first_come(load),
-        tally.refused,
-        tally.late,
-        tally.failed,
-        percentile(&mut tally.latencies, 0.5),
-        percentile(&mut tally.latencies, 0.99),
+        first_come_goodput(load),
+        counters.refused,
+        counters.late,
+        counters.failed,
+        percentile(&mut counters.latencies, 0.5),
+        percentile(&mut counters.latencies, 0.99),
         wasted,
-        percentile(&mut tally.refusal_waits, 0.99),
+        percentile(&mut counters.refusal_waits, 0.99),
     );
 }
 
--- a/crates/bh-router/tests/ledger.rs
+++ b/crates/bh-router/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The record of non-idempotent requests against a simple oracle.
+//! Compares the ledger of non-idempotent requests with a simple reference model.
 #![expect(
     clippy::unwrap_used,
     reason = "a test that meets the unexpected shall end"
@@ -18,12 +18,12 @@
 
 const KEYS: usize = 4;
 
-/// What the oracle knows of a key: who was granted it, and its answer.
+/// The reference model: for each key the attempt and digest it was granted to, and the code of its answer.
 #[derive(Clone, Debug, Default)]
-struct Oracle {
+struct ReferenceLedger {
     granted: BTreeMap<usize, (u64, u64)>,
     ended: BTreeMap<usize, u32>,
-    next_attempt: u64,
+    last_attempt: u64,
 }
 
 #[derive(Clone, Debug)]
@@ -46,20 +46,20 @@
     Reload,
 }
 
-impl ReferenceStateMachine for Oracle {
-    type State = Oracle;
+impl ReferenceStateMachine for ReferenceLedger {
+    type State = ReferenceLedger;
     type Transition = Step;
 
     fn init_state() -> BoxedStrategy<Self::State> {
-        Just(Oracle::default()).boxed()
+        Just(ReferenceLedger::default()).boxed()
     }
 
     fn transitions(state: &Self::State) -> BoxedStrategy<Self::Transition> {
-        let fresh = state.next_attempt + 1;
+        let next_attempt = state.last_attempt + 1;
         prop_oneof![
-            6 => (0..KEYS, 0u64..2, prop_oneof![Just(fresh), 1..=fresh]).prop_map(|(key, digest, attempt)| Step::Begin { key, digest, attempt }),
-            3 => (0..KEYS, 1..=fresh, 0u32..2, 0usize..40_000).prop_map(|(key, attempt, code, bytes)| Step::End { key, attempt, code, bytes }),
-            2 => (0..KEYS, 1..=fresh).prop_map(|(key, attempt)| Step::Withdraw { key, attempt }),
+            6 => (0..KEYS, 0u64..2, prop_oneof![Just(next_attempt), 1..=next_attempt]).prop_map(|(key, digest, attempt)| Step::Begin { key, digest, attempt }),
+            3 => (0..KEYS, 1..=next_attempt, 0u32..2, 0usize..40_000).prop_map(|(key, attempt, code, bytes)| Step::End { key, attempt, code, bytes }),
+            2 => (0..KEYS, 1..=next_attempt).prop_map(|(key, attempt)| Step::Withdraw { key, attempt }),
             1 => Just(Step::Reload),
         ]
         .boxed()
@@ -72,7 +72,7 @@
                 digest,
                 attempt,
             } => {
-                state.next_attempt = state.next_attempt.max(attempt);
+                state.last_attempt = state.last_attempt.max(attempt);
                 state.granted.entry(key).or_insert((attempt, digest));
             }
             Step::End {
@@ -112,13 +112,13 @@
 
 impl StateMachineTest for LedgerTest {
     type SystemUnderTest = Ledger;
-    type Reference = Oracle;
+    type Reference = ReferenceLedger;
 
-    fn init_test(_: &Oracle) -> Ledger {
+    fn init_test(_: &ReferenceLedger) -> Ledger {
         Ledger::new()
     }
 
-    fn apply(mut ledger: Ledger, after: &Oracle, step: Step) -> Ledger {
+    fn apply(mut ledger: Ledger, after: &ReferenceLedger, step: Step) -> Ledger {
         match step {
             Step::Begin {
                 key: index,
@@ -185,8 +185,8 @@
 prop_state_machine! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(20_261_202), ..ProptestConfig::default() })]
 
-    /// A key is granted to one attempt only, until that one withdraws; a resend gets the first answer, also after the
-    /// record was written to a snapshot and read back.
+    /// A key is granted to only one attempt until this attempt withdraws. A resend gets the first answer, also after the ledger was
+    /// written to a snapshot and read back.
     #[test]
     fn fuzz_ledger(sequential 1..60 => LedgerTest);
 }
--- a/crates/bh-router/tests/refusals.rs
+++ b/crates/bh-router/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! Requests that another entry could not take.
+//! Tests of forwarded requests that another entry can't serve.
 
 use bh_membership::GrantedTarget;
 use bh_membership::OwnedTargets;
@@ -27,24 +27,27 @@
     }
 }
 
-/// An entry owns no sound worker and hands a request to another one, which has no slot for the moment and refuses it. A tenth of a second later that
-/// entry says that it has one. Were the refusal held against it, the caller would wait for its whole time beside a worker that is free, and be told
-/// that there was none.
+/// An entry without a healthy worker forwards a request to another entry, which has no free slot and refuses it. A tenth of a second later, that entry
+/// reports a free slot. The request must be forwarded again. Otherwise the caller would wait until its deadline although a worker is free, and would be
+/// told that there was none.
 #[test]
 fn a_refusal_counts_until_the_entry_has_slots_again() {
     let other: Arc<str> = Arc::from("a2");
     let mut router = Router::new(OwnedTargets::new("a1", 1));
     router.set_peer_free_slots(&other, Some(1));
-    let handed = Decision::Forward {
+    let forwarded_to_other = Decision::Forward {
         id: 1,
         entry: other.clone(),
     };
-    assert_eq!(router.arrive(0, pending_request(1)), vec![handed.clone()]);
+    assert_eq!(
+        router.arrive(0, pending_request(1)),
+        vec![forwarded_to_other.clone()]
+    );
     assert_eq!(router.forward_refused(5, 1, &other), Vec::new());
     router.set_peer_free_slots(&other, Some(0));
     assert_eq!(router.tick(100), Vec::new());
     router.set_peer_free_slots(&other, Some(1));
-    assert_eq!(router.tick(200), vec![handed]);
+    assert_eq!(router.tick(200), vec![forwarded_to_other]);
 }
 
 fn granted(name: &str) -> GrantedTarget {
@@ -70,19 +73,19 @@
     }
 }
 
-/// An entry without workers hands a request to one that owns a broken worker only. The worker fails it, and nothing else is there to try:
-/// the request goes back at once, so that the first entry can ask the owner of a sound worker. Were it kept, its caller would be told after
-/// its whole time that no slot came free.
+/// An entry without workers forwards a request to an entry that owns only a broken worker. After the request failed on that worker, it is
+/// refused at once, so that the first entry can forward it to the owner of a healthy worker. If it were kept, its caller would be told at
+/// the deadline that no slot came free.
 #[test]
 fn a_request_that_was_handed_over_is_not_kept_in_vain() {
     let mut owned_targets = OwnedTargets::new("a1", 1);
     owned_targets.accept_without_leader(0, 10_000, vec![granted("w0")]);
     let mut router = Router::new(owned_targets);
-    let handed_over = PendingRequest {
+    let forwarded_request = PendingRequest {
         forwarded: true,
         ..pending_request(1)
     };
-    let sent = router.arrive(0, handed_over);
+    let sent = router.arrive(0, forwarded_request);
     assert!(matches!(&sent[..], [Decision::Send { id: 1, .. }]));
     let (_, decisions) = router.finished(5, 1, &Arc::from("w0"), AttemptOutcome::Failed, 5);
     assert!(matches!(&decisions[..], [Decision::Refuse { id: 1, .. }]));
