--- a/crates/bh-membership/src/registry.rs
+++ b/crates/bh-membership/src/registry.rs
@@ -104,7 +104,7 @@
                 ..Grant::default()
             };
         }
-        self.note_entry(now_ms, &claims);
+        self.record_renewal(now_ms, &claims);
         self.accept_claims(now_ms, &claims);
         self.expire(now_ms);
         self.assign(now_ms);
@@ -141,7 +141,7 @@
         (*version, targets)
     }
 
-    fn note_entry(&mut self, now_ms: u64, claims: &Claims) {
+    fn record_renewal(&mut self, now_ms: u64, claims: &Claims) {
         let until_ms = now_ms + self.owner_lease_ms;
         let restarted = self
             .entries
@@ -150,7 +150,7 @@
         if restarted {
             // The previous process and its connections are gone, so the new process has no requests in progress. The
             // slots that the old requests may still use on the targets are withheld.
-            self.drop_owner(now_ms, &claims.entry.clone());
+            self.end_ownership(now_ms, &claims.entry.clone());
         }
         let renewal = Renewal {
             incarnation: claims.incarnation,
@@ -162,7 +162,7 @@
 
     /// Ends the ownership of an entry. Its targets get another owner only after a newer announcement, whose busy slots include
     /// all requests that the entry may have started.
-    fn drop_owner(&mut self, now_ms: u64, entry: &Arc<str>) {
+    fn end_ownership(&mut self, now_ms: u64, entry: &Arc<str>) {
         for target in self.targets.values_mut() {
             if target
                 .owner
@@ -235,7 +235,7 @@
             .map(|(name, _)| name.clone())
             .collect();
         for entry in expired_entries {
-            self.drop_owner(now_ms, &entry);
+            self.end_ownership(now_ms, &entry);
             self.entries.remove(&entry);
         }
         self.expire_targets(now_ms);
--- a/crates/bh-scheduler/src/health.rs
+++ b/crates/bh-scheduler/src/health.rs
@@ -11,8 +11,9 @@
 
 /// Failures of jobs on one worker.
 ///
-/// A worker on which every job fails at once is always free, so it would attract every job. It gets no new jobs for a
-/// while after failures of several different jobs. A job that fails on other workers too doesn't count against the worker.
+/// A worker on which every job fails at once is always free, so it would attract every job. After failures of several
+/// different jobs, the worker is set aside, which means that it gets no new jobs for a while. A job that fails on other
+/// workers too doesn't count against the worker.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     failed_jobs: BTreeSet<u64>,
--- a/crates/bh-scheduler/src/scheduler/invariants.rs
+++ b/crates/bh-scheduler/src/scheduler/invariants.rs
@@ -30,13 +30,13 @@
             let in_use = worker.bound_used == worker.bound;
             if worker.bound != count {
                 return Err(format!(
-                    "worker {} has {} bound, its cells say {count}",
+                    "worker {} has {} accelerators bound, but its cells bind {count}",
                     worker.name, worker.bound
                 ));
             }
             if worker.alive && !in_use && worker.bound > worker.capacity {
                 return Err(format!(
-                    "worker {} has {} bound over {}",
+                    "worker {} has {} accelerators bound, but only {} in total",
                     worker.name, worker.bound, worker.capacity
                 ));
             }
@@ -45,9 +45,7 @@
             if let Some(cell) = job.cell {
                 let cell = self.guarantees.cell(cell);
                 if cell.used_by != Some(*number) || cell.bound_to != job.places {
-                    return Err(format!(
-                        "job {number} does not stand in its guaranteed cell"
-                    ));
+                    return Err(format!("job {number} is not placed on its guaranteed cell"));
                 }
             }
         }
@@ -70,7 +68,7 @@
             let held = used.get(&id).copied().unwrap_or(0);
             if worker.used != held {
                 return Err(format!(
-                    "worker {} counts {} in use, its jobs hold {held}",
+                    "worker {} counts {} accelerators in use, but its jobs hold {held}",
                     worker.name, worker.used
                 ));
             }
--- a/crates/bh-scheduler/src/scheduler/mod.rs
+++ b/crates/bh-scheduler/src/scheduler/mod.rs
@@ -32,7 +32,7 @@
 const EPOCH_TERM_SHIFT: u32 = 24;
 
 /// Interval of passes over the queue that no event asks for. It limits their cost: each pass sorts the whole queue.
-const PASS_MS: u64 = 200;
+const PASS_INTERVAL_MS: u64 = 200;
 
 /// Order in the queue: priority, then time of submission, then job number.
 type QueueKey = (Reverse<u8>, u64, u64);
@@ -304,7 +304,7 @@
         self.tick_stopping(now_ms);
         // Some waits end by time alone: retry waits, starvation, and workers that were set aside.
         if now_ms >= self.next_pass_ms {
-            self.next_pass_ms = now_ms + PASS_MS;
+            self.next_pass_ms = now_ms + PASS_INTERVAL_MS;
             self.dirty |= !self.queue.is_empty();
         }
     }
--- a/crates/bh-scheduler/src/scheduler/preemption.rs
+++ b/crates/bh-scheduler/src/scheduler/preemption.rs
@@ -90,7 +90,7 @@
         }
         self.set_reason(
             number,
-            "starves; later jobs are kept off the accelerators it needs",
+            "starving; no later jobs are placed on the accelerators it needs",
         );
     }
 
--- a/crates/bh-scheduler/tests/fuzz.rs
+++ b/crates/bh-scheduler/tests/fuzz.rs
@@ -242,7 +242,7 @@
     }
     if uncovered {
         site.problems
-            .push("all hardware is there, and a guarantee is not covered".to_owned());
+            .push("a guarantee is uncovered although all workers are available".to_owned());
         return;
     }
     let job = site.submit(spec("lumen", 0, 0, number + 1_000), 100_000, false);
@@ -250,7 +250,7 @@
     if !site.scheduler.is_running(job) {
         let state = site.scheduler.state_of(job).cloned();
         site.problems.push(format!(
-            "a guaranteed job does not run: {state:?}, {}",
+            "a guaranteed job is not running: {state:?}, {}",
             site.scheduler.reason_of(job)
         ));
     }
