--- a/crates/bh-scheduler/src/guarantees.rs
+++ b/crates/bh-scheduler/src/guarantees.rs
@@ -123,7 +123,8 @@
         new_cells
     }
 
-    /// Unbinds unused cells on lost or leaving workers, then binds all uncovered cells, the largest shapes first.
+    /// Unbinds unused cells on workers that are lost, leaving or overcommitted, then binds all uncovered cells, the largest
+    /// shapes first.
     pub(crate) fn rebind(&mut self, inventory: &mut Inventory) {
         for cell in &mut self.cells {
             let unusable = cell.bound_to.iter().any(|id| {
