--- a/crates/bh-membership/src/lib.rs
+++ b/crates/bh-membership/src/lib.rs
@@ -1,23 +1,23 @@
-//! Targets: who is there, who is leaving, and which entry may send work to which.
+//! Membership of targets, and the leases by which entries own them.
 //!
-//! A target takes eight short requests at a time, over all entries together, and does not protect itself. So every
-//! target is owned by one entry at a time, under a lease that the leader of the data centre grants; the other entries
-//! hand requests to the owner. [`Registry`] is the leader's side, [`Holdings`] the entry's.
+//! A target serves eight short requests at a time, from all entries together, and doesn't protect itself against more. So
+//! each target is owned by one entry at a time, under a lease that the leader of the data centre grants. The other
+//! entries forward requests to the owner. [`Registry`] is the leader's side and [`OwnedTargets`] the entry's.
 
-mod alone;
 mod claim;
 mod grant;
-mod holdings;
+mod leaderless_targets;
+mod owned_targets;
 mod registry;
 mod target;
 mod task_leases;
 
-pub use alone::Alone;
 pub use claim::Claim;
 pub use claim::Claims;
 pub use grant::Grant;
 pub use grant::GrantedTarget;
-pub use holdings::Holdings;
+pub use leaderless_targets::LeaderlessTargets;
+pub use owned_targets::OwnedTargets;
 pub use registry::Registry;
 pub use target::TargetView;
 pub use task_leases::TaskLeases;
--- a/crates/bh-scheduler/src/guarantees.rs
+++ b/crates/bh-scheduler/src/guarantees.rs
@@ -1,35 +1,35 @@
-//! Which accelerators are bound to which guaranteed shape.
+//! Binds guaranteed shapes to accelerators.
 //!
-//! Every guaranteed shape is bound to a cell: concrete accelerators on concrete workers. Cells never overlap, and a
-//! guaranteed job runs in its own cell. All other jobs are borrowers wherever they overlap a cell, and can be stopped.
-//! So at every moment each unused guaranteed shape can be freed by stopping borrowers only. When workers are lost,
-//! their cells are bound anew on what is left; a cell that no longer fits anywhere is reported as uncovered.
+//! Every guaranteed shape has a cell: specific accelerators on specific workers. Cells never overlap, and a guaranteed
+//! job runs in its own cell. Any other job that uses accelerators of a cell is a borrower and can be stopped. So each
+//! unused guaranteed shape can be freed at any time by stopping borrowers only. When workers are lost, their cells are
+//! bound again to the remaining workers. A cell that fits nowhere is reported as uncovered.
 
-use crate::cells::Cells;
-use crate::cells::WorkerId;
+use crate::inventory::Inventory;
+use crate::inventory::WorkerId;
 use crate::limits::Limits;
 use crate::placement::Search;
 use bh_protocol::shape::Shape;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// One guaranteed shape.
+/// One guaranteed shape and the accelerators bound to it.
 #[derive(Clone, Debug)]
-pub struct Cell {
-    /// Customer it is guaranteed to.
+pub struct GuaranteedCell {
+    /// Customer that has the guarantee.
     pub customer: Arc<str>,
     /// Name of the shape.
     pub shape_name: Arc<str>,
     /// The shape.
     pub shape: Shape,
-    /// Worker of each task; empty while it is not covered by hardware.
+    /// Worker of each task; empty while the guarantee is uncovered.
     pub bound_to: Vec<WorkerId>,
-    /// Job that uses it.
+    /// Job that runs in the cell.
     pub used_by: Option<u64>,
 }
 
-impl Cell {
-    /// Whether hardware stands behind the guarantee.
+impl GuaranteedCell {
+    /// Whether the guarantee is bound to accelerators.
     pub fn is_covered(&self) -> bool {
         !self.bound_to.is_empty()
     }
@@ -38,26 +38,26 @@
 /// All guaranteed shapes of a data centre.
 #[derive(Clone, Debug, Default)]
 pub struct Guarantees {
-    cells: Vec<Cell>,
+    cells: Vec<GuaranteedCell>,
 }
 
 impl Guarantees {
-    /// No guarantees.
+    /// Creates an empty set of guarantees.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// All guaranteed shapes.
-    pub fn cells(&self) -> &[Cell] {
+    pub fn cells(&self) -> &[GuaranteedCell] {
         &self.cells
     }
 
-    /// Guaranteed shapes without hardware behind them.
+    /// Number of guaranteed shapes that are not bound to accelerators.
     pub fn uncovered(&self) -> usize {
         self.cells.iter().filter(|cell| !cell.is_covered()).count()
     }
 
-    /// Whether `customer` has a guarantee of `shape_name` that no job uses.
+    /// Indices of the cells that guarantee `shape_name` to `customer` and that no job uses.
     pub(crate) fn unused(&self, customer: &str, shape_name: &str) -> impl Iterator<Item = usize> {
         self.cells
             .iter()
@@ -70,47 +70,47 @@
             .map(|(index, _)| index)
     }
 
-    pub(crate) fn cell(&self, index: usize) -> &Cell {
+    pub(crate) fn cell(&self, index: usize) -> &GuaranteedCell {
         &self.cells[index]
     }
 
-    /// Takes new settings over. Cells that stay keep their binding and job; a cell in use that is no longer
-    /// guaranteed is returned so that its job becomes a borrower.
+    /// Applies new settings. Cells that are still guaranteed keep their binding and job. Returns the new cell index of each
+    /// guaranteed job, or `None` for a job whose cell is no longer guaranteed and that becomes a borrower.
     pub(crate) fn configure(
         &mut self,
-        cells: &mut Cells,
+        inventory: &mut Inventory,
         limits: &Limits,
     ) -> BTreeMap<u64, Option<usize>> {
         let mut wanted = limits.guarantees.clone();
         let mut kept = Vec::new();
-        let mut moved = BTreeMap::new();
-        // Cells in use are kept first: dropping one of two equal cells must not stop a job.
+        let mut new_cells = BTreeMap::new();
+        // Cells in use are kept first, because dropping one of two equal cells must not stop a job.
         let mut old = std::mem::take(&mut self.cells);
         old.sort_by_key(|cell| cell.used_by.is_none());
         for mut cell in old {
             let key = (cell.customer.clone(), cell.shape_name.clone());
-            let stays = match wanted.get_mut(&key) {
+            let still_guaranteed = match wanted.get_mut(&key) {
                 Some((shape, count)) if *shape == cell.shape && *count > 0 => {
                     *count -= 1;
                     true
                 }
                 _ => false,
             };
-            if stays {
+            if still_guaranteed {
                 if let Some(job) = cell.used_by {
-                    moved.insert(job, Some(kept.len()));
+                    new_cells.insert(job, Some(kept.len()));
                 }
                 kept.push(cell);
             } else {
                 if let Some(job) = cell.used_by {
-                    moved.insert(job, None);
+                    new_cells.insert(job, None);
                 }
-                unbind(cells, &mut cell);
+                unbind(inventory, &mut cell);
             }
         }
         for ((customer, shape_name), (shape, count)) in wanted {
             for _ in 0..count {
-                kept.push(Cell {
+                kept.push(GuaranteedCell {
                     customer: customer.clone(),
                     shape_name: shape_name.clone(),
                     shape,
@@ -120,83 +120,93 @@
             }
         }
         self.cells = kept;
-        moved
+        new_cells
     }
 
-    /// Binds what is not covered, the largest shapes first, and unbinds what stands on lost or leaving workers.
-    pub(crate) fn rebind(&mut self, cells: &mut Cells) {
+    /// Unbinds unused cells on workers that are lost, leaving or overcommitted, then binds all uncovered cells, the largest
+    /// shapes first.
+    pub(crate) fn rebind(&mut self, inventory: &mut Inventory) {
         for cell in &mut self.cells {
-            let broken = cell.bound_to.iter().any(|id| {
-                let worker = cells.worker(*id);
+            let unusable = cell.bound_to.iter().any(|id| {
+                let worker = inventory.worker(*id);
                 !worker.alive || worker.leaving || worker.bound > worker.capacity
             });
-            if broken && cell.used_by.is_none() {
-                unbind(cells, cell);
+            if unusable && cell.used_by.is_none() {
+                unbind(inventory, cell);
             }
         }
-        let mut open: Vec<usize> = (0..self.cells.len())
+        let mut uncovered: Vec<usize> = (0..self.cells.len())
             .filter(|index| !self.cells[*index].is_covered())
             .collect();
-        open.sort_by_key(|index| {
+        uncovered.sort_by_key(|index| {
             (
                 std::cmp::Reverse(self.cells[*index].shape.accelerators()),
                 *index,
             )
         });
-        for index in open {
+        for index in uncovered {
             let cell = &mut self.cells[index];
-            // Prefer workers whose bindable accelerators are free now; a binding under a borrower costs a reclaim later.
-            let calm = Search::new(cells, |id| {
-                cells.worker(id).bindable().min(cells.worker(id).free())
+            // Prefers workers whose bindable accelerators are free now, because a cell that is bound to a borrower's
+            // accelerators needs a reclaim later.
+            let free_place = Search::new(inventory, |id| {
+                inventory
+                    .worker(id)
+                    .bindable()
+                    .min(inventory.worker(id).free())
             })
             .place(&cell.shape);
-            let place = calm.or_else(|| {
-                Search::new(cells, |id| cells.worker(id).bindable()).place(&cell.shape)
+            let place = free_place.or_else(|| {
+                Search::new(inventory, |id| inventory.worker(id).bindable()).place(&cell.shape)
             });
             if let Some(place) = place {
                 for id in &place {
-                    cells.bind(*id, cell.shape.accelerators_per_task);
+                    inventory.bind(*id, cell.shape.accelerators_per_task);
                 }
                 cell.bound_to = place;
             }
         }
     }
 
-    /// Moves an unused cell to `place`, which must be bindable.
-    pub(crate) fn move_to(&mut self, cells: &mut Cells, index: usize, place: Vec<WorkerId>) {
+    /// Moves an unused cell to the workers in `place`, whose accelerators must be bindable.
+    pub(crate) fn move_to(
+        &mut self,
+        inventory: &mut Inventory,
+        index: usize,
+        place: Vec<WorkerId>,
+    ) {
         let cell = &mut self.cells[index];
-        unbind(cells, cell);
+        unbind(inventory, cell);
         for id in &place {
-            cells.bind(*id, cell.shape.accelerators_per_task);
+            inventory.bind(*id, cell.shape.accelerators_per_task);
         }
         cell.bound_to = place;
     }
 
-    /// Lets `job` use the cell.
-    pub(crate) fn occupy(&mut self, cells: &mut Cells, index: usize, job: u64) {
+    /// Assigns the cell to `job`.
+    pub(crate) fn occupy(&mut self, inventory: &mut Inventory, index: usize, job: u64) {
         let cell = &mut self.cells[index];
         cell.used_by = Some(job);
         for id in &cell.bound_to {
-            cells.use_bound(*id, cell.shape.accelerators_per_task);
+            inventory.use_bound(*id, cell.shape.accelerators_per_task);
         }
     }
 
-    /// Ends the use of the cell.
-    pub(crate) fn vacate(&mut self, cells: &mut Cells, index: usize) {
+    /// Makes the cell unused again.
+    pub(crate) fn vacate(&mut self, inventory: &mut Inventory, index: usize) {
         let cell = &mut self.cells[index];
         cell.used_by = None;
         for id in &cell.bound_to {
-            cells.release_bound(*id, cell.shape.accelerators_per_task);
+            inventory.release_bound(*id, cell.shape.accelerators_per_task);
         }
     }
 }
 
-fn unbind(cells: &mut Cells, cell: &mut Cell) {
+fn unbind(inventory: &mut Inventory, cell: &mut GuaranteedCell) {
     let per_task = cell.shape.accelerators_per_task;
     for id in std::mem::take(&mut cell.bound_to) {
-        cells.unbind(id, per_task);
+        inventory.unbind(id, per_task);
         if cell.used_by.is_some() {
-            cells.release_bound(id, per_task);
+            inventory.release_bound(id, per_task);
         }
     }
 }
--- a/crates/bh-scheduler/src/cells.rs
+++ b/crates/bh-scheduler/src/inventory.rs
@@ -1,51 +1,51 @@
-//! Accelerators of a data centre: workers in racks, what is used and what is bound to guarantees.
+//! Workers and racks of a data centre, with their used accelerators and those bound to guarantees.
 
 use crate::health::Health;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Index of a worker in [`Cells`].
+/// Index of a worker in [`Inventory`].
 pub type WorkerId = u32;
-/// Index of a rack in [`Cells`].
+/// Index of a rack in [`Inventory`].
 pub type RackId = u32;
 
 /// One worker.
 #[derive(Clone, Debug)]
-pub struct WorkerCell {
+pub struct Worker {
     /// Name.
     pub name: Arc<str>,
-    /// Rack it stands in.
+    /// Rack of the worker.
     pub rack: RackId,
-    /// Incarnation of its process.
+    /// Incarnation of the worker's process.
     pub incarnation: u64,
-    /// Accelerators it has.
+    /// Accelerators of the worker.
     pub capacity: u32,
-    /// Accelerators given to jobs. More than `capacity` while a reclaim waits for the borrowers to leave.
+    /// Accelerators given to jobs. They exceed `capacity` while a reclaim waits for borrowers to stop.
     pub used: u32,
-    /// Accelerators bound to guarantees, in use or not.
+    /// Accelerators bound to guarantees, whether in use or not.
     pub bound: u32,
-    /// Accelerators bound and in use by the guaranteed customer.
+    /// Bound accelerators that the guaranteed customer uses.
     pub bound_used: u32,
-    /// Whether its lease holds.
+    /// Whether the worker's lease is valid.
     pub alive: bool,
-    /// Whether it takes no new work.
+    /// Whether the worker takes no new work.
     pub leaving: bool,
-    /// How its starts have ended.
+    /// Failures of jobs on the worker.
     pub health: Health,
 }
 
-impl WorkerCell {
-    /// Accelerators not given to any job.
+impl Worker {
+    /// Accelerators that no job holds.
     pub fn free(&self) -> u32 {
         self.capacity.saturating_sub(self.used)
     }
 
-    /// Whether new tasks may be placed here.
+    /// Whether new tasks may be placed on the worker.
     pub fn admits(&self, now_ms: u64) -> bool {
-        self.alive && !self.leaving && !self.health.is_aside(now_ms)
+        self.alive && !self.leaving && !self.health.is_set_aside(now_ms)
     }
 
-    /// Accelerators that a guarantee could still be bound to.
+    /// Accelerators that are not bound to a guarantee yet and may be.
     pub fn bindable(&self) -> u32 {
         if self.alive && !self.leaving {
             self.capacity.saturating_sub(self.bound)
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Free accelerators that no unused guarantee is bound to.
+    /// Free accelerators that are not bound to an unused guarantee.
     pub fn free_unbound(&self) -> u32 {
         let unused_bound = self.bound - self.bound_used;
         self.free()
@@ -64,61 +64,61 @@
 
 /// One rack.
 #[derive(Clone, Debug)]
-pub struct RackCell {
+pub struct Rack {
     /// Name.
     pub name: Arc<str>,
-    /// Its workers.
+    /// Workers of the rack.
     pub workers: Vec<WorkerId>,
-    /// Accelerators of its live workers.
+    /// Accelerators of the rack's live workers.
     pub capacity: u32,
-    /// Accelerators of its live workers given to jobs.
+    /// Accelerators of the rack's live workers that are given to jobs.
     pub used: u32,
 }
 
-impl RackCell {
-    /// Whether no accelerator of the rack is given to a job.
-    pub fn is_intact(&self) -> bool {
+impl Rack {
+    /// Whether no job holds an accelerator of the rack.
+    pub fn is_idle(&self) -> bool {
         self.used == 0
     }
 }
 
 /// All workers and racks of a data centre.
 #[derive(Clone, Debug, Default)]
-pub struct Cells {
-    workers: Vec<WorkerCell>,
-    racks: Vec<RackCell>,
+pub struct Inventory {
+    workers: Vec<Worker>,
+    racks: Vec<Rack>,
     worker_ids: BTreeMap<Arc<str>, WorkerId>,
     rack_ids: BTreeMap<Arc<str>, RackId>,
 }
 
 fn index(id: u32) -> usize {
-    // Lossless on the 32- and 64-bit systems this is built for.
+    // Lossless on the supported 32- and 64-bit platforms.
     id as usize
 }
 
-impl Cells {
-    /// No workers.
+impl Inventory {
+    /// Creates an inventory without workers.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// All workers, in order of their first announcement.
-    pub fn workers(&self) -> &[WorkerCell] {
+    /// All workers, in the order of their first announcement.
+    pub fn workers(&self) -> &[Worker] {
         &self.workers
     }
 
-    /// All racks, in order of their first announcement.
-    pub fn racks(&self) -> &[RackCell] {
+    /// All racks, in the order of their first announcement.
+    pub fn racks(&self) -> &[Rack] {
         &self.racks
     }
 
     /// The worker with this index.
-    pub fn worker(&self, id: WorkerId) -> &WorkerCell {
+    pub fn worker(&self, id: WorkerId) -> &Worker {
         &self.workers[index(id)]
     }
 
     /// The rack with this index.
-    pub fn rack(&self, id: RackId) -> &RackCell {
+    pub fn rack(&self, id: RackId) -> &Rack {
         &self.racks[index(id)]
     }
 
@@ -131,7 +131,7 @@
         &mut self.workers[index(id)].health
     }
 
-    /// Takes an announcement into account; returns the worker and whether anything that placement sees has changed.
+    /// Applies a worker's announcement. Returns the worker's index and whether anything changed that affects placement.
     pub(crate) fn announce(
         &mut self,
         name: &Arc<str>,
@@ -163,8 +163,8 @@
         worker.alive = true;
         worker.leaving = leaving;
         if changed {
-            self.recount_rack(old_rack);
-            self.recount_rack(rack_id);
+            self.update_rack_totals(old_rack);
+            self.update_rack_totals(rack_id);
         }
         (id, changed)
     }
@@ -174,7 +174,7 @@
             return *id;
         }
         let id = RackId::try_from(self.racks.len()).unwrap_or(RackId::MAX);
-        self.racks.push(RackCell {
+        self.racks.push(Rack {
             name: rack.clone(),
             workers: Vec::new(),
             capacity: 0,
@@ -186,7 +186,7 @@
 
     fn add_worker(&mut self, name: &Arc<str>, rack: RackId) -> WorkerId {
         let id = WorkerId::try_from(self.workers.len()).unwrap_or(WorkerId::MAX);
-        self.workers.push(WorkerCell {
+        self.workers.push(Worker {
             name: name.clone(),
             rack,
             incarnation: 0,
@@ -203,13 +203,13 @@
         id
     }
 
-    /// Notes that a worker's lease lapsed.
-    pub(crate) fn lose(&mut self, id: WorkerId) {
+    /// Marks a worker as lost because its lease expired.
+    pub(crate) fn mark_lost(&mut self, id: WorkerId) {
         self.workers[index(id)].alive = false;
-        self.recount_rack(self.workers[index(id)].rack);
+        self.update_rack_totals(self.workers[index(id)].rack);
     }
 
-    fn recount_rack(&mut self, rack: RackId) {
+    fn update_rack_totals(&mut self, rack: RackId) {
         let live = || {
             self.racks[index(rack)]
                 .workers
@@ -219,13 +219,13 @@
         };
         let capacity = live().map(|worker| worker.capacity).sum();
         let used = live().map(|worker| worker.used).sum();
-        let cell = &mut self.racks[index(rack)];
-        cell.capacity = capacity;
-        cell.used = used;
+        let rack = &mut self.racks[index(rack)];
+        rack.capacity = capacity;
+        rack.used = used;
     }
 
-    /// Gives `count` accelerators of a worker to a job.
-    pub(crate) fn take(&mut self, id: WorkerId, count: u32) {
+    /// Counts `count` accelerators of a worker as used by a job.
+    pub(crate) fn allocate(&mut self, id: WorkerId, count: u32) {
         let worker = &mut self.workers[index(id)];
         worker.used += count;
         if worker.alive {
@@ -233,8 +233,8 @@
         }
     }
 
-    /// Takes `count` accelerators of a worker back from a job.
-    pub(crate) fn give_back(&mut self, id: WorkerId, count: u32) {
+    /// Counts `count` accelerators of a worker as free again.
+    pub(crate) fn release(&mut self, id: WorkerId, count: u32) {
         let worker = &mut self.workers[index(id)];
         worker.used -= count;
         if worker.alive {
