--- a/crates/beechhollow/tests/soak.rs
+++ b/crates/beechhollow/tests/soak.rs
@@ -64,7 +64,7 @@
 
 fn options(descriptors: Option<usize>, kinds: FaultKinds) -> Options {
     Options {
-        faulty: Duration::from_secs(12),
+        fault_duration: Duration::from_secs(12),
         calm: Duration::from_secs(10),
         descriptors,
         kinds,
