--- a/crates/beechhollow/tests/soak.rs
+++ b/crates/beechhollow/tests/soak.rs
@@ -41,7 +41,7 @@
 #[test]
 fn no_job_stands_still_after_leaders_are_lost() {
     let options = Options {
-        tail: Duration::from_secs(8),
+        load_after_faults: Duration::from_secs(8),
         size: Size {
             cores: 5,
             workers: 24,
