--- a/crates/beechhollow/tests/soak.rs
+++ b/crates/beechhollow/tests/soak.rs
@@ -55,7 +55,7 @@
             pause_ms: Some(1_500),
             ..Load::default()
         },
-        calm: Duration::from_secs(4),
+        quiet_period: Duration::from_secs(4),
         keeps_data_centres: true,
         ..options(None, FaultKinds::Leaders)
     };
@@ -65,7 +65,7 @@
 fn options(descriptors: Option<usize>, kinds: FaultKinds) -> Options {
     Options {
         fault_duration: Duration::from_secs(12),
-        calm: Duration::from_secs(10),
+        quiet_period: Duration::from_secs(10),
         descriptors,
         kinds,
         ..Options::default()
