--- a/crates/beechhollow/tests/soak.rs
+++ b/crates/beechhollow/tests/soak.rs
@@ -56,7 +56,7 @@
             ..Load::default()
         },
         quiet_period: Duration::from_secs(4),
-        keeps_data_centres: true,
+        without_evacuations: true,
         ..options(None, FaultKinds::Leaders)
     };
     check(44, options);
