--- a/crates/beechhollow/tests/soak.rs
+++ b/crates/beechhollow/tests/soak.rs
@@ -45,7 +45,7 @@
         size: Size {
             cores: 5,
             workers: 24,
-            rack: 6,
+            workers_per_rack: 6,
             is_spread: true,
             ..Size::default()
         },
