--- a/crates/beechhollow/tests/soak.rs
+++ b/crates/beechhollow/tests/soak.rs
@@ -46,7 +46,7 @@
             cores: 5,
             workers: 24,
             workers_per_rack: 6,
-            is_spread: true,
+            spreads_processes: true,
             ..Size::default()
         },
         load: Load {
