--- a/crates/beechhollow/tests/soak.rs
+++ b/crates/beechhollow/tests/soak.rs
@@ -50,7 +50,7 @@
             ..Size::default()
         },
         load: Load {
-            is_large: true,
+            large_jobs: true,
             run_percent: 20,
             pause_ms: Some(1_500),
             ..Load::default()
