--- a/crates/beechhollow/tests/soak.rs
+++ b/crates/beechhollow/tests/soak.rs
@@ -41,22 +41,22 @@
 #[test]
 fn no_job_stands_still_after_leaders_are_lost() {
     let options = Options {
-        tail: Duration::from_secs(8),
+        load_after_faults: Duration::from_secs(8),
         size: Size {
             cores: 5,
             workers: 24,
-            rack: 6,
-            is_spread: true,
+            workers_per_rack: 6,
+            spreads_processes: true,
             ..Size::default()
         },
         load: Load {
-            is_large: true,
+            large_jobs: true,
             run_percent: 20,
             pause_ms: Some(1_500),
             ..Load::default()
         },
-        calm: Duration::from_secs(4),
-        keeps_data_centres: true,
+        quiet_period: Duration::from_secs(4),
+        without_evacuations: true,
         ..options(None, FaultKinds::Leaders)
     };
     check(44, options);
@@ -64,8 +64,8 @@
 
 fn options(descriptors: Option<usize>, kinds: FaultKinds) -> Options {
     Options {
-        faulty: Duration::from_secs(12),
-        calm: Duration::from_secs(10),
+        fault_duration: Duration::from_secs(12),
+        quiet_period: Duration::from_secs(10),
         descriptors,
         kinds,
         ..Options::default()
