--- a/crates/bh-workload/src/dispatch/answers.rs
+++ b/crates/bh-workload/src/dispatch/answers.rs
@@ -1,4 +1,4 @@
-//! What a worker's answers mean for its runs.
+//! Applies a worker's answers to its runs.
 
 use super::Answer;
 use super::Denial;
@@ -18,12 +18,12 @@
 use crate::state::Workload;
 use bh_protocol::Incarnation;
 
-/// Ends as a command, with the time left for the caller to fill in.
+/// The command that records `ends`, if there are any. The caller fills in the time.
 fn ends_command(ends: Vec<End>) -> Option<Command> {
     (!ends.is_empty()).then(|| Command::ends(ends))
 }
 
-/// Takes the answer to a start order; returns what must be recorded.
+/// Processes the answer to a start order; returns what must be recorded.
 pub(super) fn note_start(
     now_ms: u64,
     target: &mut Target,
@@ -43,12 +43,12 @@
             watch.start = StartPhase::Confirmed { at_ms: now_ms };
             None
         }
-        // Nothing was sent: a gang, or another worker, need not wait for the end of a lease.
-        Answer::NotListening if !watch.may_have_begun() => {
-            watch.settled = true;
+        // Nothing was sent, so the run ends now: its gang or its next attempt need not wait until the lease expires.
+        Answer::NotListening if !watch.may_have_started() => {
+            watch.recording_end = true;
             ends_command(vec![not_started])
         }
-        // The run was there: its end is listed, or it is fenced off for good. The next look tells which.
+        // The worker has had the run: its end is listed, or the worker refuses it for good. The next probe tells which.
         Answer::Denied {
             denial: Denial::Outdated,
             ..
@@ -72,13 +72,13 @@
             None
         }
         Answer::Denied { denial, .. } => {
-            watch.was_unsure = watch.may_have_begun();
+            watch.was_unsure = watch.may_have_started();
             let was_unsure = watch.was_unsure;
             watch.start = StartPhase::Unsure {
                 retry_ms: now_ms + RETRY_MS,
             };
             watch.give_up = !was_unsure;
-            watch.refused_ms = was_unsure.then_some(now_ms);
+            watch.start_refused_ms = was_unsure.then_some(now_ms);
             if *denial == Denial::Unhealthy || *denial == Denial::NoRoom {
                 target.set_aside(now_ms);
             }
@@ -87,14 +87,14 @@
                 return None;
             }
             if let Some(watch) = target.runs.get_mut(&run) {
-                watch.settled = true;
+                watch.recording_end = true;
             }
             ends_command(vec![not_started])
         }
     }
 }
 
-/// Takes a worker's report; returns the ends to record.
+/// Processes a worker's report; returns the ends to record.
 pub(super) fn note_report(
     now_ms: u64,
     order: &Order,
@@ -111,19 +111,19 @@
                 watch.percent = running.percent;
                 watch.progress_ms = now_ms;
             }
-            watch.seen_ms = Some(now_ms);
+            watch.last_reported_ms = Some(now_ms);
             watch.load = running.load;
             if running.checkpoint.is_some() {
                 watch.checkpoint = running.checkpoint.clone();
             }
         } else if !worker.runs.contains_key(&running.run) {
-            // Nothing recorded: a copy of an order that came after its run had been given up. It is stopped like any other.
+            // The run is not recorded: a delayed copy of its start order arrived after the run had ended. It is stopped like any other run.
             let mut watch = RunWatch::new(StartPhase::Confirmed { at_ms: now_ms }, now_ms);
             watch.give_up = true;
             target.runs.insert(running.run, watch);
         }
     }
-    pacing::adjust(now_ms, target, worker, workload);
+    pacing::adjust_fill_pace(now_ms, target, worker, workload);
     let mut ends: Vec<End> = Vec::new();
     for ended in &report.ended {
         if ended.number <= target.recorded_to {
@@ -134,7 +134,7 @@
             EndKind::Failed => target.note_failure(now_ms, ended.run.task.step.job),
             _ => {}
         }
-        let seen = target
+        let last_checkpoint = target
             .runs
             .get(&ended.run)
             .and_then(|watch| watch.checkpoint.clone());
@@ -142,21 +142,21 @@
             run: ended.run,
             worker: order.to.worker.clone(),
             kind: ended.kind,
-            checkpoint: ended.checkpoint.clone().or(seen),
+            checkpoint: ended.checkpoint.clone().or(last_checkpoint),
         });
     }
     if !report.more {
-        ends.extend(missing(order, target, worker, report));
+        ends.extend(ends_of_missing_runs(order, target, worker, report));
     }
     target.runs.retain(|run, _| {
         worker.runs.contains_key(run) || report.running.iter().any(|r| r.run == *run)
     });
-    let newest = report.ended.last().map_or(0, |ended| ended.number);
+    let last_number = report.ended.last().map_or(0, |ended| ended.number);
     let late_failures = late_failures(target, report);
     if ends.is_empty() {
         return None;
     }
-    target.recording_to = Some(newest);
+    target.recording_to = Some(last_number);
     Some(Command::Ends {
         ends,
         now_ms: 0,
@@ -165,28 +165,35 @@
     })
 }
 
-/// Listed failures of runs that had been taken to be over. They count like any other: a gang that fails whenever it runs would be begun once too often.
-/// But those whose lease has run out since count as lost with it, for the worker too. Before its first grant a leader does not know that.
+/// Reported failures of runs that are recorded as lost. They count like any other failure: otherwise a gang that always fails would be
+/// started once too often. A failure does not count if the lease has expired since, because the run then counts as lost with it, for the
+/// worker too. Before its first grant a leader does not know whether the lease has expired.
 fn late_failures(target: &mut Target, report: &Report) -> Vec<RunId> {
     let failed = |run: &RunId| {
         let mut ended = report.ended.iter();
         ended.any(|ended| ended.run == *run && ended.kind == EndKind::Failed)
     };
-    // What is listed is kept until that is recorded: the plan counts it as a possible failure until then.
+    // A listed run is kept until its end is recorded: until then the planner counts it as a possible failure.
     target.unsaid.retain(|run| {
-        let runs = report.running.iter().any(|running| running.run == *run);
-        runs || report.ended.iter().any(|ended| ended.run == *run)
+        let is_running = report.running.iter().any(|running| running.run == *run);
+        is_running || report.ended.iter().any(|ended| ended.run == *run)
     });
-    let in_lease = target.granted_ms == 0
+    let in_lease = target.granted_until_ms == 0
         || target
             .clock
-            .is_some_and(|clock| clock.worker_ms <= target.granted_ms);
+            .is_some_and(|clock| clock.worker_ms <= target.granted_until_ms);
     let unsaid = target.unsaid.iter().copied();
     unsaid.filter(|run| in_lease && failed(run)).collect()
 }
 
-/// Runs that the worker neither runs nor lists as ended though it must: it had confirmed the start, or a stop, before it was looked at.
-fn missing(order: &Order, target: &Target, worker: &Worker, report: &Report) -> Vec<End> {
+/// Ends of runs that the worker reports neither as running nor as ended, although it had confirmed the start or a stop before the probe was
+/// sent.
+fn ends_of_missing_runs(
+    order: &Order,
+    target: &Target,
+    worker: &Worker,
+    report: &Report,
+) -> Vec<End> {
     let listed = |run: &RunId| {
         report.running.iter().any(|running| running.run == *run)
             || report.ended.iter().any(|ended| ended.run == *run)
--- a/crates/bh-workload/src/dispatch/broken_gangs.rs
+++ b/crates/bh-workload/src/dispatch/broken_gangs.rs
@@ -33,8 +33,9 @@
 const SLACK_MS: u64 = 100;
 
 impl BrokenGangs {
-    /// What the record tells the leader that was elected at `now_ms`. When an earlier leader heard it is not known on this clock.
-    pub fn recorded(now_ms: u64, workload: &Workload) -> Self {
+    /// The broken gangs in the record, for a leader that was elected at `now_ms`. When an earlier leader heard of the ends is not known on this
+    /// clock.
+    pub fn from_record(now_ms: u64, workload: &Workload) -> Self {
         let mut broken = Self::default();
         for run in workload.workers().flat_map(|worker| worker.runs.keys()) {
             let step = run.task.step;
@@ -67,7 +68,7 @@
 
     /// Whether the run `left`, of which no start is known to have been carried out, can be what broke its gang, if it is all that is left of it: it has
     /// then begun and ended on `worker`, which refuses it from then on.
-    pub fn must_have_begun(&self, worker: &Incarnation, left: &[RunId]) -> bool {
+    pub fn must_have_started(&self, worker: &Incarnation, left: &[RunId]) -> bool {
         let [run] = left else {
             return false;
         };
@@ -84,7 +85,7 @@
     }
 
     /// Whether the runs `left` of a gang are over at `now_ms`, where they are on one worker that takes `stop_ms` at most to end a run.
-    pub fn are_over(
+    pub fn have_ended(
         &self,
         (now_ms, stop_ms): (u64, u64),
         left: &[RunId],
--- a/crates/bh-workload/src/dispatch/crash.rs
+++ b/crates/bh-workload/src/dispatch/crash.rs
@@ -38,8 +38,10 @@
 impl RunWatch {
     /// How long the run had been at work when its worker last reported it, in milliseconds.
     pub fn at_work_ms(&self) -> u64 {
-        match (self.start, self.seen_ms) {
-            (StartPhase::Confirmed { at_ms }, Some(seen_ms)) => seen_ms.saturating_sub(at_ms),
+        match (self.start, self.last_reported_ms) {
+            (StartPhase::Confirmed { at_ms }, Some(last_reported_ms)) => {
+                last_reported_ms.saturating_sub(at_ms)
+            }
             _ => 0,
         }
     }
@@ -98,7 +100,7 @@
     let since_ms = silent_ms.saturating_sub(AT_ONCE_MS);
     // A run whose lease has just run out is in both until that is recorded.
     let lapsed = || {
-        let lapsed = target.lapsed.iter();
+        let lapsed = target.expired_runs.iter();
         lapsed.filter(|(run, _)| !target.runs.contains_key(run))
     };
     let runs = || target.runs.iter().chain(lapsed());
@@ -108,7 +110,7 @@
             .all(|(other, _)| are_together(workload, run, other))
     };
     let evidence = |run: &RunId, watch: &RunWatch| {
-        if !watch.is_confirmed() || !target.went_at_once() {
+        if !watch.is_confirmed() || !target.ended_abruptly() {
             Evidence::Possible
         } else if !watch.began_since(since_ms) {
             Evidence::Present
--- a/crates/bh-workload/src/dispatch/departure.rs
+++ b/crates/bh-workload/src/dispatch/departure.rs
@@ -1,4 +1,4 @@
-//! What is recorded when a worker is gone.
+//! The command that is recorded when a worker is gone.
 
 use super::Restart;
 use super::Target;
@@ -16,10 +16,10 @@
     workload.worker(id).is_some_and(|worker| worker.draining)
 }
 
-/// The command that records a worker as gone after another incarnation answered in its place. Unless the worker had announced that it leaves, or its
-/// VM is in upkeep, it is recorded as crashed. The cause of the crash (a task, the VM, a power failure of the rack) is not visible here;
-/// [`Evidence`](crate::state::Evidence) describes what is known of each suspected run.
-pub(super) fn departure(
+/// The command that records a worker as gone. Unless the worker had announced that it leaves, or its VM is in upkeep, it is recorded as
+/// crashed. The cause of the crash (a task, the VM, a power failure of the rack) is not visible here; [`Evidence`](crate::state::Evidence)
+/// describes what is known of each suspected run.
+pub(super) fn gone_command(
     now_ms: u64,
     id: &Incarnation,
     target: &Target,
@@ -40,7 +40,7 @@
     };
     // A core of an older version recorded the worker without its start time, so the first reported start time is not evidence of a crash.
     let is_first_start_time = id.started_ms.is_none() && target.restart.is_some();
-    let announced = target.left
+    let announced = target.announced_end
         || is_first_start_time
         || leaving && suspects.is_empty()
         || workload.is_in_upkeep(id);
--- a/crates/bh-workload/src/dispatch/dispatcher.rs
+++ b/crates/bh-workload/src/dispatch/dispatcher.rs
@@ -1,4 +1,4 @@
-//! Brings recorded runs about: the leader's orders to workers, and what their answers mean.
+//! Carries out recorded runs: sends the leader's orders to workers and interprets their answers.
 
 use super::Answer;
 use super::BrokenGangs;
@@ -15,11 +15,11 @@
 use super::Timing;
 use super::answers::note_report;
 use super::answers::note_start;
-use super::departure::departure;
+use super::departure::gone_command;
 use super::order::RETRY_MS;
 use super::restart::note_restart;
-use super::worker_turn::WorkerTurn;
-use super::worker_turn::look_wait_ms;
+use super::worker_reconciler::WorkerReconciler;
+use super::worker_reconciler::probe_wait_ms;
 use crate::job::RunId;
 use crate::job::StepId;
 use crate::state::Command;
@@ -32,40 +32,41 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-/// Wait before a worker that does not answer is looked at again, in milliseconds.
-const FAILING_LOOK_MS: u64 = 400;
-/// Wait before a worker whose carrier was lost is looked at over another one, in milliseconds: next to nothing, but a link that is lost
-/// again and again shall not be tried without a pause.
-const NEXT_CARRIER_MS: u64 = 30;
-/// Time that a deposed leader may have gone on giving orders after this one was elected, in milliseconds: it stops when it has not
-/// heard from a majority for an election time; twice the longest one used.
-const OVERLAP_MS: u64 = 2_000;
+/// Delay before a worker that did not answer is probed again, in milliseconds.
+const SILENT_PROBE_DELAY_MS: u64 = 400;
+/// Delay before a worker is probed through another core after the core that carried the last order was lost, in milliseconds. It is short,
+/// but not zero: if carriers are lost repeatedly, probes must not be sent in a tight loop.
+const CARRIER_RETRY_MS: u64 = 30;
+/// Longest time for which a deposed leader may keep sending orders after this leader was elected, in milliseconds: twice the longest
+/// election timeout in use. A leader stops when it has not heard from a majority for one election timeout.
+const LEADER_OVERLAP_MS: u64 = 2_000;
 
-/// The leader's orders. Everything here is lost with the leadership; what must last is in the record.
+/// Decides which orders the leader sends to workers. This state is lost when the leader changes; whatever must survive is in the record.
 #[derive(Clone, Debug)]
 pub struct Dispatcher {
     timing: Timing,
     token: u64,
     elected_ms: u64,
     targets: BTreeMap<Incarnation, Target>,
+    /// Workers that the next call of [`Dispatcher::orders`] visits.
     due: BTreeSet<Incarnation>,
-    /// How long a look waits for an end, in milliseconds.
-    look_wait_ms: u64,
-    /// What an outside adviser allows.
+    /// How long a worker may hold back its answer to a probe while no run ends, in milliseconds.
+    probe_wait_ms: u64,
+    /// Permissions given by an external adviser.
     pub permissions: Permissions,
-    /// Workers whose VMs' upkeep is next.
+    /// Workers that get no new work because the upkeep of their VMs is next.
     emptied: BTreeSet<Incarnation>,
-    /// Gangs of which members ended because others did.
-    broken: BrokenGangs,
-    /// Workers that ended lately: a heartbeat of theirs that was held up must not bring them back.
-    departed: BTreeSet<Incarnation>,
+    /// Gangs with members that ended because another member did.
+    broken_gangs: BrokenGangs,
+    /// Workers that were removed from the record. A delayed heartbeat must not add them again.
+    removed: BTreeSet<Incarnation>,
 }
 
 impl Dispatcher {
-    /// The orders of the leader that was elected at `now_ms` with `token`, its term.
+    /// Creates the dispatcher of a leader that was elected at `now_ms`, with its term as `token`.
     ///
-    /// Runs found in the record may run, may have ended, or may never have been ordered: none is ordered anew or given up before its
-    /// worker was looked at or its lease has surely run out.
+    /// A run found in the record may be running, may have ended, or may never have been ordered. So none is ordered again or taken to be
+    /// over until its worker has answered a probe or the worker's lease has certainly expired.
     pub fn new(timing: Timing, token: u64, now_ms: u64, workload: &Workload) -> Self {
         let mut dispatcher = Self {
             timing,
@@ -73,20 +74,22 @@
             elected_ms: now_ms,
             targets: BTreeMap::new(),
             due: BTreeSet::new(),
-            look_wait_ms: look_wait_ms(workload.worker_count()),
+            probe_wait_ms: probe_wait_ms(workload.worker_count()),
             permissions: Permissions::default(),
             emptied: BTreeSet::new(),
-            broken: BrokenGangs::recorded(now_ms, workload),
-            departed: BTreeSet::new(),
+            broken_gangs: BrokenGangs::from_record(now_ms, workload),
+            removed: BTreeSet::new(),
         };
         for worker in workload.workers() {
-            let target = dispatcher.target(&worker.info.id);
+            let target = dispatcher.target_mut(&worker.info.id);
             target.is_recorded = true;
-            target.filling = FillPace::taken_over();
+            target.filling = FillPace::after_takeover();
             target.said_ms = Some(now_ms);
-            // Which of them were lost with a lease this leader can't know; a failure that another leader would have counted must not be missed.
+            // This leader cannot know which of them were lost because a lease expired. It waits for all of them, so that it does not miss a
+            // failure that another leader would have counted.
             target.unsaid = worker.unheard.clone();
-            target.lapse_ms = now_ms + OVERLAP_MS + timing.lapse_after_ms(timing.lease_ms);
+            target.lease_expiry_ms =
+                now_ms + LEADER_OVERLAP_MS + timing.lapse_after_ms(timing.lease_ms);
             for run in worker.runs.keys() {
                 let start = StartPhase::Unsure {
                     retry_ms: now_ms + RETRY_MS,
@@ -97,8 +100,8 @@
         dispatcher
     }
 
-    /// The same for a leader before whom nobody had led for a while, or none knows for how long: workers may have shrunk with nobody to
-    /// tell, and each must be heard before it is given work.
+    /// Requires a heartbeat from each worker before it is given work. Used when there was no leader for a while, or for an unknown time:
+    /// workers may have lost capacity meanwhile without a leader to report it to.
     pub fn with_old_record(mut self) -> Self {
         for target in self.targets.values_mut() {
             target.said_ms = None;
@@ -116,31 +119,32 @@
         self.elected_ms
     }
 
-    /// The bounds in force.
+    /// The time bounds in force.
     pub fn timing(&self) -> &Timing {
         &self.timing
     }
 
-    /// What is known of a worker.
+    /// The leader's view of a worker, if there is one.
     pub fn view(&self, worker: &Incarnation) -> Option<&Target> {
         self.targets.get(worker)
     }
 
-    fn target(&mut self, worker: &Incarnation) -> &mut Target {
+    /// The view of a worker, created if missing. Marks the worker for the next call of [`Dispatcher::orders`].
+    fn target_mut(&mut self, worker: &Incarnation) -> &mut Target {
         self.due.insert(worker.clone());
         self.targets
             .entry(worker.clone())
             .or_insert_with(|| Target::new(worker))
     }
 
-    /// Notes a heartbeat of a worker; `false` when the worker has ended and this one was held up.
+    /// Processes a heartbeat. Returns `false` if the worker has ended already and the heartbeat was delayed.
     pub fn note_heartbeat(
         &mut self,
         now_ms: u64,
         worker: &Incarnation,
         clock_ms: Option<u64>,
     ) -> bool {
-        if self.departed.contains(worker) {
+        if self.removed.contains(worker) {
             return false;
         }
         let entry = self.targets.entry(worker.clone());
@@ -148,7 +152,7 @@
         if !target.is_verified() {
             self.due.insert(worker.clone());
         }
-        target.heard_ms = target.heard_ms.max(Some(now_ms));
+        target.last_heartbeat_ms = target.last_heartbeat_ms.max(Some(now_ms));
         target.said_ms = target.said_ms.max(Some(now_ms));
         if let Some(worker_ms) = clock_ms {
             target.note_clock(now_ms, worker_ms);
@@ -156,22 +160,23 @@
         true
     }
 
-    /// Notes that a worker said at `heard_ms` that it is slow for `cold_ms` more.
+    /// Notes that a worker reported at `heard_ms` that it is slow for another `cold_ms` because it has just started.
     pub fn note_cold(&mut self, heard_ms: u64, worker: &Incarnation, cold_ms: u64) {
         if let Some(target) = self.targets.get_mut(worker) {
             target.cold_until_ms = heard_ms + cold_ms;
         }
     }
 
-    /// Notes that a worker that is leaving said at `heard_ms` that it still runs for `leaves_in_ms` at least.
+    /// Notes that a worker that is leaving reported at `heard_ms` that it runs for at least another `leaves_in_ms`.
     pub fn note_leaving(&mut self, heard_ms: u64, worker: &Incarnation, leaves_in_ms: u64) {
         if let Some(target) = self.targets.get_mut(worker) {
             target.leaves_ms = Some(heard_ms + leaves_in_ms);
         }
     }
 
-    /// Notes that a worker said that it ends now; returns what must be recorded when it surely has. Else it is asked until nothing listens at its
-    /// address, or its lease has run out: its word alone says nothing of when its runs end, and their tasks would begin elsewhere beside them.
+    /// Notes that a worker announced that it ends now. Returns what must be recorded if the worker has certainly ended. Otherwise the
+    /// worker is probed until nothing listens at its address or its lease has expired: the announcement does not tell when its runs end,
+    /// and tasks that are started elsewhere too early would run twice.
     pub fn note_left(
         &mut self,
         now_ms: u64,
@@ -181,46 +186,48 @@
         if workload.worker(worker).is_none() {
             return Some(Command::Workers(vec![WorkerChange::Gone(worker.clone())]));
         }
-        let target = self.target(worker);
-        target.left = true;
+        let target = self.target_mut(worker);
+        target.announced_end = true;
         target.has_ended(worker, workload).then(|| {
             target.note_gone(now_ms);
-            departure(now_ms, worker, target, workload)
+            gone_command(now_ms, worker, target, workload)
         })
     }
 
-    /// Schedules looks at all recorded incarnations of a worker, to find out which of them still run.
+    /// Schedules probes of all recorded incarnations of a worker, to find out which of them still run.
     pub fn check_incarnations(&mut self, worker: &Incarnation, workload: &Workload) {
         for incarnation in workload.incarnations(worker) {
-            self.target(&incarnation.info.id).note_successor();
+            self.target_mut(&incarnation.info.id).require_probes();
         }
     }
 
-    /// Whether a worker is known to answer, as [`Target::answers`].
+    /// Whether a worker answers orders; see [`Target::answers`].
     pub fn answers(&self, worker: &Incarnation) -> bool {
         self.view(worker).is_some_and(Target::answers)
     }
 
-    /// Takes over what has changed in the record.
+    /// Updates the view of workers and runs after changes of the record.
     pub fn note_news(&mut self, now_ms: u64, news: &News, workload: &Workload) {
         for id in &news.workers {
             let Some(worker) = workload.worker(id) else {
                 self.targets.remove(id);
-                self.departed.insert(id.clone());
+                self.removed.insert(id.clone());
                 continue;
             };
             let known = self.targets.get(id);
             if known.is_none_or(|target| !target.is_recorded) {
                 self.check_predecessors(worker, workload);
             }
-            let target = self.target(id);
+            let target = self.target_mut(id);
             target.is_recorded = true;
             target.runs.retain(|run, _| worker.runs.contains_key(run));
             target
                 .unsaid
                 .retain(|run| worker.runs.contains_key(run) || worker.unheard.contains(run));
             let unsaid = &target.unsaid;
-            target.unsaid_lapsing.retain(|run| unsaid.contains(run));
+            target
+                .presumed_lost_expiring
+                .retain(|run| unsaid.contains(run));
             for run in worker.runs.keys() {
                 target
                     .runs
@@ -230,26 +237,26 @@
         }
     }
 
-    /// Schedules looks at recorded workers that have the same address or the same id as a new one.
+    /// Schedules probes of recorded workers that have the same address or the same id as a new one.
     fn check_predecessors(&mut self, newcomer: &Worker, workload: &Workload) {
-        let replaced = workload.workers().filter(|other| {
+        let conflicting = workload.workers().filter(|other| {
             other.info.address == newcomer.info.address && other.info.id != newcomer.info.id
                 || other.info.id.is_other_incarnation(&newcomer.info.id)
         });
-        for other in replaced {
+        for other in conflicting {
             if let Some(target) = self.targets.get_mut(&other.info.id) {
-                target.note_successor();
+                target.require_probes();
                 self.due.insert(other.info.id.clone());
             }
         }
     }
 
-    /// Attempts of gangs that are recorded as over and may still be said to have failed, by step. Once the worker's lease has run out, a failure
-    /// counts no more.
+    /// Gang attempts that are recorded as lost and may still be reported as failed, by step. Once the worker's lease has expired, such a
+    /// failure no longer counts.
     pub fn unheard_attempts(&self, now_ms: u64) -> BTreeMap<StepId, BTreeSet<u32>> {
         let mut attempts: BTreeMap<StepId, BTreeSet<u32>> = BTreeMap::new();
         let targets = self.targets.values();
-        let targets = targets.filter(|target| !target.has_lapsed(now_ms));
+        let targets = targets.filter(|target| !target.has_lease_expired(now_ms));
         for run in targets.flat_map(|target| &target.unsaid) {
             let of_step = attempts.entry(run.task.step).or_default();
             of_step.insert(run.attempt);
@@ -257,25 +264,25 @@
         attempts
     }
 
-    /// Wants a run to end though the record would let it go on.
+    /// Requests the end of a run that the record still wants.
     pub fn give_up(&mut self, worker: &Incarnation, run: RunId) {
-        let target = self.target(worker);
+        let target = self.target_mut(worker);
         if let Some(watch) = target.runs.get_mut(&run) {
             watch.give_up = true;
         }
     }
 
-    /// Gives these workers, and no others, no new work because their VMs' upkeep is next.
+    /// Sets the workers that get no new work because the upkeep of their VMs is next. Replaces the previous set.
     pub fn set_emptied(&mut self, workers: BTreeSet<Incarnation>) {
         self.emptied = workers;
     }
 
-    /// Whether a worker gets no new work because its VM's upkeep is next.
+    /// Whether a worker gets no new work because the upkeep of its VM is next.
     pub fn is_emptied(&self, worker: &Incarnation) -> bool {
         self.emptied.contains(worker)
     }
 
-    /// Workers that get no new work for a while.
+    /// Number of workers that temporarily get no new work because runs failed there.
     pub fn count_aside(&self, now_ms: u64) -> usize {
         let targets = self.targets.values();
         targets
@@ -283,21 +290,21 @@
             .count()
     }
 
-    /// Gives a worker no new work for a while.
+    /// Temporarily gives a worker no new work.
     pub fn set_aside(&mut self, now_ms: u64, worker: &Incarnation) {
         if let Some(target) = self.targets.get_mut(worker) {
             target.set_aside(now_ms);
         }
     }
 
-    /// Up to which number ends that the worker listed are on their way into the record.
+    /// Highest number of an end that the worker listed and that is being recorded.
     pub fn recording_to(&self, worker: &Incarnation) -> Option<u64> {
         self.view(worker).and_then(|target| target.recording_to)
     }
 
-    /// Notes what became of a record of ends of runs on a worker. `listed_to` is [`Self::recording_to`] as it was when their record was made,
-    /// `None` for ends that the worker did not list. Several records may be on their way: were the commit of another one to count for the listed
-    /// ends, the worker would forget them, and a leader lost before their own commit would lose them with it.
+    /// Processes the outcome of recording ends of runs on a worker. `listed_to` is the value of [`Self::recording_to`] when the command was
+    /// made, or `None` for ends that the worker did not list. Several commands may be in flight. If the commit of another command counted
+    /// for the listed ends, the worker would forget them, and they would be lost if the leader failed before their own commit.
     pub fn note_recorded(
         &mut self,
         worker: &Incarnation,
@@ -312,22 +319,22 @@
             if outcome == RecordOutcome::Recorded {
                 target.recorded_to = target.recorded_to.max(listed_to.unwrap_or(0));
             } else {
-                // Asked again, also if nothing else runs there, it lists the ends again.
-                target.checks_left = target.checks_left.max(1);
+                // Probes the worker even if it has no other runs, so that it lists the ends again.
+                target.required_probes = target.required_probes.max(1);
             }
         }
-        // What may yet be recorded as over is left alone: started again, it would run beside the next run of its task.
+        // A run whose end may still be committed is not touched: if it were started again, it would run beside the next run of its task.
         if outcome == RecordOutcome::NotRecorded {
             for watch in target.runs.values_mut() {
-                watch.settled = false;
+                watch.recording_end = false;
             }
-            target.unsaid_lapsing.clear();
+            target.presumed_lost_expiring.clear();
         }
         self.due.insert(worker.clone());
     }
 
-    /// The orders to send now, and the ends that are certain without any. With `all` every worker is looked through, otherwise those
-    /// about which something is new.
+    /// Returns the orders to send now, and the ends that are certain without an order. With `all`, every worker is visited, otherwise only
+    /// those for which something has changed.
     pub fn orders(
         &mut self,
         now_ms: u64,
@@ -335,7 +342,7 @@
         all: bool,
     ) -> (Vec<Order>, Vec<End>) {
         let due: Vec<Incarnation> = if all {
-            self.permissions.drop_steps(|step| {
+            self.permissions.forget_steps(|step| {
                 let job = workload.job(step.job);
                 job.is_none_or(|job| job.outcome.is_some())
             });
@@ -343,8 +350,8 @@
                 .targets
                 .values()
                 .filter(|target| !target.runs.is_empty());
-            self.look_wait_ms = look_wait_ms(busy.count());
-            self.broken.forget_ended(workload);
+            self.probe_wait_ms = probe_wait_ms(busy.count());
+            self.broken_gangs.forget_ended(workload);
             self.due.clear();
             self.targets.keys().cloned().collect()
         } else {
@@ -356,35 +363,36 @@
             else {
                 continue;
             };
-            // Only an answer shows which of several recorded incarnations is running.
+            // Only an answer tells which of several recorded incarnations is running.
             if !target.needs_orders() && !workload.has_other_incarnation(&id) {
                 continue;
             }
-            // Orders to a replaced incarnation reach the newest one, which refuses fencing tokens below the highest it has received.
+            // An order to a conflicting incarnation reaches the newest one, which refuses fencing tokens below the highest that it has
+            // received.
             let recorded = workload.incarnations(&id).map(|other| other.restarts).max();
             // A later incarnation that is not recorded yet will have one restart more.
             let is_unrecorded = target.restart.is_some() && !workload.has_other_incarnation(&id);
-            let mut turn = WorkerTurn {
+            let mut reconciler = WorkerReconciler {
                 restarts: recorded.unwrap_or(worker.restarts) + u64::from(is_unrecorded),
                 now_ms,
                 timing: &self.timing,
-                look_wait_ms: self.look_wait_ms,
+                probe_wait_ms: self.probe_wait_ms,
                 token: self.token,
                 workload,
                 permissions: &self.permissions,
-                broken: &self.broken,
+                broken_gangs: &self.broken_gangs,
                 worker,
                 orders: &mut orders,
                 ends: &mut ends,
             };
-            turn.serve(target);
+            reconciler.reconcile(target);
         }
         (orders, ends)
     }
 
-    /// Notes that an order went out twice before the answer that is taken next: the connection of the first send broke. The worker may have
-    /// carried that one out, so a refusal of the second does not say that the run never began: were it taken to say so, the task would begin
-    /// elsewhere while its run goes on, and a failure of that run would count for nothing.
+    /// Notes that an order was sent twice before the answer that is processed next, because the connection of the first send broke. The
+    /// worker may have carried out the first one, so a refusal of the second does not prove that the run never started. If it were taken as
+    /// proof, the task would start elsewhere while its run goes on, and a failure of that run would not be counted.
     pub fn note_repeated(&mut self, order: &Order) {
         let OrderBody::Start { run, .. } = &order.body else {
             return;
@@ -395,7 +403,7 @@
         }
     }
 
-    /// Takes the answer to an order; returns what must be recorded.
+    /// Processes the answer to an order; returns what must be recorded.
     pub fn note_answer(
         &mut self,
         now_ms: u64,
@@ -413,36 +421,36 @@
                 target.note_answer(now_ms, *clock_ms);
             }
             Answer::Restarted { started_ms, report } => {
-                target.looking = false;
+                target.probe_in_flight = false;
                 return note_restart(now_ms, order, target, (id, workload), (*started_ms, report));
             }
-            Answer::Lost => target.note_silence(now_ms, order),
+            Answer::Lost => target.note_no_answer(now_ms, order),
             Answer::NotListening => {
-                target.note_silence(now_ms, order);
-                target.refused = true;
+                target.note_no_answer(now_ms, order);
+                target.not_listening = true;
             }
             Answer::CarrierLost => target.note_lost_carrier(),
             Answer::OtherIncarnation => {
                 match &order.body {
-                    OrderBody::Start { run, .. } => target.note_never_begun(*run),
-                    // It is looked at again, should the record fail.
+                    OrderBody::Start { run, .. } => target.note_not_started(*run),
+                    // The worker is probed again in case the command is not committed.
                     OrderBody::Look { .. } => {
-                        target.looking = false;
-                        target.next_look_ms = now_ms + FAILING_LOOK_MS;
+                        target.probe_in_flight = false;
+                        target.next_probe_ms = now_ms + SILENT_PROBE_DELAY_MS;
                     }
                     OrderBody::Stop { .. } | OrderBody::Pace { .. } => {}
                 }
                 let news = target.note_gone(now_ms);
-                return news.then(|| departure(now_ms, id, target, workload));
+                return news.then(|| gone_command(now_ms, id, target, workload));
             }
         }
         if target.has_ended(id, workload) {
-            // It is looked at again, should the record fail.
-            target.looking &= !matches!(order.body, OrderBody::Look { .. });
-            target.next_look_ms = now_ms + FAILING_LOOK_MS;
+            // The worker is probed again in case the command is not committed.
+            target.probe_in_flight &= !matches!(order.body, OrderBody::Look { .. });
+            target.next_probe_ms = now_ms + SILENT_PROBE_DELAY_MS;
             return target
                 .note_gone(now_ms)
-                .then(|| departure(now_ms, id, target, workload));
+                .then(|| gone_command(now_ms, id, target, workload));
         }
         match &order.body {
             OrderBody::Start { run, .. } => {
@@ -471,7 +479,7 @@
                 None
             }
             OrderBody::Look { recorded_to, .. } => {
-                target.looking = false;
+                target.probe_in_flight = false;
                 match answer {
                     Answer::Done {
                         report: Some(report),
@@ -479,27 +487,27 @@
                     } => {
                         target.restart = None;
                         target.acknowledged_to = target.acknowledged_to.max(*recorded_to);
-                        target.next_look_ms = now_ms;
+                        target.next_probe_ms = now_ms;
                         target.reported_ms = now_ms;
-                        target.asked_ms = order.sent_ms;
+                        target.report_requested_ms = order.sent_ms;
                         let worker = workload.worker(id)?;
                         for ended in &report.ended {
-                            self.broken.note(now_ms, id, ended.run, ended.kind);
+                            self.broken_gangs.note(now_ms, id, ended.run, ended.kind);
                         }
                         note_report(now_ms, order, target, (workload, worker), report)
                     }
-                    // Another core can carry the next one.
+                    // Another core can carry the next probe.
                     Answer::CarrierLost => {
-                        target.next_look_ms = now_ms + NEXT_CARRIER_MS;
+                        target.next_probe_ms = now_ms + CARRIER_RETRY_MS;
                         None
                     }
                     _ => {
-                        let wait_ms = if target.left {
-                            NEXT_CARRIER_MS
+                        let wait_ms = if target.announced_end {
+                            CARRIER_RETRY_MS
                         } else {
-                            FAILING_LOOK_MS
+                            SILENT_PROBE_DELAY_MS
                         };
-                        target.next_look_ms = now_ms + wait_ms;
+                        target.next_probe_ms = now_ms + wait_ms;
                         None
                     }
                 }
--- a/crates/bh-workload/src/dispatch/fill_pace.rs
+++ b/crates/bh-workload/src/dispatch/fill_pace.rs
@@ -1,37 +1,38 @@
-//! How fast tasks that only use idle processors may work beside services.
+//! The speed of fill tasks beside services: tasks that only use processors that others leave idle.
 
 use super::pace::FULL_PERCENT;
 
-/// Share of its bound from which on a service counts as too slow, in percent: the figure is rough, and what is done about it takes effect
-/// half a second later.
-const NEAR_PERCENT: u64 = 90;
-/// Share of its bound below which there is speed to give back, in percent.
-const EASY_PERCENT: u64 = 70;
-/// What is left to the others each time a service is too slow, as a divisor: three times in a row leaves nearly nothing, within two
-/// seconds, where a service may be too slow for about four.
-const CUT_DIVISOR: u64 = 3;
-/// Share of full speed below which they are held still, in percent.
-const STILL_PERCENT: u64 = 8;
-/// What is given back each time, in percent of full speed.
-const STEP_PERCENT: u64 = 10;
-/// Least time between two changes, in milliseconds: the reported figure covers half a second.
-const CHANGE_MS: u64 = 500;
-/// Time for which the speed at which a service was too slow is not tried again, in milliseconds. What disturbs changes within seconds.
-const REMEMBERED_MS: u64 = 5_000;
-/// Speed with which a new leader begins, in percent: what the last one found out is lost.
-const UNKNOWN_PERCENT: u64 = 50;
+/// Response time from which a service counts as too slow, in percent of its bound. It is below 100 because the reported figure is rough and
+/// a change of speed takes effect half a second later.
+const SLOW_DOWN_FROM_PERCENT: u64 = 90;
+/// Response time below which fill tasks are sped up again, in percent of the bound.
+const SPEED_UP_TO_PERCENT: u64 = 70;
+/// Divisor of the speed each time a service is too slow. Three cuts in a row, within two seconds, nearly stop the fill tasks; a service may
+/// be too slow for about four seconds.
+const SLOW_DOWN_DIVISOR: u64 = 3;
+/// Speed below which fill tasks are paused, in percent of full speed.
+const PAUSE_BELOW_PERCENT: u64 = 8;
+/// Increase of the speed in one step, in percent of full speed.
+const SPEED_UP_STEP_PERCENT: u64 = 10;
+/// Minimum time between two changes, in milliseconds: the reported figure covers half a second.
+const MIN_CHANGE_INTERVAL_MS: u64 = 500;
+/// Time for which a speed that made a service too slow is not tried again, in milliseconds. The interference changes within seconds.
+const CEILING_TTL_MS: u64 = 5_000;
+/// Speed with which a new leader starts, in percent: the speed that the previous leader had found is lost.
+const TAKEOVER_PERCENT: u64 = 50;
 
-/// The speed on one worker.
+/// The speed of fill tasks on one worker.
 ///
-/// How much such tasks disturb differs by what they run and changes within seconds, so it is not predicted: they are slowed down by
-/// factors while a service is near its bound and sped up once it is well below, as senders on a shared link are. Half-way towards the
-/// speed that was too much last is tried first, so that the service does not swing around its bound.
+/// How much fill tasks slow down services depends on what they run and changes within seconds, so it is not predicted. The speed follows a
+/// multiplicative decrease while a service is near its bound and an additive increase once it is well below, like the rate of a sender on a
+/// shared link. Increases first go half-way towards the last speed that was too high, so that the response time does not oscillate around
+/// its bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FillPace {
     percent: u64,
     changed_ms: u64,
-    /// Speed that was too much, and until when that counts.
-    too_much: Option<(u64, u64)>,
+    /// Last speed that was too high, in percent, and until when it counts, on the leader's clock in milliseconds.
+    ceiling: Option<(u64, u64)>,
 }
 
 impl Default for FillPace {
@@ -39,16 +40,16 @@
         Self {
             percent: FULL_PERCENT,
             changed_ms: 0,
-            too_much: None,
+            ceiling: None,
         }
     }
 }
 
 impl FillPace {
-    /// The speed on a worker that another leader may have changed.
-    pub fn taken_over() -> Self {
+    /// The speed on a worker whose speed an earlier leader may have changed.
+    pub fn after_takeover() -> Self {
         Self {
-            percent: UNKNOWN_PERCENT,
+            percent: TAKEOVER_PERCENT,
             ..Self::default()
         }
     }
@@ -58,20 +59,20 @@
         self.percent
     }
 
-    /// Takes the tail of the slowest service against its bound, in percent; `None` when there is no service.
+    /// Adjusts the speed to the tail response time of the slowest service, in percent of its bound; `None` if there is no service.
     pub fn adjust(&mut self, now_ms: u64, tail_percent: Option<u64>) {
         let Some(tail_percent) = tail_percent else {
             *self = Self::default();
             return;
         };
-        if now_ms < self.changed_ms + CHANGE_MS {
+        if now_ms < self.changed_ms + MIN_CHANGE_INTERVAL_MS {
             return;
         }
-        let percent = if tail_percent >= NEAR_PERCENT {
-            self.too_much = Some((self.percent, now_ms + REMEMBERED_MS));
-            slower(self.percent)
-        } else if tail_percent <= EASY_PERCENT {
-            self.faster(now_ms)
+        let percent = if tail_percent >= SLOW_DOWN_FROM_PERCENT {
+            self.ceiling = Some((self.percent, now_ms + CEILING_TTL_MS));
+            decreased(self.percent)
+        } else if tail_percent <= SPEED_UP_TO_PERCENT {
+            self.increased(now_ms)
         } else {
             return;
         };
@@ -81,17 +82,21 @@
         }
     }
 
-    fn faster(&self, now_ms: u64) -> u64 {
-        match self.too_much {
+    fn increased(&self, now_ms: u64) -> u64 {
+        match self.ceiling {
             Some((percent, until_ms)) if now_ms < until_ms => {
                 self.percent + percent.saturating_sub(self.percent) / 2
             }
-            _ => (self.percent + STEP_PERCENT).min(FULL_PERCENT),
+            _ => (self.percent + SPEED_UP_STEP_PERCENT).min(FULL_PERCENT),
         }
     }
 }
 
-fn slower(percent: u64) -> u64 {
-    let left = percent / CUT_DIVISOR;
-    if left < STILL_PERCENT { 0 } else { left }
+fn decreased(percent: u64) -> u64 {
+    let reduced = percent / SLOW_DOWN_DIVISOR;
+    if reduced < PAUSE_BELOW_PERCENT {
+        0
+    } else {
+        reduced
+    }
 }
--- a/crates/bh-workload/src/dispatch/fleet_counts.rs
+++ b/crates/bh-workload/src/dispatch/fleet_counts.rs
@@ -58,6 +58,6 @@
     !target.is_failing()
         && watch
             .confirmed_ms()
-            .is_some_and(|at_ms| at_ms < target.asked_ms)
-        && watch.seen_ms != Some(target.reported_ms)
+            .is_some_and(|at_ms| at_ms < target.report_requested_ms)
+        && watch.last_reported_ms != Some(target.reported_ms)
 }
--- a/crates/bh-workload/src/dispatch/mod.rs
+++ b/crates/bh-workload/src/dispatch/mod.rs
@@ -17,7 +17,7 @@
 mod run_watch;
 mod target;
 mod timing;
-mod worker_turn;
+mod worker_reconciler;
 
 pub use broken_gangs::BrokenGangs;
 pub use crash::apart_ms;
--- a/crates/bh-workload/src/dispatch/pacing.rs
+++ b/crates/bh-workload/src/dispatch/pacing.rs
@@ -1,4 +1,4 @@
-//! Keeps tasks that use idle processors from slowing down the services beside them.
+//! Keeps fill tasks from slowing down the services beside them. A fill task only uses processors that other tasks leave idle.
 
 use super::FillPace;
 use super::Target;
@@ -6,41 +6,47 @@
 use crate::state::Worker;
 use crate::state::Workload;
 
-/// Longest wait of a look at a worker on which services and such tasks run side by side, in milliseconds.
-pub(super) const SHARED_LOOK_MS: u64 = 500;
+/// Longest wait of a probe of a worker on which services and fill tasks run side by side, in milliseconds.
+pub(super) const SHARED_PROBE_WAIT_MS: u64 = 500;
 
-/// Whether a run only uses processors that others leave idle.
-pub(super) fn fills(workload: &Workload, run: RunId) -> bool {
+/// Whether a run belongs to a fill task.
+pub(super) fn is_fill_task(workload: &Workload, run: RunId) -> bool {
     workload
         .step_spec(run.task.step)
         .is_some_and(|spec| spec.fills_idle)
 }
 
-fn bound_ms(workload: &Workload, run: RunId) -> Option<u64> {
+fn tail_target_ms(workload: &Workload, run: RunId) -> Option<u64> {
     workload.step_spec(run.task.step)?.tail_target_ms
 }
 
-/// Whether services and tasks that use idle processors run side by side on a worker.
-pub(super) fn is_shared(workload: &Workload, worker: &Worker) -> bool {
+/// Whether services and fill tasks run side by side on a worker.
+pub(super) fn runs_services_beside_fill_tasks(workload: &Workload, worker: &Worker) -> bool {
     let runs = || worker.runs.keys();
-    runs().any(|run| fills(workload, *run)) && runs().any(|run| bound_ms(workload, *run).is_some())
+    runs().any(|run| is_fill_task(workload, *run))
+        && runs().any(|run| tail_target_ms(workload, *run).is_some())
 }
 
-/// Sets how fast the tasks that use idle processors shall work, from what the worker has just reported.
-pub(super) fn adjust(now_ms: u64, target: &mut Target, worker: &Worker, workload: &Workload) {
-    if !worker.runs.keys().any(|run| fills(workload, *run)) {
+/// Sets the speed of the fill tasks on a worker from the response times that its services have just reported.
+pub(super) fn adjust_fill_pace(
+    now_ms: u64,
+    target: &mut Target,
+    worker: &Worker,
+    workload: &Workload,
+) {
+    if !worker.runs.keys().any(|run| is_fill_task(workload, *run)) {
         target.filling = FillPace::default();
         return;
     }
-    let slowest = target
+    let max_tail_percent = target
         .runs
         .iter()
-        .filter_map(|(run, watch)| Some(watch.load * 100 / bound_ms(workload, *run)?.max(1)))
+        .filter_map(|(run, watch)| Some(watch.load * 100 / tail_target_ms(workload, *run)?.max(1)))
         .max();
-    target.filling.adjust(now_ms, slowest);
+    target.filling.adjust(now_ms, max_tail_percent);
     let percent = target.filling.percent();
     for (run, watch) in &mut target.runs {
-        if fills(workload, *run) {
+        if is_fill_task(workload, *run) {
             watch.pace.wanted_percent = percent;
         }
     }
--- a/crates/bh-workload/src/dispatch/permissions.rs
+++ b/crates/bh-workload/src/dispatch/permissions.rs
@@ -146,7 +146,7 @@
     }
 
     /// Forgets the steps that `is_over`.
-    pub fn drop_steps(&mut self, is_over: impl Fn(StepId) -> bool) {
+    pub fn forget_steps(&mut self, is_over: impl Fn(StepId) -> bool) {
         self.steps.retain(|step, _| !is_over(*step));
     }
 }
--- a/crates/bh-workload/src/dispatch/record_outcome.rs
+++ b/crates/bh-workload/src/dispatch/record_outcome.rs
@@ -1,12 +1,12 @@
-//! What became of a record.
+//! The outcome of recording a command.
 
-/// Whether a record is in force, as far as its maker knows.
+/// Whether a command is committed, as far as its sender knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordOutcome {
-    /// It is committed.
+    /// The command is committed.
     Recorded,
-    /// It is not, and never will be.
+    /// The command is not committed and never will be.
     NotRecorded,
-    /// Nobody knows yet: it may be committed later, by this leader or the next.
+    /// Unknown: the command may still be committed, by this leader or the next.
     Unknown,
 }
--- a/crates/bh-workload/src/dispatch/restart.rs
+++ b/crates/bh-workload/src/dispatch/restart.rs
@@ -6,7 +6,7 @@
 use super::StopPhase;
 use super::Target;
 use super::crash::suspects;
-use super::departure::departure;
+use super::departure::gone_command;
 use super::departure::is_leaving;
 use crate::job::RunId;
 use crate::state::Command;
@@ -18,8 +18,8 @@
 
 /// State kept after another incarnation of a worker answered in place of the recorded one.
 ///
-/// Both incarnations accept orders at the same address under the same id, so an order for the earlier one that is still in transit is carried out by
-/// the later one.
+/// Both incarnations accept orders at the same address under the same id, so an order for the earlier one that is still in flight is
+/// carried out by the later one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Restart {
     /// Start time of the later incarnation, in milliseconds since 1970 by the worker's clock.
@@ -44,8 +44,8 @@
     (id, workload): (&Incarnation, &Workload),
     (started_ms, report): (u64, &Report),
 ) -> Option<Command> {
-    /// Interval between looks at the later incarnation, in milliseconds.
-    const LOOK_INTERVAL_MS: u64 = 50;
+    /// Interval between probes of the later incarnation, in milliseconds.
+    const PROBE_INTERVAL_MS: u64 = 50;
     let is_new_restart = target
         .restart
         .as_ref()
@@ -73,7 +73,7 @@
     restart
         .reported_runs
         .extend(running.clone().chain(ended).filter(is_recorded));
-    target.next_look_ms = now_ms + LOOK_INTERVAL_MS;
+    target.next_probe_ms = now_ms + PROBE_INTERVAL_MS;
     let ends: Vec<End> = report
         .ended
         .iter()
@@ -96,6 +96,6 @@
             || !watch.may_reach_later_incarnation()
             || is_stopped && !running.contains(run)
     };
-    let all_over = target.runs.iter().all(is_over);
-    (all_over && target.note_gone(now_ms)).then(|| departure(now_ms, id, target, workload))
+    let all_are_over = target.runs.iter().all(is_over);
+    (all_are_over && target.note_gone(now_ms)).then(|| gone_command(now_ms, id, target, workload))
 }
--- a/crates/bh-workload/src/dispatch/run_phase.rs
+++ b/crates/bh-workload/src/dispatch/run_phase.rs
@@ -44,12 +44,12 @@
         let (Some(target), Some(watch)) = (target, watch) else {
             return (RunPhase::Unsent, now_ms);
         };
-        let listed = watch.seen_ms == Some(target.reported_ms);
+        let listed = watch.last_reported_ms == Some(target.reported_ms);
         let reported_since = |at_ms: u64| target.reported_ms >= at_ms;
         let confirmed_ms = watch.confirmed_ms();
         let records_end =
             target.recording_to.is_some() && !listed && confirmed_ms.is_some_and(reported_since);
-        if watch.settled || records_end {
+        if watch.recording_end || records_end {
             return (RunPhase::Ending, target.reported_ms.max(watch.since_ms));
         }
         let ordered_ms = watch.first_sent_ms.unwrap_or(watch.since_ms);
@@ -64,7 +64,10 @@
                 if let Some(since_ms) = target.failing_since_ms {
                     (RunPhase::Silent, since_ms)
                 } else if is_unreported(target, watch) {
-                    (RunPhase::Unreported, watch.seen_ms.unwrap_or(at_ms))
+                    (
+                        RunPhase::Unreported,
+                        watch.last_reported_ms.unwrap_or(at_ms),
+                    )
                 } else {
                     (RunPhase::Running, at_ms)
                 }
--- a/crates/bh-workload/src/dispatch/run_watch.rs
+++ b/crates/bh-workload/src/dispatch/run_watch.rs
@@ -55,11 +55,11 @@
     /// Whether the last send of the start order was a repetition: an earlier one went out, and its connection broke before an answer came.
     pub was_repeated: bool,
     /// When a send of the start order was refused though an earlier one may have been carried out, on the leader's clock in milliseconds.
-    pub refused_ms: Option<u64>,
+    pub start_refused_ms: Option<u64>,
     /// Whether the leader wants the run to end though the record would let it go on.
     pub give_up: bool,
     /// Whether its end is being recorded.
-    pub settled: bool,
+    pub recording_end: bool,
     /// When the leader first knew of the run, on its clock in milliseconds.
     pub since_ms: u64,
     /// Last progress that the worker reported, in percent.
@@ -67,7 +67,7 @@
     /// When that progress last changed, on the leader's clock in milliseconds.
     pub progress_ms: u64,
     /// When the worker last reported it as running, on the leader's clock in milliseconds.
-    pub seen_ms: Option<u64>,
+    pub last_reported_ms: Option<u64>,
     /// Load that the worker last reported, as in [`super::Running`].
     pub load: u64,
     /// How fast it shall work and was told to.
@@ -85,13 +85,13 @@
             first_sent_ms: None,
             was_unsure: matches!(start, StartPhase::Unsure { .. }),
             was_repeated: false,
-            refused_ms: None,
+            start_refused_ms: None,
             give_up: false,
-            settled: false,
+            recording_end: false,
             since_ms: now_ms,
             percent: 0,
             progress_ms: now_ms,
-            seen_ms: None,
+            last_reported_ms: None,
             load: 0,
             pace: Pace::new(start == StartPhase::Unsent),
             checkpoint: None,
@@ -99,18 +99,19 @@
     }
 
     /// Whether an earlier send of the start order may have been carried out, so that a refusal of the last one does not settle the run.
-    pub fn may_have_begun(&self) -> bool {
+    pub fn may_have_started(&self) -> bool {
         self.was_unsure || self.was_repeated
     }
 
     /// Whether a start order for the run may reach a later incarnation of its worker. It cannot if it was sent only once and the worker has reported
     /// the run since.
     pub fn may_reach_later_incarnation(&self) -> bool {
-        self.start != StartPhase::Unsent && (self.seen_ms.is_none() || self.may_have_begun())
+        self.start != StartPhase::Unsent
+            && (self.last_reported_ms.is_none() || self.may_have_started())
     }
 
     /// Whether only a report can tell if it has begun: its last start was refused, and an earlier one may have been carried out.
     pub fn awaits_report(&self) -> bool {
-        self.refused_ms.is_some() && matches!(self.start, StartPhase::Unsure { .. })
+        self.start_refused_ms.is_some() && matches!(self.start, StartPhase::Unsure { .. })
     }
 }
--- a/crates/bh-workload/src/dispatch/target.rs
+++ b/crates/bh-workload/src/dispatch/target.rs
@@ -1,4 +1,4 @@
-//! What the leader knows of one worker beyond the record.
+//! The leader's view of one worker: what is known of it beyond the record.
 
 use super::FillPace;
 use super::Order;
@@ -22,12 +22,12 @@
     pub at_ms: u64,
 }
 
-/// Failed runs in a row, of different jobs, after which a worker gets no work for a while. One may be the job's own fault; two
-/// jobs that both fail on the worker, with no success between, make the worker the likelier cause.
-const FAILURES_IN_A_ROW: usize = 2;
-/// First time without work, in milliseconds; doubles each time.
-const SET_ASIDE_MS: u64 = 4_000;
-/// Doublings at most.
+/// Consecutive failed runs of different jobs after which a worker is set aside. A single failure may be the fault of the job; when two jobs
+/// fail on the worker without a success in between, the worker is the likelier cause.
+const FAILURES_BEFORE_SET_ASIDE: usize = 2;
+/// How long a worker is set aside for the first time, in milliseconds. Doubles each time.
+const FIRST_SET_ASIDE_MS: u64 = 4_000;
+/// Maximum number of doublings.
 const MAX_DOUBLINGS: u32 = 3;
 
 /// The leader's view of one worker.
@@ -35,73 +35,76 @@
 pub struct Target {
     /// Newest reading of its clock.
     pub clock: Option<ClockReading>,
-    /// When its last heartbeat came, on the leader's clock in milliseconds.
-    pub heard_ms: Option<u64>,
-    /// When the record last had what it said of itself, on the leader's clock in milliseconds: its last heartbeat, or the election when the
-    /// leader before had heard it.
+    /// When its last heartbeat arrived, on the leader's clock in milliseconds.
+    pub last_heartbeat_ms: Option<u64>,
+    /// When the record last held the worker's current particulars, on the leader's clock in milliseconds: at its last heartbeat, or at the
+    /// election if the previous leader had received one.
     pub said_ms: Option<u64>,
-    /// Until when it is slow after its start, on the leader's clock in milliseconds, as it last said.
+    /// Until when it is slow after its start, as it last reported, on the leader's clock in milliseconds.
     pub cold_until_ms: u64,
-    /// Until when it surely runs while it is leaving, on the leader's clock in milliseconds, as it last said.
+    /// Until when it certainly runs while it is leaving, as it last reported, on the leader's clock in milliseconds.
     pub leaves_ms: Option<u64>,
-    /// Whether it said that it ends now. What runs there goes on until it does, for seconds if it hears no acknowledgement.
-    pub left: bool,
-    /// Since when orders to it have had no answer.
+    /// Whether it announced that it ends now. Its runs go on until it does, for seconds if it gets no acknowledgement.
+    pub announced_end: bool,
+    /// Since when orders to it have had no answer, on the leader's clock in milliseconds; `None` if it answers.
     pub failing_since_ms: Option<u64>,
-    /// Whether nothing listened at its address for one of them.
-    pub refused: bool,
-    /// Whether the first of them ended sooner than its time: its connection was broken off, as a process that ends does.
-    pub broke_off: bool,
-    /// Whether a core that carried an order to it was lost, and nothing was heard of it since.
+    /// Whether nothing listened at its address for an order that had no answer.
+    pub not_listening: bool,
+    /// Whether the first unanswered order failed before its timeout, because the connection broke: that happens when a process ends.
+    pub connection_broke: bool,
+    /// Whether a core that carried an order to it was lost, and the worker has not been heard since.
     pub carrier_lost: bool,
     /// End of the longest lease granted, on the worker's clock in milliseconds.
-    pub granted_ms: u64,
-    /// When everything that runs there has surely ended unless it is granted more, on the leader's clock in milliseconds.
-    pub lapse_ms: u64,
-    /// Whether a look is on its way.
-    pub looking: bool,
+    pub granted_until_ms: u64,
+    /// When everything that runs there has certainly ended unless the lease is renewed, on the leader's clock in milliseconds.
+    pub lease_expiry_ms: u64,
+    /// Whether a probe is in flight.
+    pub probe_in_flight: bool,
     /// When it last reported its runs, on the leader's clock in milliseconds.
     pub reported_ms: u64,
-    /// When the newest of its reports was asked for, on the leader's clock in milliseconds. What it did after that is not in them.
-    pub asked_ms: u64,
-    /// Earliest time of the next look, on the leader's clock in milliseconds.
-    pub next_look_ms: u64,
-    /// Highest number of an end that is recorded.
+    /// When its newest report was requested, on the leader's clock in milliseconds. The report does not include what the worker did after
+    /// that.
+    pub report_requested_ms: u64,
+    /// Earliest time of the next probe, on the leader's clock in milliseconds.
+    pub next_probe_ms: u64,
+    /// Highest number of a reported end that is recorded.
     pub recorded_to: u64,
     /// Highest number of an end that the worker knows to be recorded.
     pub acknowledged_to: u64,
-    /// While ends it reported are being recorded: the highest of their numbers.
+    /// Highest number of the reported ends that are being recorded, if any.
     pub recording_to: Option<u64>,
-    /// Its runs.
+    /// Its runs: the recorded ones, and others that it reports.
     pub runs: BTreeMap<RunId, RunWatch>,
-    /// Runs given up because its lease had run out unseen, until it is heard again: whether it has crashed shows later, if at all.
-    pub lapsed: BTreeMap<RunId, RunWatch>,
-    /// Runs of gangs taken to be over though the worker had not said so and its lease had not run out: it may still say that they failed.
+    /// Runs that were ended because its lease had expired without a report, until the worker is heard again. Whether the worker crashed
+    /// shows later, if at all.
+    pub expired_runs: BTreeMap<RunId, RunWatch>,
+    /// Gang runs that are recorded as lost although the worker had not reported their end and its lease had not expired. The worker may
+    /// still report that they failed.
     pub unsaid: BTreeSet<RunId>,
-    /// Those of them of which is being recorded that the lease has run out.
-    pub unsaid_lapsing: BTreeSet<RunId>,
-    /// Looks that shall tell whether it has crashed, since another worker says that it is reached at the same address.
-    pub checks_left: u32,
-    /// When it was last found to be gone, on the leader's clock in milliseconds.
-    pub gone_ms: Option<u64>,
+    /// Those of `unsaid` for which the expiry of the lease is being recorded.
+    pub presumed_lost_expiring: BTreeSet<RunId>,
+    /// Probes still to be sent to find out whether it has crashed, since another worker reports the same address.
+    pub required_probes: u32,
+    /// When its end was last passed on to be recorded, on the leader's clock in milliseconds.
+    pub gone_noted_ms: Option<u64>,
     /// Whether the leader has seen it in the record. Its first heartbeat arrives before it is recorded.
     pub is_recorded: bool,
     /// Whether the worker reports its start time, so that its reports reveal a restart.
     pub reports_start_time: bool,
     /// Set once another incarnation of the worker answered in its place.
     pub restart: Option<Restart>,
-    /// How fast tasks that only use idle processors work there.
+    /// Speed of the tasks there that only use idle processors.
     pub filling: FillPace,
-    /// Jobs that failed there since the last success.
+    /// Jobs with runs that failed there since the last success.
     pub failed_jobs: Vec<JobId>,
     /// No new work before this time, on the leader's clock in milliseconds.
     pub set_aside_until_ms: u64,
-    /// Times it was set aside in a row.
+    /// How often it was set aside since the last success.
     pub set_aside_count: u32,
 }
 
 impl Target {
-    /// The initial state of a worker that has not been heard of.
+    /// The initial state of a worker that has not been heard yet.
     pub fn new(worker: &Incarnation) -> Self {
         Self {
             reports_start_time: worker.started_ms.is_some(),
@@ -109,25 +112,25 @@
         }
     }
 
-    /// Whether this incarnation has answered a look, and no other incarnation has since. A heartbeat is not sufficient: it may have been delayed while
-    /// the worker restarted, and an order under its id would be carried out by the later incarnation.
+    /// Whether this incarnation has answered a probe, and no other incarnation has since. A heartbeat is not sufficient: it may have been
+    /// delayed while the worker restarted, and an order under its id would be carried out by the later incarnation.
     pub fn is_verified(&self) -> bool {
         !self.reports_start_time || self.reported_ms > 0 && self.restart.is_none()
     }
 
-    /// Notes an answer: the worker is there, and its clock shows `clock_ms`.
+    /// Notes an answer: the worker is reachable, and its clock shows `clock_ms`.
     pub fn note_answer(&mut self, now_ms: u64, clock_ms: Option<u64>) {
         self.failing_since_ms = None;
-        self.refused = false;
+        self.not_listening = false;
         self.carrier_lost = false;
-        self.checks_left = 0;
-        self.lapsed.clear();
+        self.required_probes = 0;
+        self.expired_runs.clear();
         if let Some(worker_ms) = clock_ms {
             self.note_clock(now_ms, worker_ms);
         }
     }
 
-    /// Notes a reading of the worker's clock; an older one that came late is left out.
+    /// Notes a reading of the worker's clock. A delayed older reading is ignored.
     pub fn note_clock(&mut self, now_ms: u64, worker_ms: u64) {
         if self
             .clock
@@ -141,33 +144,33 @@
     }
 
     /// Notes that `order` had no answer.
-    pub fn note_silence(&mut self, now_ms: u64, order: &Order) {
-        /// Lateness of timers and of the loop, in milliseconds.
-        const SLACK_MS: u64 = 50;
+    pub fn note_no_answer(&mut self, now_ms: u64, order: &Order) {
+        /// Tolerance for late timers and a late event loop, in milliseconds.
+        const TIMER_SLACK_MS: u64 = 50;
         if self.is_failing() {
             return;
         }
         self.failing_since_ms = Some(now_ms);
-        // Whether the leader before had heard it lately is not known: it may have been silent, and have shrunk, for long.
-        if self.heard_ms.is_none() {
+        // It is unknown whether the previous leader heard the worker lately. It may have been silent for long, and have lost capacity.
+        if self.last_heartbeat_ms.is_none() {
             self.said_ms = None;
         }
-        self.broke_off = now_ms + SLACK_MS < order.sent_ms + order.answer_within_ms();
+        self.connection_broke = now_ms + TIMER_SLACK_MS < order.sent_ms + order.answer_within_ms();
     }
 
-    /// Whether it answered until it was found to be gone, or broke off: what ran there then had no time to end unheard. This is not known if the core that
-    /// carried an order to it was lost and nothing was heard of it since.
-    pub fn went_at_once(&self) -> bool {
-        !self.carrier_lost && (!self.is_failing() || self.broke_off)
+    /// Whether it ended abruptly: it answered until it was found to be gone, or the connection broke, so its runs had no time to end
+    /// without a report. This is unknown if the core that carried an order to it was lost and the worker has not been heard since.
+    pub fn ended_abruptly(&self) -> bool {
+        !self.carrier_lost && (!self.is_failing() || self.connection_broke)
     }
 
-    /// Whether it said that it ends, and has: nothing listens at its address, or nothing runs there.
+    /// Whether it announced that it ends, and has ended: nothing listens at its address, or nothing runs there.
     pub fn has_ended(&self, id: &Incarnation, workload: &Workload) -> bool {
         let is_idle = || {
             let worker = workload.worker(id);
             worker.is_none_or(|worker| worker.runs.is_empty())
         };
-        self.left && (self.refused || is_idle())
+        self.announced_end && (self.not_listening || is_idle())
     }
 
     /// Notes that the core that carried an order was lost.
@@ -175,103 +178,110 @@
         self.carrier_lost = true;
     }
 
-    /// Whether its clock is known and its last order was answered: without that it gets no work.
+    /// Whether its clock is known and its last order was answered. Otherwise it gets no work.
     pub fn answers(&self) -> bool {
         self.clock.is_some() && !self.is_failing() && !self.carrier_lost
     }
 
-    /// Whether what it said of itself is recent enough to give it work.
+    /// Whether its recorded particulars are recent enough to give it work.
     pub fn is_current(&self, now_ms: u64, timing: &Timing) -> bool {
         self.said_ms
             .is_some_and(|said_ms| now_ms <= said_ms + timing.current_ms())
     }
 
-    /// Whether orders to it have had no answer lately.
+    /// Whether its latest orders had no answer.
     pub fn is_failing(&self) -> bool {
         self.failing_since_ms.is_some()
     }
 
-    /// Whether its lease has surely run out at `now_ms`. Without an answer none is renewed, whether the worker or its carrier gave none.
-    pub fn has_lapsed(&self, now_ms: u64) -> bool {
-        (self.is_failing() || self.carrier_lost) && now_ms >= self.lapse_ms
+    /// Whether its lease has certainly expired at `now_ms`. While there is no answer, no lease is renewed, no matter whether the worker or
+    /// the carrier is the cause.
+    pub fn has_lease_expired(&self, now_ms: u64) -> bool {
+        (self.is_failing() || self.carrier_lost) && now_ms >= self.lease_expiry_ms
     }
 
-    /// Whether a worker that did not answer has been heard since. A look tells whether it can be used again; without one a worker that was
-    /// cut off while it had nothing to run would never get work any more.
-    pub fn is_back(&self) -> bool {
-        self.failing_since_ms
-            .is_some_and(|since_ms| self.heard_ms.is_some_and(|heard_ms| heard_ms > since_ms))
+    /// Whether a worker that did not answer has sent a heartbeat since. A probe then tells whether it can be used again; without the probe, a
+    /// worker that was cut off while it had no runs would never get work again.
+    pub fn is_heard_again(&self) -> bool {
+        self.failing_since_ms.is_some_and(|since_ms| {
+            self.last_heartbeat_ms
+                .is_some_and(|heard_ms| heard_ms > since_ms)
+        })
     }
 
-    /// Whether nothing was heard of it yet. A new leader knows the workers from the record, and may give them work only once it has read
-    /// their clocks; their next heartbeats bring that too, but a second or two later, for which urgent work would wait.
-    pub fn is_unheard(&self) -> bool {
+    /// Whether the leader has not read its clock yet. A new leader knows the workers from the record but may give them work only once it
+    /// has read their clocks. Their next heartbeats bring the clocks too, but a second or two later, and urgent work would wait for that.
+    pub fn needs_first_probe(&self) -> bool {
         self.clock.is_none() && !self.is_failing()
     }
 
-    /// Whether the worker does not know yet that ends it reported are recorded.
-    pub fn is_behind(&self) -> bool {
+    /// Whether the worker does not know yet that some of the ends it reported are recorded.
+    pub fn has_unacknowledged_ends(&self) -> bool {
         self.acknowledged_to < self.recorded_to
     }
 
-    /// Whether it must be looked at whatever runs there.
-    pub fn must_be_asked(&self) -> bool {
-        self.is_behind()
-            || self.is_back()
-            || self.is_unheard()
+    /// Whether it must be probed even if it has no runs.
+    pub fn must_be_probed(&self) -> bool {
+        self.has_unacknowledged_ends()
+            || self.is_heard_again()
+            || self.needs_first_probe()
             || self.carrier_lost
-            || self.checks_left > 0
+            || self.required_probes > 0
             || !self.unsaid.is_empty() && !self.is_failing()
             || !self.is_verified() && !self.is_failing()
-            || self.left
+            || self.announced_end
     }
 
-    /// Another worker says that it is reached where this one was. An idle worker that is gone without a word would stay in the record for ever, and a
-    /// crash after a silence for which its runs were given up would count against none of them.
-    pub fn note_successor(&mut self) {
-        /// One look may be lost, and a new worker may not answer at once.
-        const CHECKS: u32 = 3;
-        self.checks_left = CHECKS;
+    /// Requires probes because another worker reports the address of this one. Otherwise an idle worker that ended without notice would stay
+    /// in the record forever, and a crash after a silence during which its runs were ended would be attributed to none of them.
+    pub fn require_probes(&mut self) {
+        /// More than one, since a probe may be lost and a new worker may not answer at once.
+        const PROBES: u32 = 3;
+        self.required_probes = PROBES;
     }
 
-    /// Notes that a start came to another incarnation: unless an earlier send may have been carried out, the run never began here.
-    pub fn note_never_begun(&mut self, run: RunId) {
+    /// Notes that a start order reached another incarnation. The run never started here, unless an earlier send may have been carried out.
+    pub fn note_not_started(&mut self, run: RunId) {
         let watch = self.runs.get_mut(&run);
-        if let Some(watch) = watch.filter(|watch| !watch.may_have_begun()) {
+        if let Some(watch) = watch.filter(|watch| !watch.may_have_started()) {
             watch.start = StartPhase::Unsent;
         }
     }
 
-    /// Notes that another incarnation answered in its place; returns whether that is news. Several orders may be on their way, and each is answered
-    /// so; the record tells soon.
+    /// Notes that the worker is gone. Returns whether that should be recorded now: several orders may be in flight and each of them is
+    /// answered this way, but the end is recorded once.
     pub fn note_gone(&mut self, now_ms: u64) -> bool {
-        /// Time after which it is recorded again, in milliseconds, should the record have failed.
-        const AGAIN_MS: u64 = 1_000;
-        let known = self.gone_ms.is_some_and(|at_ms| now_ms < at_ms + AGAIN_MS);
+        /// Delay before the end is recorded again if it is still not in the record, in milliseconds.
+        const RECORD_AGAIN_MS: u64 = 1_000;
+        let known = self
+            .gone_noted_ms
+            .is_some_and(|at_ms| now_ms < at_ms + RECORD_AGAIN_MS);
         if !known {
-            self.gone_ms = Some(now_ms);
+            self.gone_noted_ms = Some(now_ms);
         }
         !known
     }
 
-    /// Whether there is anything to order or ask.
+    /// Whether the worker has runs or must be probed.
     pub fn needs_orders(&self) -> bool {
-        !self.runs.is_empty() || !self.unsaid.is_empty() || self.must_be_asked()
+        !self.runs.is_empty() || !self.unsaid.is_empty() || self.must_be_probed()
     }
 
-    /// Grants a lease from `now_ms` on; returns its end on the worker's clock. While the worker does not answer nothing more is
-    /// granted: it may hear us without our hearing it, and a lease renewed so would never run out. Nor after its carrier was lost, until the
-    /// first answer over another one: carriers that are lost again and again would do the same.
+    /// Grants a lease from `now_ms` on; returns its end on the worker's clock. While the worker does not answer, the lease is not extended:
+    /// the worker may receive orders although its answers are lost, and its lease would never expire. For the same reason the lease is not
+    /// extended after a carrier was lost until the first answer through another one.
     pub fn grant(&mut self, now_ms: u64, timing: &Timing) -> Option<u64> {
         if self.is_failing() || self.carrier_lost {
-            return (self.granted_ms > 0).then_some(self.granted_ms);
+            return (self.granted_until_ms > 0).then_some(self.granted_until_ms);
         }
         let reading = self.clock?;
         let age_ms = now_ms.saturating_sub(reading.at_ms);
         let until_ms = reading.worker_ms + age_ms + timing.lease_ms;
-        self.granted_ms = self.granted_ms.max(until_ms);
-        self.lapse_ms = self.lapse_ms.max(now_ms + timing.lapse_after_ms(age_ms));
-        Some(self.granted_ms)
+        self.granted_until_ms = self.granted_until_ms.max(until_ms);
+        self.lease_expiry_ms = self
+            .lease_expiry_ms
+            .max(now_ms + timing.lapse_after_ms(age_ms));
+        Some(self.granted_until_ms)
     }
 
     /// Notes a run that succeeded.
@@ -280,13 +290,13 @@
         self.set_aside_count = 0;
     }
 
-    /// Notes a run of `job` that failed; sets the worker aside when it seems to fail whatever it is given. A worker that fails
-    /// everything is always free and would draw all work, and use up the few attempts of every job.
+    /// Notes a failed run of `job`. Sets the worker aside if it seems to fail every run: such a worker is always free, so it would attract
+    /// all work and use up the few attempts of every job.
     pub fn note_failure(&mut self, now_ms: u64, job: JobId) {
         if !self.failed_jobs.contains(&job) {
             self.failed_jobs.push(job);
         }
-        if self.failed_jobs.len() >= FAILURES_IN_A_ROW {
+        if self.failed_jobs.len() >= FAILURES_BEFORE_SET_ASIDE {
             self.set_aside(now_ms);
         }
     }
@@ -294,7 +304,7 @@
     /// Gives the worker no new work for a while, longer each time.
     pub fn set_aside(&mut self, now_ms: u64) {
         let doublings = self.set_aside_count.min(MAX_DOUBLINGS);
-        self.set_aside_until_ms = now_ms + (SET_ASIDE_MS << doublings);
+        self.set_aside_until_ms = now_ms + (FIRST_SET_ASIDE_MS << doublings);
         self.set_aside_count += 1;
         self.failed_jobs.clear();
     }
--- a/crates/bh-workload/src/dispatch/timing.rs
+++ b/crates/bh-workload/src/dispatch/timing.rs
@@ -1,4 +1,4 @@
-//! Time bounds that workers and callers were promised.
+//! Time bounds on which workers and callers rely.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,27 +6,28 @@
 /// Bounds of a deployment, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Timing {
-    /// Time for which a worker keeps what it runs without hearing from the leader. Long enough to outlast a change of leader, short
-    /// enough that a lost worker's tasks begin again soon.
+    /// Time for which a worker continues its runs without hearing from the leader. It is long enough to outlast a change of leader, and
+    /// short enough that the tasks of a lost worker start again soon.
     pub lease_ms: u64,
-    /// Longest time a worker takes to stop a run.
+    /// Longest time that a worker takes to stop a run.
     pub stop_timeout_ms: u64,
-    /// How many times as long tasks take away from their data, or when a rack-local gang is spread; in percent.
+    /// Run time of tasks that run away from their data, or of a rack-local gang that is spread over racks, in percent of the normal run
+    /// time.
     pub remote_percent: u64,
-    /// Time between a worker's heartbeats.
+    /// Interval between the heartbeats of a worker.
     pub heartbeat_ms: u64,
-    /// How long the state of an ended job can be asked for.
+    /// Time for which the state of an ended job can be queried.
     pub retention_ms: u64,
     /// Time that the upkeep of a VM takes.
     pub upkeep_ms: u64,
-    /// Time for which a core that gives orders on VMs may believe that it still leads.
+    /// Lease of the core that sends VM orders: the time for which it may believe that it still leads.
     pub vm_lease_ms: u64,
-    /// Time that a task takes to go on from its checkpoint.
+    /// Time that a task takes to resume from its checkpoint.
     pub restore_ms: u64,
 }
 
 impl Timing {
-    /// The defaults, for workers of which nothing else is known.
+    /// The defaults, for workers without known bounds.
     pub const DEFAULT: Timing = Timing {
         lease_ms: 9_000,
         stop_timeout_ms: 1_000,
@@ -38,15 +39,16 @@
         restore_ms: 250,
     };
 
-    /// Longest time since a worker's last heartbeat for which it is given work, by what it said of itself, in milliseconds. One may be
-    /// late, two in a row hardly are; by the third a worker may have shrunk for longer than it bears being filled by what it had.
+    /// Longest time after a worker's last heartbeat during which it is given work, in milliseconds. One heartbeat may be late, but hardly
+    /// two in a row. By the third missed one the worker may have lost capacity for longer than it can bear being filled according to its
+    /// old capacity.
     pub fn current_ms(&self) -> u64 {
         const HEARTBEATS_PERCENT: u64 = 295;
         self.heartbeat_ms * HEARTBEATS_PERCENT / 100
     }
 
-    /// Longest time after a grant that anything under it may run, given that the worker's clock was read `age_ms` ago. A worker's
-    /// clock may be two percent slow, and so is what it shows now behind what was reckoned from the last reading.
+    /// Longest time after a grant for which a run under the lease may go on, given that the worker's clock was read `age_ms` ago. The
+    /// worker's clock may be up to two percent slow, so the leader's estimate of it since the last reading may be too high by that share.
     pub fn lapse_after_ms(&self, age_ms: u64) -> u64 {
         const SLOW_CLOCK_PERCENT: u64 = 2;
         /// Rounding of the two clocks to whole milliseconds.
--- a/crates/bh-workload/src/dispatch/worker_turn.rs
+++ b/crates/bh-workload/src/dispatch/worker_reconciler.rs
@@ -1,4 +1,4 @@
-//! What one worker needs now: starts, stops, a look.
+//! Compares what the record wants of one worker with what the worker reported, and derives the orders to send.
 
 use super::BrokenGangs;
 use super::Order;
@@ -12,7 +12,7 @@
 use super::Timing;
 use super::order::RETRY_MS;
 use super::pacing;
-use super::pacing::SHARED_LOOK_MS;
+use super::pacing::SHARED_PROBE_WAIT_MS;
 use crate::job::Needs;
 use crate::job::RunId;
 use crate::job::StepId;
@@ -23,35 +23,36 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-/// Shortest wait of a look in milliseconds, where few workers have runs. A worker that is cut off is found silent when its look is not answered,
-/// and until then urgent work is placed on it, or waits for room that never becomes free there: such work has a second or two to spare.
-const FEW_LOOK_WAIT_MS: u64 = 700;
-/// Longest wait of a look in milliseconds; workers take no longer one.
-const LOOK_WAIT_MS: u64 = 2_000;
-/// Looks a second that the leader may come to by waiting less than the longest, over all workers. Some five hundred a second, those that bring
-/// ends among them, took 0.18 of a core; this leaves room for those.
-const LOOKS_PER_S: u64 = 250;
-/// How long before its lease ends a worker is looked at, in looks: several may be lost.
-const LOOKS_IN_LEASE: u64 = 3;
-/// Time after a confirmed stop at which it is sent again when the run has still not ended, in milliseconds.
-const STOP_AGAIN_MS: u64 = 1_500;
-/// How long a look at a worker waits for an end when `busy` workers have runs, in milliseconds.
-pub(super) fn look_wait_ms(busy: usize) -> u64 {
+/// Shortest wait of a probe, in milliseconds; used while few workers have runs. A worker that is cut off is only detected when its probe is
+/// not answered. Until then urgent work is placed on it, or waits for capacity there that never becomes free, and such work has only a
+/// second or two to spare.
+const MIN_PROBE_WAIT_MS: u64 = 700;
+/// Longest wait of a probe, in milliseconds. Workers do not wait longer.
+const MAX_PROBE_WAIT_MS: u64 = 2_000;
+/// Probes per second, over all workers, up to which the leader shortens the wait of its probes. About 500 per second, including those that
+/// report ends, took 0.18 of a processor core; this limit leaves room for the probes that report ends.
+const PROBES_PER_S: u64 = 250;
+/// Probes that fit into the time of one lease: several may be lost before the lease expires.
+const PROBES_PER_LEASE: u64 = 3;
+/// Delay after a confirmed stop before the stop is sent again if the run has still not ended, in milliseconds.
+const STOP_RESEND_MS: u64 = 1_500;
+/// How long a worker may hold back its answer to a probe when `busy` workers have runs, in milliseconds.
+pub(super) fn probe_wait_ms(busy: usize) -> u64 {
     const MS_PER_S: u64 = 1_000;
     let busy = u64::try_from(busy).unwrap_or(u64::MAX);
-    (busy.saturating_mul(MS_PER_S) / LOOKS_PER_S).clamp(FEW_LOOK_WAIT_MS, LOOK_WAIT_MS)
+    (busy.saturating_mul(MS_PER_S) / PROBES_PER_S).clamp(MIN_PROBE_WAIT_MS, MAX_PROBE_WAIT_MS)
 }
 
-/// What one worker needs now.
-pub(super) struct WorkerTurn<'a> {
+/// Derives the orders and ends of one worker.
+pub(super) struct WorkerReconciler<'a> {
     pub now_ms: u64,
     pub timing: &'a Timing,
-    /// How long a look waits for an end, in milliseconds.
-    pub look_wait_ms: u64,
+    /// How long a worker may hold back its answer to a probe while no run ends, in milliseconds.
+    pub probe_wait_ms: u64,
     pub token: u64,
     pub workload: &'a Workload,
     pub permissions: &'a Permissions,
-    pub broken: &'a BrokenGangs,
+    pub broken_gangs: &'a BrokenGangs,
     pub worker: &'a Worker,
     /// Number of incarnations of the worker before the newest known one.
     pub restarts: u64,
@@ -59,53 +60,54 @@
     pub ends: &'a mut Vec<End>,
 }
 
-impl WorkerTurn<'_> {
-    /// Adds what the worker needs now to the orders and ends.
-    pub fn serve(&mut self, target: &mut Target) {
-        if target.has_lapsed(self.now_ms) {
-            self.give_up_lapsed(target);
+impl WorkerReconciler<'_> {
+    /// Adds the orders to send to the worker now, and the ends that are certain without its report.
+    pub fn reconcile(&mut self, target: &mut Target) {
+        if target.has_lease_expired(self.now_ms) {
+            self.end_expired_runs(target);
         } else if target.is_failing() {
-            self.give_up_broken(target);
+            self.end_broken_gangs(target);
         }
         if target.restart.is_some() {
             self.resolve_restart(target);
             return;
         }
-        let too_much = self.too_much(target);
-        let closed =
-            target.left || self.worker.draining || self.workload.is_evacuated(&self.worker.info);
+        let excess_runs = self.excess_runs(target);
+        let takes_no_starts = target.announced_end
+            || self.worker.draining
+            || self.workload.is_evacuated(&self.worker.info);
         let runs: Vec<RunId> = target.runs.keys().copied().collect();
         for run in runs {
             let recorded = self.worker.runs.contains_key(&run);
             let wanted = recorded && self.workload.wants(run);
-            let Some(watch) = target.runs.get(&run).filter(|watch| !watch.settled) else {
+            let Some(watch) = target.runs.get(&run).filter(|watch| !watch.recording_end) else {
                 continue;
             };
-            if wanted && !watch.give_up && too_much.contains(&run) {
+            if wanted && !watch.give_up && excess_runs.contains(&run) {
                 self.withdraw(target, run);
-            } else if wanted && !watch.give_up && closed && !watch.is_confirmed() {
-                self.hold_back(target, run);
+            } else if wanted && !watch.give_up && takes_no_starts && !watch.is_confirmed() {
+                self.withdraw_if_not_running(target, run);
             } else if wanted && !watch.give_up && watch.awaits_report() {
-                self.take_back_refused(target, run);
+                self.withdraw_refused(target, run);
             } else if wanted && !watch.give_up {
-                self.start(target, run);
-                if pacing::fills(self.workload, run) {
-                    self.pace(target, run);
+                self.send_start(target, run);
+                if pacing::is_fill_task(self.workload, run) {
+                    self.send_pace(target, run);
                 }
             } else {
-                self.stop(target, run, recorded);
+                self.send_stop(target, run, recorded);
             }
         }
-        self.look(target);
+        self.probe(target);
     }
 
-    /// Stops the runs whose start orders may reach the later incarnation, then looks at it until it reports none of them.
+    /// Stops the runs whose start orders may reach the later incarnation, then probes that incarnation until it reports none of them.
     fn resolve_restart(&mut self, target: &mut Target) {
         let runs: Vec<RunId> = target.runs.keys().copied().collect();
         for run in runs {
             let watch = target.runs.get(&run);
             if watch.is_some_and(RunWatch::may_reach_later_incarnation) {
-                self.stop(target, run, self.worker.runs.contains_key(&run));
+                self.send_stop(target, run, self.worker.runs.contains_key(&run));
             }
         }
         let is_stopped = |watch: &RunWatch| {
@@ -113,19 +115,20 @@
                 || matches!(watch.stop, StopPhase::Confirmed { .. })
         };
         if target.runs.values().all(is_stopped) {
-            self.look(target);
+            self.probe(target);
         }
     }
 
-    /// The lease has surely run out: whatever ran there has been ended by the worker itself.
-    fn give_up_lapsed(&mut self, target: &mut Target) {
+    /// Ends all runs after the lease has certainly expired: the worker has ended them itself.
+    fn end_expired_runs(&mut self, target: &mut Target) {
         let runs: Vec<RunId> = target.runs.keys().copied().collect();
         for run in runs {
-            self.give_up(target, run, EndKind::Lapsed);
+            self.end_without_report(target, run, EndKind::Lapsed);
         }
-        // Members given up earlier may no longer be said to have failed: otherwise each new leader would wait for this lease again.
+        // Failures of members that are recorded as lost no longer count. Without recording that, each new leader would wait for this lease
+        // again.
         for run in self.worker.unheard.intersection(&target.unsaid) {
-            if target.unsaid_lapsing.insert(*run) {
+            if target.presumed_lost_expiring.insert(*run) {
                 self.ends.push(End {
                     run: *run,
                     worker: self.worker.info.id.clone(),
@@ -136,10 +139,10 @@
         }
     }
 
-    /// Gangs that are known to be over here, though the worker does not answer: without this their callers would wait for its lease. Only runs that it
-    /// had confirmed count, or one that must have been what ended: an order for another may still be on its way, and begin it after the gang has begun
-    /// anew elsewhere.
-    fn give_up_broken(&mut self, target: &mut Target) {
+    /// Ends gangs that are over on this worker although it does not answer; otherwise their callers would wait until its lease expires.
+    /// Only runs that the worker had confirmed count, or a run that must have been the one that broke the gang: a start order of any other
+    /// run may still be in flight and start the run after the gang has started again elsewhere.
+    fn end_broken_gangs(&mut self, target: &mut Target) {
         let mut gangs: BTreeMap<(StepId, u32), Vec<RunId>> = BTreeMap::new();
         for run in self.worker.runs.keys() {
             let is_gang = self
@@ -152,30 +155,36 @@
             }
         }
         for members in gangs.into_values() {
-            let have_begun = self.broken.must_have_begun(&self.worker.info.id, &members)
+            let have_started = self
+                .broken_gangs
+                .must_have_started(&self.worker.info.id, &members)
                 || members
                     .iter()
                     .all(|run| target.runs.get(run).is_some_and(RunWatch::is_confirmed));
             let times = (self.now_ms, self.timing.stop_timeout_ms);
-            if have_begun && self.broken.are_over(times, &members, self.workload) {
+            if have_started && self.broken_gangs.have_ended(times, &members, self.workload) {
                 for run in members {
-                    self.give_up(target, run, EndKind::Lost);
+                    self.end_without_report(target, run, EndKind::Lost);
                     target.unsaid.insert(run);
                 }
             }
         }
     }
 
-    /// A run is over though the worker has not said so.
-    fn give_up(&mut self, target: &mut Target, run: RunId, kind: EndKind) {
-        let Some(watch) = target.runs.get_mut(&run).filter(|watch| !watch.settled) else {
+    /// Ends a run without a report of the worker.
+    fn end_without_report(&mut self, target: &mut Target, run: RunId, kind: EndKind) {
+        let Some(watch) = target
+            .runs
+            .get_mut(&run)
+            .filter(|watch| !watch.recording_end)
+        else {
             return;
         };
         if !self.worker.runs.contains_key(&run) {
             return;
         }
-        watch.settled = true;
-        target.lapsed.insert(run, watch.clone());
+        watch.recording_end = true;
+        target.expired_runs.insert(run, watch.clone());
         self.ends.push(End {
             run,
             worker: self.worker.info.id.clone(),
@@ -184,7 +193,7 @@
         });
     }
 
-    fn order(&mut self, body: OrderBody) {
+    fn push_order(&mut self, body: OrderBody) {
         self.orders.push(Order {
             to: Recipient {
                 worker: self.worker.info.id.clone(),
@@ -197,29 +206,32 @@
         });
     }
 
-    /// Whether a start order can be expected to reach the recorded incarnation: it has answered a look since the last unanswered order, and no other
-    /// incarnation of the worker is recorded.
+    /// Whether a start order can be expected to reach the recorded incarnation: it has answered a probe since the last unanswered order, and
+    /// no other incarnation of the worker is recorded.
     fn can_receive_start(&self, target: &Target, run: RunId) -> bool {
         if !target.reports_start_time {
             return true;
         }
         let is_reported = match target.runs.get(&run).map(|watch| watch.start) {
-            Some(StartPhase::Unsure { retry_ms }) => target.asked_ms + RETRY_MS >= retry_ms,
+            Some(StartPhase::Unsure { retry_ms }) => {
+                target.report_requested_ms + RETRY_MS >= retry_ms
+            }
             _ => true,
         };
         let has_other_incarnation = self.workload.has_other_incarnation(&self.worker.info.id);
         target.is_verified() && !target.is_failing() && is_reported && !has_other_incarnation
     }
 
-    fn start(&mut self, target: &mut Target, run: RunId) {
+    fn send_start(&mut self, target: &mut Target, run: RunId) {
         let now_ms = self.now_ms;
-        let unsent = target
+        let is_unsent = target
             .runs
             .get(&run)
             .is_some_and(|watch| watch.start == StartPhase::Unsent);
-        // The gang, or another worker, need not wait until this one is heard again or its lease is over.
-        if unsent && (target.is_failing() || !target.is_current(now_ms, self.timing)) {
-            self.never_began(target, run);
+        // Ends the run at once, so that its gang or its next attempt does not wait until this worker is heard again or its lease has
+        // expired.
+        if is_unsent && (target.is_failing() || !target.is_current(now_ms, self.timing)) {
+            self.record_not_started(target, run);
             return;
         }
         let ready = target
@@ -230,7 +242,7 @@
                 StartPhase::Unsure { retry_ms } => now_ms >= retry_ms,
                 StartPhase::InFlight | StartPhase::Confirmed { .. } => false,
             });
-        // After a silence it may have shrunk: its next heartbeat tells.
+        // After a silence the worker may have lost capacity; its next heartbeat tells.
         if !ready || !target.is_current(now_ms, self.timing) || !self.can_receive_start(target, run)
         {
             return;
@@ -266,16 +278,15 @@
             watch.start = StartPhase::InFlight;
             watch.was_repeated = false;
         }
-        self.order(body);
+        self.push_order(body);
     }
 
-    /// Runs that are not known to have begun, and for which the worker has no room beside those that are: it has shrunk since they were
-    /// recorded. A worker that does not guard its capacity would begin them all the same, and everything there would slow down or be
-    /// killed.
-    fn too_much(&self, target: &Target) -> BTreeSet<RunId> {
-        let mut too_much = BTreeSet::new();
+    /// Runs that are not known to have started and do not fit beside those that are: the worker has lost capacity since they were recorded.
+    /// A worker that does not check its capacity would start them anyway, and everything on it would slow down or be killed.
+    fn excess_runs(&self, target: &Target) -> BTreeSet<RunId> {
+        let mut excess_runs = BTreeSet::new();
         if self.worker.excess() == Needs::default() {
-            return too_much;
+            return excess_runs;
         }
         let is_confirmed = |run: &RunId| target.runs.get(run).is_some_and(RunWatch::is_confirmed);
         let mut free = self.worker.info.capacity;
@@ -291,59 +302,64 @@
             if needs.fits(&free) {
                 free.subtract(needs);
             } else {
-                too_much.insert(*run);
+                excess_runs.insert(*run);
             }
         }
-        too_much
+        excess_runs
     }
 
-    /// Sends no start of a run in a data centre under evacuation, or on a worker that ends. Whether one that had no answer was carried out, also
-    /// by the order of an earlier leader, the next report tells: taken back unasked, work that goes on would be stopped, and a gang elsewhere
-    /// with it.
-    fn hold_back(&mut self, target: &mut Target, run: RunId) {
+    /// Withdraws a run that is known not to run, on a worker that takes no new runs: the worker is leaving, or its data centre is being
+    /// evacuated. If a start order had no answer, also one of an earlier leader, the next report tells whether it was carried out.
+    /// Withdrawing the run before that could stop work in progress, and with it the rest of a gang on other workers.
+    fn withdraw_if_not_running(&mut self, target: &mut Target, run: RunId) {
         let Some(watch) = target.runs.get(&run) else {
             return;
         };
-        let not_there = match watch.start {
+        let is_not_running = match watch.start {
             StartPhase::Unsent => true,
-            StartPhase::Unsure { retry_ms } => target.asked_ms >= retry_ms,
+            StartPhase::Unsure { retry_ms } => target.report_requested_ms >= retry_ms,
             StartPhase::InFlight | StartPhase::Confirmed { .. } => false,
         };
-        if not_there {
+        if is_not_running {
             self.withdraw(target, run);
         }
     }
 
-    /// Takes back a run whose start was refused though an earlier send of it may have been carried out, unless the worker reports that it runs: work that
-    /// goes on would be stopped, and a gang with it.
-    fn take_back_refused(&mut self, target: &mut Target, run: RunId) {
-        let refused_ms = target.runs.get(&run).and_then(|watch| watch.refused_ms);
-        if refused_ms.is_some_and(|refused_ms| target.asked_ms > refused_ms) {
+    /// Withdraws a run whose start was refused although an earlier send of it may have been carried out, once the worker's report shows
+    /// that it does not run. Withdrawing it earlier could stop work in progress, and with it a gang.
+    fn withdraw_refused(&mut self, target: &mut Target, run: RunId) {
+        let start_refused_ms = target
+            .runs
+            .get(&run)
+            .and_then(|watch| watch.start_refused_ms);
+        if start_refused_ms
+            .is_some_and(|start_refused_ms| target.report_requested_ms > start_refused_ms)
+        {
             self.withdraw(target, run);
         }
     }
 
-    /// Takes back a run whose start shall not be sent any more, for want of a permission or of room. Whether an earlier one was carried out
-    /// is settled by a stop; the plan finds another place, or asks for another permission, before it tries again.
+    /// Withdraws a run whose start must not be sent any more because a permission or capacity is missing. If a start order was sent before,
+    /// a stop settles whether it was carried out. The planner then finds another worker or asks for another permission.
     fn withdraw(&mut self, target: &mut Target, run: RunId) {
-        let unsent = target
+        let is_unsent = target
             .runs
             .get(&run)
             .is_some_and(|watch| watch.start == StartPhase::Unsent);
-        if unsent {
-            self.never_began(target, run);
+        if is_unsent {
+            self.record_not_started(target, run);
         } else if !target.is_failing() {
             if let Some(watch) = target.runs.get_mut(&run) {
                 watch.give_up = true;
             }
-            self.stop(target, run, true);
+            self.send_stop(target, run, true);
         }
     }
 
-    /// Settles a run that was never ordered.
-    fn never_began(&mut self, target: &mut Target, run: RunId) {
+    /// Ends a run that was never ordered.
+    fn record_not_started(&mut self, target: &mut Target, run: RunId) {
         if let Some(watch) = target.runs.get_mut(&run) {
-            watch.settled = true;
+            watch.recording_end = true;
         }
         self.ends.push(End {
             run,
@@ -353,7 +369,7 @@
         });
     }
 
-    fn pace(&mut self, target: &mut Target, run: RunId) {
+    fn send_pace(&mut self, target: &mut Target, run: RunId) {
         let now_ms = self.now_ms;
         let due = |watch: &&mut RunWatch| {
             matches!(watch.start, StartPhase::Confirmed { .. }) && watch.pace.is_due(now_ms)
@@ -363,17 +379,17 @@
         };
         watch.pace.note_sent();
         let percent = watch.pace.wanted_percent;
-        self.order(OrderBody::Pace { run, percent });
+        self.push_order(OrderBody::Pace { run, percent });
     }
 
-    fn stop(&mut self, target: &mut Target, run: RunId, recorded: bool) {
+    fn send_stop(&mut self, target: &mut Target, run: RunId, recorded: bool) {
         let now_ms = self.now_ms;
         let Some(watch) = target.runs.get_mut(&run) else {
             return;
         };
         if watch.start == StartPhase::Unsent {
             if recorded {
-                self.never_began(target, run);
+                self.record_not_started(target, run);
             }
             return;
         }
@@ -382,55 +398,60 @@
             StopPhase::InFlight => false,
             StopPhase::Retry { retry_ms } => now_ms >= retry_ms,
             StopPhase::Confirmed { at_ms } => {
-                now_ms >= at_ms + self.timing.stop_timeout_ms + STOP_AGAIN_MS
+                now_ms >= at_ms + self.timing.stop_timeout_ms + STOP_RESEND_MS
             }
         };
         if due {
             watch.stop = StopPhase::InFlight;
-            self.order(OrderBody::Stop { run });
+            self.push_order(OrderBody::Stop { run });
         }
     }
 
-    /// One waiting look at a time renews the lease, brings ends as they happen, and tells what is recorded. Workers without runs
-    /// need none.
-    fn look(&mut self, target: &mut Target) {
-        if target.looking || target.recording_to.is_some() || self.now_ms < target.next_look_ms {
+    /// Probes the worker, with one probe in flight at a time. A probe renews the lease, reports ends as they happen and acknowledges recorded
+    /// ends. A worker without runs is probed only if [`Target::must_be_probed`] asks for it.
+    fn probe(&mut self, target: &mut Target) {
+        if target.probe_in_flight
+            || target.recording_to.is_some()
+            || self.now_ms < target.next_probe_ms
+        {
             return;
         }
-        // A start on its way renews the lease itself; a look that overtook it would find nothing.
-        let first_starts = target
+        // A start in flight renews the lease itself, and a probe that overtook it would report nothing.
+        let only_starts_in_flight = target
             .runs
             .values()
             .all(|watch| watch.start == StartPhase::InFlight);
         let has_other_incarnation = self.workload.has_other_incarnation(&self.worker.info.id);
-        if first_starts && !target.must_be_asked() && !has_other_incarnation {
+        if only_starts_in_flight && !target.must_be_probed() && !has_other_incarnation {
             return;
         }
-        let unsure = target
+        let has_unsure_start = target
             .runs
             .values()
             .any(|watch| matches!(watch.start, StartPhase::Unsure { .. }));
-        let settled = target.runs.is_empty()
-            || unsure
+        let answer_at_once = target.runs.is_empty()
+            || has_unsure_start
             || target.is_failing()
             || target.carrier_lost
             || !target.is_verified();
-        let wait_ms = if settled {
+        let wait_ms = if answer_at_once {
             0
-        } else if pacing::is_shared(self.workload, self.worker) {
-            SHARED_LOOK_MS
+        } else if pacing::runs_services_beside_fill_tasks(self.workload, self.worker) {
+            SHARED_PROBE_WAIT_MS
         } else {
-            self.look_wait_ms.min(self.timing.lease_ms / LOOKS_IN_LEASE)
+            self.probe_wait_ms
+                .min(self.timing.lease_ms / PROBES_PER_LEASE)
         };
         let lease_until_ms = if target.runs.is_empty() || target.restart.is_some() {
             None
         } else {
             target.grant(self.now_ms, self.timing)
         };
-        target.looking = true;
-        target.checks_left = target.checks_left.saturating_sub(1);
-        // Acknowledges ends only to a worker whose last look was answered: a restarted worker would discard new ends that have the same numbers.
-        let may_acknowledge = target.is_behind()
+        target.probe_in_flight = true;
+        target.required_probes = target.required_probes.saturating_sub(1);
+        // Acknowledges ends only to a worker that answered its last probe: a restarted worker would discard new ends that have the same
+        // numbers.
+        let may_acknowledge = target.has_unacknowledged_ends()
             && !target.is_failing()
             && target.is_verified()
             && !has_other_incarnation;
@@ -439,7 +460,7 @@
         } else {
             0
         };
-        self.order(OrderBody::Look {
+        self.push_order(OrderBody::Look {
             lease_until_ms,
             recorded_to,
             wait_ms,
