--- a/crates/bh-control/src/core/orders.rs
+++ b/crates/bh-control/src/core/orders.rs
@@ -70,7 +70,7 @@
                 note_repeated(&core, &order, response.status());
             }
             // A look waits for an end; how long says nothing of the worker.
-            if !matches!(order.body, OrderBody::Look { .. }) {
+            if !matches!(order.body, OrderBody::Probe { .. }) {
                 let took_ms = core.clock.now_ms().saturating_sub(began_ms);
                 core.metrics.time_ms("order", took_ms);
             }
@@ -159,7 +159,7 @@
             .note_ends(now_ms, ends, &workload, &leadership.dispatcher);
     }
     let listed_to = match order.body {
-        OrderBody::Look { .. } => leadership.dispatcher.recording_to(&order.to.worker),
+        OrderBody::Probe { .. } => leadership.dispatcher.recording_to(&order.to.worker),
         _ => None,
     };
     let origin = Origin {
--- a/crates/bh-control/src/core/run_ends.rs
+++ b/crates/bh-control/src/core/run_ends.rs
@@ -62,7 +62,7 @@
         Answer::OtherIncarnation => Learnt::OtherIncarnation,
         Answer::Restarted { .. } => Learnt::Restarted,
         Answer::Denied { .. } => Learnt::Refused,
-        _ if matches!(order.body, OrderBody::Look { .. }) && end.kind != EndKind::NotStarted => {
+        _ if matches!(order.body, OrderBody::Probe { .. }) && end.kind != EndKind::NotStarted => {
             Learnt::Listed
         }
         _ => Learnt::NotListed,
--- a/crates/bh-testkit/src/model_worker.rs
+++ b/crates/bh-testkit/src/model_worker.rs
@@ -232,7 +232,7 @@
             }
             // What runs here takes the same time at any pace.
             OrderBody::Pace { .. } => (done, None),
-            OrderBody::Look {
+            OrderBody::Probe {
                 lease_until_ms,
                 recorded_to,
                 ..
--- a/crates/bh-workload/benches/cost/main.rs
+++ b/crates/bh-workload/benches/cost/main.rs
@@ -133,7 +133,7 @@
     });
     let looks: Vec<_> = orders
         .iter()
-        .filter(|order| matches!(order.body, OrderBody::Look { .. }))
+        .filter(|order| matches!(order.body, OrderBody::Probe { .. }))
         .collect();
     let reports: Vec<Report> = looks
         .iter()
--- a/crates/bh-workload/src/dispatch/dispatcher.rs
+++ b/crates/bh-workload/src/dispatch/dispatcher.rs
@@ -434,7 +434,7 @@
                 match &order.body {
                     OrderBody::Start { run, .. } => target.note_not_started(*run),
                     // The worker is probed again in case the command is not committed.
-                    OrderBody::Look { .. } => {
+                    OrderBody::Probe { .. } => {
                         target.probe_in_flight = false;
                         target.next_probe_ms = now_ms + SILENT_PROBE_DELAY_MS;
                     }
@@ -446,7 +446,7 @@
         }
         if target.has_ended(id, workload) {
             // The worker is probed again in case the command is not committed.
-            target.probe_in_flight &= !matches!(order.body, OrderBody::Look { .. });
+            target.probe_in_flight &= !matches!(order.body, OrderBody::Probe { .. });
             target.next_probe_ms = now_ms + SILENT_PROBE_DELAY_MS;
             return target
                 .note_gone(now_ms)
@@ -478,7 +478,7 @@
                 }
                 None
             }
-            OrderBody::Look { recorded_to, .. } => {
+            OrderBody::Probe { recorded_to, .. } => {
                 target.probe_in_flight = false;
                 match answer {
                     Answer::Done {
--- a/crates/bh-workload/src/dispatch/order.rs
+++ b/crates/bh-workload/src/dispatch/order.rs
@@ -11,7 +11,7 @@
 /// on stops and gang starts.
 pub(super) const RETRY_MS: u64 = 300;
 
-/// Wait for an order's answer in milliseconds, beside the time a look is asked to wait. A worker answers in a few milliseconds, and a lost
+/// Wait for an order's answer in milliseconds, in addition to the wait that a probe asks for. A worker answers in a few milliseconds, and a lost
 /// packet is sent again after some two hundred.
 const ANSWER_MS: u64 = 500;
 
@@ -49,7 +49,7 @@
     /// Longest time to wait for the answer, in milliseconds. Whoever has not answered by then is taken to be silent, and gets no new work.
     pub fn answer_within_ms(&self) -> u64 {
         match &self.body {
-            OrderBody::Look { wait_ms, .. } => ANSWER_MS + wait_ms,
+            OrderBody::Probe { wait_ms, .. } => ANSWER_MS + wait_ms,
             OrderBody::Start { .. } | OrderBody::Stop { .. } | OrderBody::Pace { .. } => ANSWER_MS,
         }
     }
@@ -84,7 +84,7 @@
         percent: u64,
     },
     /// Renew the lease and report.
-    Look {
+    Probe {
         /// End of the lease on the worker's clock, in milliseconds; `None` leaves it as it is.
         lease_until_ms: Option<u64>,
         /// Ends up to this number are recorded and may be forgotten.
@@ -100,7 +100,7 @@
             OrderBody::Start { run, .. } => write!(f, "start {run}"),
             OrderBody::Stop { run } => write!(f, "stop {run}"),
             OrderBody::Pace { run, percent } => write!(f, "pace {run}, {percent} percent"),
-            OrderBody::Look { wait_ms, .. } => write!(f, "look, waiting {wait_ms} ms"),
+            OrderBody::Probe { wait_ms, .. } => write!(f, "probe, waiting {wait_ms} ms"),
         }
     }
 }
@@ -127,7 +127,7 @@
 /// What came back for an order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// Done. The report is there for a look only.
+    /// Done. The report is there for a probe only.
     Done {
         /// The worker's clock in milliseconds.
         clock_ms: Option<u64>,
@@ -143,7 +143,7 @@
     },
     /// Another incarnation lives at the address.
     OtherIncarnation,
-    /// The order was a look, and another incarnation with the same worker id answered it.
+    /// The order was a probe, and another incarnation with the same worker id answered it.
     Restarted {
         /// Start time of that incarnation, in milliseconds since 1970 by the worker's clock.
         started_ms: u64,
--- a/crates/bh-workload/src/dispatch/worker_reconciler.rs
+++ b/crates/bh-workload/src/dispatch/worker_reconciler.rs
@@ -460,7 +460,7 @@
         } else {
             0
         };
-        self.push_order(OrderBody::Look {
+        self.push_order(OrderBody::Probe {
             lease_until_ms,
             recorded_to,
             wait_ms,
--- a/crates/bh-workload/tests/acknowledged_ends.rs
+++ b/crates/bh-workload/tests/acknowledged_ends.rs
@@ -17,7 +17,7 @@
 const NUMBER: u64 = 1;
 
 fn is_look(order: &Order) -> bool {
-    matches!(order.body, OrderBody::Look { .. })
+    matches!(order.body, OrderBody::Probe { .. })
 }
 
 fn take(orders: &mut Vec<Order>, wanted: impl Fn(&Order) -> bool) -> Order {
@@ -28,7 +28,7 @@
 /// Up to which end the worker is told that all are recorded, if it is told now.
 fn told(site: &mut Site) -> Option<u64> {
     site.orders().iter().find_map(|order| match order.body {
-        OrderBody::Look { recorded_to, .. } => Some(recorded_to),
+        OrderBody::Probe { recorded_to, .. } => Some(recorded_to),
         _ => None,
     })
 }
--- a/crates/bh-workload/tests/change_of_leader.rs
+++ b/crates/bh-workload/tests/change_of_leader.rs
@@ -34,7 +34,7 @@
     for order in &orders {
         assert!(matches!(
             order.body,
-            OrderBody::Look {
+            OrderBody::Probe {
                 lease_until_ms: None,
                 wait_ms: 0,
                 ..
--- a/crates/bh-workload/tests/delays/leader.rs
+++ b/crates/bh-workload/tests/delays/leader.rs
@@ -298,7 +298,7 @@
                 .note_ends(now_ms, ends, record, &leader.dispatcher);
         }
         if let Some(command) = command {
-            let is_look = matches!(order.body, OrderBody::Look { .. });
+            let is_look = matches!(order.body, OrderBody::Probe { .. });
             let listed_to = leader.dispatcher.recording_to(&order.to.worker);
             let listed_to = listed_to.filter(|_| is_look);
             self.propose(&leader, command, listed_to);
--- a/crates/bh-workload/tests/delays/network.rs
+++ b/crates/bh-workload/tests/delays/network.rs
@@ -186,7 +186,7 @@
             )
         });
         if let (
-            OrderBody::Look { wait_ms, .. },
+            OrderBody::Probe { wait_ms, .. },
             Answer::Done {
                 report: Some(report),
                 ..
@@ -220,7 +220,7 @@
         if self.workers[index].runs.contains_key(run) {
             return self.carry_out(index, order);
         }
-        let body = OrderBody::Look {
+        let body = OrderBody::Probe {
             lease_until_ms: Some(*lease_until_ms),
             recorded_to: 0,
             wait_ms: 0,
@@ -267,7 +267,8 @@
             }
             self.note_begin(index, run);
         }
-        if let (OrderBody::Look { recorded_to, .. }, Answer::Done { .. }) = (&order.body, &answer) {
+        if let (OrderBody::Probe { recorded_to, .. }, Answer::Done { .. }) = (&order.body, &answer)
+        {
             self.note_cursor(index, *recorded_to);
         }
         match answer {
--- a/crates/bh-workload/tests/evacuation.rs
+++ b/crates/bh-workload/tests/evacuation.rs
@@ -166,7 +166,7 @@
         site.advance(200);
         for order in site.orders() {
             match order.body {
-                OrderBody::Look { lease_until_ms, .. } => {
+                OrderBody::Probe { lease_until_ms, .. } => {
                     assert!(lease_until_ms.is_some());
                     renewed.insert(order.to.worker.clone());
                 }
@@ -255,7 +255,7 @@
         site.advance(RETRY_MS);
         for order in site.orders() {
             let repeated = matches!(order.body, OrderBody::Start { .. });
-            let looks = matches!(order.body, OrderBody::Look { .. });
+            let looks = matches!(order.body, OrderBody::Probe { .. });
             assert!(looks || repeated && !site.is_far(&order.to.worker));
             let answer = site.looked(&order.to.worker, &[]);
             site.dispatcher
--- a/crates/bh-workload/tests/fuzz_orders.rs
+++ b/crates/bh-workload/tests/fuzz_orders.rs
@@ -355,7 +355,7 @@
 
     /// Tasks whose ends as done this order acknowledges.
     fn done_noted_by(&mut self, index: usize, order: &OrderBody) -> Vec<TaskId> {
-        let OrderBody::Look { recorded_to, .. } = order else {
+        let OrderBody::Probe { recorded_to, .. } = order else {
             return Vec::new();
         };
         self.workers[index].pass(self.site.now_ms);
--- a/crates/bh-workload/tests/lasting.rs
+++ b/crates/bh-workload/tests/lasting.rs
@@ -26,7 +26,7 @@
     site.advance(100);
     let (orders, _) = site.dispatcher.orders(site.now_ms, &site.workload, true);
     for order in orders {
-        let OrderBody::Look { .. } = order.body else {
+        let OrderBody::Probe { .. } = order.body else {
             continue;
         };
         let runs = site
--- a/crates/bh-workload/tests/lost_carriers.rs
+++ b/crates/bh-workload/tests/lost_carriers.rs
@@ -29,13 +29,13 @@
     let mut orders = orders(site);
     assert_eq!(orders.len(), 1, "{orders:?}");
     let order = orders.remove(0);
-    assert!(matches!(order.body, OrderBody::Look { .. }));
+    assert!(matches!(order.body, OrderBody::Probe { .. }));
     order
 }
 
 fn lease_of(order: &Order) -> Option<u64> {
     match order.body {
-        OrderBody::Look { lease_until_ms, .. } => lease_until_ms,
+        OrderBody::Probe { lease_until_ms, .. } => lease_until_ms,
         _ => None,
     }
 }
--- a/crates/bh-workload/tests/pacing.rs
+++ b/crates/bh-workload/tests/pacing.rs
@@ -80,7 +80,7 @@
                 self.pace.insert(*run, *percent);
                 None
             }
-            OrderBody::Look { wait_ms, .. } => {
+            OrderBody::Probe { wait_ms, .. } => {
                 assert!(*wait_ms <= TURN_MS);
                 let runs = self.site.open_runs();
                 let running = runs.iter().map(|(_, run)| Running {
--- a/crates/bh-workload/tests/records_in_doubt.rs
+++ b/crates/bh-workload/tests/records_in_doubt.rs
@@ -15,7 +15,7 @@
 const RETRY_MS: u64 = 400;
 
 fn is_look(order: &Order) -> bool {
-    matches!(order.body, OrderBody::Look { .. })
+    matches!(order.body, OrderBody::Probe { .. })
 }
 
 fn starts(orders: &[Order]) -> usize {
--- a/crates/bh-workload/tests/restarted_workers.rs
+++ b/crates/bh-workload/tests/restarted_workers.rs
@@ -103,7 +103,7 @@
 }
 
 fn is_look(order: &Order) -> bool {
-    matches!(order.body, OrderBody::Look { .. })
+    matches!(order.body, OrderBody::Probe { .. })
 }
 
 /// Answer of the later incarnation: reports `running` to looks and carries out other orders.
@@ -216,7 +216,7 @@
     let job = begin_task(&mut site);
     let cursor = |orders: &[Order]| {
         let looks = orders.iter().filter_map(|order| match order.body {
-            OrderBody::Look { recorded_to, .. } => Some(recorded_to),
+            OrderBody::Probe { recorded_to, .. } => Some(recorded_to),
             _ => None,
         });
         looks.max()
--- a/crates/bh-workload/tests/shrinking_workers.rs
+++ b/crates/bh-workload/tests/shrinking_workers.rs
@@ -22,8 +22,8 @@
                 started.push(*run);
                 Answer::Lost
             }
-            OrderBody::Look { .. } if deaf => Answer::Lost,
-            OrderBody::Look { .. } => site.looked(&order.to.worker, lost),
+            OrderBody::Probe { .. } if deaf => Answer::Lost,
+            OrderBody::Probe { .. } => site.looked(&order.to.worker, lost),
             OrderBody::Stop { .. } | OrderBody::Pace { .. } => site.done(),
         };
         site.dispatcher
--- a/crates/bh-workload/tests/silent_workers.rs
+++ b/crates/bh-workload/tests/silent_workers.rs
@@ -22,7 +22,7 @@
     let (orders, _) = site.dispatcher.orders(site.now_ms, &site.workload, true);
     let look = orders
         .iter()
-        .find(|order| matches!(order.body, OrderBody::Look { .. }) && order.to.worker == silent);
+        .find(|order| matches!(order.body, OrderBody::Probe { .. }) && order.to.worker == silent);
     let look = look.expect("a worker with runs is looked at");
     let within_ms = look.answer_within_ms();
     assert!(within_ms <= KNOWN_WITHIN_MS, "known after {within_ms} ms");
@@ -50,7 +50,7 @@
     site.send_starts();
     let (orders, _) = site.dispatcher.orders(site.now_ms, &site.workload, true);
     let waits = orders.iter().filter_map(|order| match order.body {
-        OrderBody::Look { wait_ms, .. } => Some(wait_ms),
+        OrderBody::Probe { wait_ms, .. } => Some(wait_ms),
         _ => None,
     });
     let per_s: Vec<u64> = waits.map(|wait_ms| 1_000_000 / wait_ms).collect();
--- a/crates/bh-workload/tests/slow_runs.rs
+++ b/crates/bh-workload/tests/slow_runs.rs
@@ -57,7 +57,7 @@
         site.advance(USUAL_MS);
         let (orders, _) = site.dispatcher.orders(site.now_ms, &site.workload, true);
         for order in orders {
-            let looks = matches!(order.body, OrderBody::Look { .. });
+            let looks = matches!(order.body, OrderBody::Probe { .. });
             let running = Running {
                 run,
                 checkpoint: None,
--- a/crates/bh-workload/tests/standing_tasks.rs
+++ b/crates/bh-workload/tests/standing_tasks.rs
@@ -139,7 +139,7 @@
             }
             OrderBody::Stop { run } => worker.end(*run, EndKind::Stopped),
             OrderBody::Pace { .. } => {}
-            OrderBody::Look { recorded_to, .. } => {
+            OrderBody::Probe { recorded_to, .. } => {
                 worker.ended.retain(|ended| ended.number > *recorded_to);
                 let running = worker.running.iter().map(|run| Running {
                     run: *run,
