--- a/crates/bh-control/src/core/inherited.rs
+++ b/crates/bh-control/src/core/inherited.rs
@@ -2,7 +2,7 @@
 
 use bh_protocol::Incarnation;
 use bh_workload::dispatch::Dispatcher;
-use bh_workload::dispatch::RunWatch;
+use bh_workload::dispatch::RunState;
 use bh_workload::job::RunId;
 use bh_workload::state::Workload;
 use std::collections::BTreeSet;
@@ -42,10 +42,10 @@
             let is_recorded = workload
                 .worker(worker)
                 .is_some_and(|worker| worker.runs.contains_key(run));
-            let watch = dispatcher
+            let run_state = dispatcher
                 .view(worker)
                 .and_then(|target| target.runs.get(run));
-            is_recorded && !watch.is_some_and(RunWatch::is_confirmed)
+            is_recorded && !run_state.is_some_and(RunState::is_confirmed)
         });
         self.runs.is_empty().then_some(last)
     }
--- a/crates/bh-workload/src/dispatch/answers.rs
+++ b/crates/bh-workload/src/dispatch/answers.rs
@@ -4,7 +4,7 @@
 use super::Denial;
 use super::Order;
 use super::Report;
-use super::RunWatch;
+use super::RunState;
 use super::StartPhase;
 use super::StopPhase;
 use super::Target;
@@ -31,7 +31,7 @@
     worker: &Incarnation,
     answer: &Answer,
 ) -> Option<Command> {
-    let watch = target.runs.get_mut(&run)?;
+    let run_state = target.runs.get_mut(&run)?;
     let not_started = End {
         run,
         worker: worker.clone(),
@@ -40,12 +40,12 @@
     };
     match answer {
         Answer::Done { .. } => {
-            watch.start = StartPhase::Confirmed { at_ms: now_ms };
+            run_state.start = StartPhase::Confirmed { at_ms: now_ms };
             None
         }
         // Nothing was sent, so the run ends now: its gang or its next attempt need not wait until the lease expires.
-        Answer::NotListening if !watch.may_have_started() => {
-            watch.recording_end = true;
+        Answer::NotListening if !run_state.may_have_started() => {
+            run_state.recording_end = true;
             ends_command(vec![not_started])
         }
         // The worker has had the run: its end is listed, or the worker refuses it for good. The next probe tells which.
@@ -53,7 +53,7 @@
             denial: Denial::Outdated,
             ..
         } => {
-            watch.start = StartPhase::Confirmed { at_ms: now_ms };
+            run_state.start = StartPhase::Confirmed { at_ms: now_ms };
             None
         }
         Answer::Denied {
@@ -65,20 +65,20 @@
         | Answer::CarrierLost
         | Answer::OtherIncarnation
         | Answer::Restarted { .. } => {
-            watch.start = StartPhase::Unsure {
+            run_state.start = StartPhase::Unsure {
                 retry_ms: now_ms + RETRY_MS,
             };
-            watch.was_unsure = true;
+            run_state.was_unsure = true;
             None
         }
         Answer::Denied { denial, .. } => {
-            watch.was_unsure = watch.may_have_started();
-            let was_unsure = watch.was_unsure;
-            watch.start = StartPhase::Unsure {
+            run_state.was_unsure = run_state.may_have_started();
+            let was_unsure = run_state.was_unsure;
+            run_state.start = StartPhase::Unsure {
                 retry_ms: now_ms + RETRY_MS,
             };
-            watch.give_up = !was_unsure;
-            watch.start_refused_ms = was_unsure.then_some(now_ms);
+            run_state.give_up = !was_unsure;
+            run_state.start_refused_ms = was_unsure.then_some(now_ms);
             if *denial == Denial::Unhealthy || *denial == Denial::NoRoom {
                 target.set_aside(now_ms);
             }
@@ -86,8 +86,8 @@
             if was_unsure {
                 return None;
             }
-            if let Some(watch) = target.runs.get_mut(&run) {
-                watch.recording_end = true;
+            if let Some(run_state) = target.runs.get_mut(&run) {
+                run_state.recording_end = true;
             }
             ends_command(vec![not_started])
         }
@@ -103,24 +103,24 @@
     report: &Report,
 ) -> Option<Command> {
     for running in &report.running {
-        if let Some(watch) = target.runs.get_mut(&running.run) {
-            if !matches!(watch.start, StartPhase::Confirmed { .. }) {
-                watch.start = StartPhase::Confirmed { at_ms: now_ms };
+        if let Some(run_state) = target.runs.get_mut(&running.run) {
+            if !matches!(run_state.start, StartPhase::Confirmed { .. }) {
+                run_state.start = StartPhase::Confirmed { at_ms: now_ms };
             }
-            if running.percent != watch.percent {
-                watch.percent = running.percent;
-                watch.progress_ms = now_ms;
+            if running.percent != run_state.percent {
+                run_state.percent = running.percent;
+                run_state.progress_ms = now_ms;
             }
-            watch.last_reported_ms = Some(now_ms);
-            watch.load = running.load;
+            run_state.last_reported_ms = Some(now_ms);
+            run_state.load = running.load;
             if running.checkpoint.is_some() {
-                watch.checkpoint = running.checkpoint.clone();
+                run_state.checkpoint = running.checkpoint.clone();
             }
         } else if !worker.runs.contains_key(&running.run) {
             // The run is not recorded: a delayed copy of its start order arrived after the run had ended. It is stopped like any other run.
-            let mut watch = RunWatch::new(StartPhase::Confirmed { at_ms: now_ms }, now_ms);
-            watch.give_up = true;
-            target.runs.insert(running.run, watch);
+            let mut run_state = RunState::new(StartPhase::Confirmed { at_ms: now_ms }, now_ms);
+            run_state.give_up = true;
+            target.runs.insert(running.run, run_state);
         }
     }
     pacing::adjust_fill_pace(now_ms, target, worker, workload);
@@ -137,7 +137,7 @@
         let last_checkpoint = target
             .runs
             .get(&ended.run)
-            .and_then(|watch| watch.checkpoint.clone());
+            .and_then(|run_state| run_state.checkpoint.clone());
         ends.push(End {
             run: ended.run,
             worker: order.to.worker.clone(),
@@ -202,18 +202,18 @@
         .runs
         .iter()
         .filter(|(run, _)| worker.runs.contains_key(run) && !listed(run))
-        .filter(|(_, watch)| {
+        .filter(|(_, run_state)| {
             let stopped =
-                matches!(watch.stop, StopPhase::Confirmed { at_ms } if at_ms < order.sent_ms);
+                matches!(run_state.stop, StopPhase::Confirmed { at_ms } if at_ms < order.sent_ms);
             let started =
-                matches!(watch.start, StartPhase::Confirmed { at_ms } if at_ms < order.sent_ms);
+                matches!(run_state.start, StartPhase::Confirmed { at_ms } if at_ms < order.sent_ms);
             stopped || started
         })
-        .map(|(run, watch)| End {
+        .map(|(run, run_state)| End {
             run: *run,
             worker: order.to.worker.clone(),
             kind: EndKind::NotStarted,
-            checkpoint: watch.checkpoint.clone(),
+            checkpoint: run_state.checkpoint.clone(),
         })
         .collect()
 }
--- a/crates/bh-workload/src/dispatch/crash.rs
+++ b/crates/bh-workload/src/dispatch/crash.rs
@@ -1,6 +1,6 @@
 //! Which runs may have crashed a worker.
 
-use super::RunWatch;
+use super::RunState;
 use super::StartPhase;
 use super::Target;
 use crate::job::RunId;
@@ -35,7 +35,7 @@
     }
 }
 
-impl RunWatch {
+impl RunState {
     /// How long the run had been at work when its worker last reported it, in milliseconds.
     pub fn at_work_ms(&self) -> u64 {
         match (self.start, self.last_reported_ms) {
@@ -106,13 +106,13 @@
     let runs = || target.runs.iter().chain(lapsed());
     let alone = |run: &RunId| {
         runs()
-            .filter(|(_, watch)| watch.has_just_begun())
+            .filter(|(_, run_state)| run_state.has_just_begun())
             .all(|(other, _)| are_together(workload, run, other))
     };
-    let evidence = |run: &RunId, watch: &RunWatch| {
-        if !watch.is_confirmed() || !target.ended_abruptly() {
+    let evidence = |run: &RunId, run_state: &RunState| {
+        if !run_state.is_confirmed() || !target.ended_abruptly() {
             Evidence::Possible
-        } else if !watch.began_since(since_ms) {
+        } else if !run_state.began_since(since_ms) {
             Evidence::Present
         } else if alone(run) {
             Evidence::Alone
@@ -121,12 +121,12 @@
         }
     };
     let mut suspects: Vec<Suspect> = runs()
-        .filter(|(_, watch)| watch.start != StartPhase::Unsent)
-        .filter(|(run, watch)| !watch.was_sent_after_crash(now_ms, run.attempt))
-        .filter(|(_, watch)| watch.at_work_ms() < OUTLASTED_MS)
-        .map(|(run, watch)| Suspect {
+        .filter(|(_, run_state)| run_state.start != StartPhase::Unsent)
+        .filter(|(run, run_state)| !run_state.was_sent_after_crash(now_ms, run.attempt))
+        .filter(|(_, run_state)| run_state.at_work_ms() < OUTLASTED_MS)
+        .map(|(run, run_state)| Suspect {
             run: *run,
-            evidence: evidence(run, watch),
+            evidence: evidence(run, run_state),
         })
         .collect();
     let cause_is_known = suspects.iter().any(Suspect::had_just_begun);
--- a/crates/bh-workload/src/dispatch/departure.rs
+++ b/crates/bh-workload/src/dispatch/departure.rs
@@ -57,7 +57,7 @@
             checkpoint: target
                 .runs
                 .get(run)
-                .and_then(|watch| watch.checkpoint.clone()),
+                .and_then(|run_state| run_state.checkpoint.clone()),
         });
     Command::Ends {
         ends: ends.collect(),
--- a/crates/bh-workload/src/dispatch/dispatcher.rs
+++ b/crates/bh-workload/src/dispatch/dispatcher.rs
@@ -8,7 +8,7 @@
 use super::OrderBody;
 use super::Permissions;
 use super::RecordOutcome;
-use super::RunWatch;
+use super::RunState;
 use super::StartPhase;
 use super::StopPhase;
 use super::Target;
@@ -94,7 +94,7 @@
                 let start = StartPhase::Unsure {
                     retry_ms: now_ms + RETRY_MS,
                 };
-                target.runs.insert(*run, RunWatch::new(start, now_ms));
+                target.runs.insert(*run, RunState::new(start, now_ms));
             }
         }
         dispatcher
@@ -232,7 +232,7 @@
                 target
                     .runs
                     .entry(*run)
-                    .or_insert_with(|| RunWatch::new(StartPhase::Unsent, now_ms));
+                    .or_insert_with(|| RunState::new(StartPhase::Unsent, now_ms));
             }
         }
     }
@@ -267,8 +267,8 @@
     /// Requests the end of a run that the record still wants.
     pub fn give_up(&mut self, worker: &Incarnation, run: RunId) {
         let target = self.target_mut(worker);
-        if let Some(watch) = target.runs.get_mut(&run) {
-            watch.give_up = true;
+        if let Some(run_state) = target.runs.get_mut(&run) {
+            run_state.give_up = true;
         }
     }
 
@@ -325,8 +325,8 @@
         }
         // A run whose end may still be committed is not touched: if it were started again, it would run beside the next run of its task.
         if outcome == RecordOutcome::NotRecorded {
-            for watch in target.runs.values_mut() {
-                watch.recording_end = false;
+            for run_state in target.runs.values_mut() {
+                run_state.recording_end = false;
             }
             target.presumed_lost_expiring.clear();
         }
@@ -398,8 +398,8 @@
             return;
         };
         let target = self.targets.get_mut(&order.to.worker);
-        if let Some(watch) = target.and_then(|target| target.runs.get_mut(run)) {
-            watch.was_repeated = true;
+        if let Some(run_state) = target.and_then(|target| target.runs.get_mut(run)) {
+            run_state.was_repeated = true;
         }
     }
 
@@ -461,8 +461,8 @@
                 note_start(now_ms, target, *run, id, answer)
             }
             OrderBody::Stop { run } => {
-                if let Some(watch) = target.runs.get_mut(run) {
-                    watch.stop = match answer {
+                if let Some(run_state) = target.runs.get_mut(run) {
+                    run_state.stop = match answer {
                         Answer::Done { .. } => StopPhase::Confirmed { at_ms: now_ms },
                         _ => StopPhase::Retry {
                             retry_ms: now_ms + RETRY_MS,
@@ -472,9 +472,9 @@
                 None
             }
             OrderBody::Pace { run, percent } => {
-                if let Some(watch) = target.runs.get_mut(run) {
+                if let Some(run_state) = target.runs.get_mut(run) {
                     let done = matches!(answer, Answer::Done { .. });
-                    watch.pace.note_answer(now_ms, *percent, done);
+                    run_state.pace.note_answer(now_ms, *percent, done);
                 }
                 None
             }
--- a/crates/bh-workload/src/dispatch/fleet_counts.rs
+++ b/crates/bh-workload/src/dispatch/fleet_counts.rs
@@ -1,7 +1,7 @@
 //! Counts of workers and recorded runs by condition, as known to the leader.
 
 use super::Dispatcher;
-use super::RunWatch;
+use super::RunState;
 use super::Target;
 use crate::state::Workload;
 
@@ -40,12 +40,14 @@
             counts.workers_set_aside += usize::from(now_ms < target.set_aside_until_ms);
             counts.workers_silent += usize::from(target.is_failing());
             for run in worker.runs.keys() {
-                let watch = target.runs.get(run);
-                counts.runs_unconfirmed += usize::from(!watch.is_some_and(RunWatch::is_confirmed));
+                let run_state = target.runs.get(run);
+                counts.runs_unconfirmed +=
+                    usize::from(!run_state.is_some_and(RunState::is_confirmed));
                 counts.runs_unreported +=
-                    usize::from(watch.is_some_and(|w| is_unreported(target, w)));
+                    usize::from(run_state.is_some_and(|w| is_unreported(target, w)));
                 counts.runs_on_silent_workers += usize::from(target.is_failing());
-                let is_stopping = !workload.wants(*run) || watch.is_some_and(|watch| watch.give_up);
+                let is_stopping =
+                    !workload.wants(*run) || run_state.is_some_and(|run_state| run_state.give_up);
                 counts.runs_stopping += usize::from(is_stopping);
             }
         }
@@ -54,10 +56,10 @@
 }
 
 /// Whether the worker answers and its latest report, requested after the run's start was confirmed, does not list the run as running.
-pub(super) fn is_unreported(target: &Target, watch: &RunWatch) -> bool {
+pub(super) fn is_unreported(target: &Target, run_state: &RunState) -> bool {
     !target.is_failing()
-        && watch
+        && run_state
             .confirmed_ms()
             .is_some_and(|at_ms| at_ms < target.report_requested_ms)
-        && watch.last_reported_ms != Some(target.reported_ms)
+        && run_state.last_reported_ms != Some(target.reported_ms)
 }
--- a/crates/bh-workload/src/dispatch/pacing.rs
+++ b/crates/bh-workload/src/dispatch/pacing.rs
@@ -41,13 +41,15 @@
     let max_tail_percent = target
         .runs
         .iter()
-        .filter_map(|(run, watch)| Some(watch.load * 100 / tail_target_ms(workload, *run)?.max(1)))
+        .filter_map(|(run, run_state)| {
+            Some(run_state.load * 100 / tail_target_ms(workload, *run)?.max(1))
+        })
         .max();
     target.filling.adjust(now_ms, max_tail_percent);
     let percent = target.filling.percent();
-    for (run, watch) in &mut target.runs {
+    for (run, run_state) in &mut target.runs {
         if is_fill_task(workload, *run) {
-            watch.pace.wanted_percent = percent;
+            run_state.pace.wanted_percent = percent;
         }
     }
 }
--- a/crates/bh-workload/src/dispatch/restart.rs
+++ b/crates/bh-workload/src/dispatch/restart.rs
@@ -2,7 +2,7 @@
 
 use super::Order;
 use super::Report;
-use super::RunWatch;
+use super::RunState;
 use super::StopPhase;
 use super::Target;
 use super::crash::suspects;
@@ -55,8 +55,8 @@
             Some(restart) => restart.suspects,
             None => suspects(now_ms, target, workload, is_leaving(id, workload)),
         };
-        for watch in target.runs.values_mut() {
-            watch.stop = StopPhase::None;
+        for run_state in target.runs.values_mut() {
+            run_state.stop = StopPhase::None;
         }
         target.restart = Some(Restart {
             started_ms,
@@ -89,11 +89,11 @@
         return Some(Command::ends(ends));
     }
     let running: BTreeSet<RunId> = running.collect();
-    let is_over = |(run, watch): (&RunId, &RunWatch)| {
+    let is_over = |(run, run_state): (&RunId, &RunState)| {
         let is_stopped =
-            matches!(watch.stop, StopPhase::Confirmed { at_ms } if at_ms < order.sent_ms);
+            matches!(run_state.stop, StopPhase::Confirmed { at_ms } if at_ms < order.sent_ms);
         !is_recorded(run)
-            || !watch.may_reach_later_incarnation()
+            || !run_state.may_reach_later_incarnation()
             || is_stopped && !running.contains(run)
     };
     let all_are_over = target.runs.iter().all(is_over);
--- a/crates/bh-workload/src/dispatch/run_phase.rs
+++ b/crates/bh-workload/src/dispatch/run_phase.rs
@@ -40,33 +40,33 @@
         (worker, run): (&Incarnation, RunId),
     ) -> (RunPhase, u64) {
         let target = dispatcher.view(worker);
-        let watch = target.and_then(|target| target.runs.get(&run));
-        let (Some(target), Some(watch)) = (target, watch) else {
+        let run_state = target.and_then(|target| target.runs.get(&run));
+        let (Some(target), Some(run_state)) = (target, run_state) else {
             return (RunPhase::Unsent, now_ms);
         };
-        let listed = watch.last_reported_ms == Some(target.reported_ms);
+        let listed = run_state.last_reported_ms == Some(target.reported_ms);
         let reported_since = |at_ms: u64| target.reported_ms >= at_ms;
-        let confirmed_ms = watch.confirmed_ms();
+        let confirmed_ms = run_state.confirmed_ms();
         let records_end =
             target.recording_to.is_some() && !listed && confirmed_ms.is_some_and(reported_since);
-        if watch.recording_end || records_end {
-            return (RunPhase::Ending, target.reported_ms.max(watch.since_ms));
+        if run_state.recording_end || records_end {
+            return (RunPhase::Ending, target.reported_ms.max(run_state.since_ms));
         }
-        let ordered_ms = watch.first_sent_ms.unwrap_or(watch.since_ms);
-        if !workload.wants(run) || watch.give_up {
+        let ordered_ms = run_state.first_sent_ms.unwrap_or(run_state.since_ms);
+        if !workload.wants(run) || run_state.give_up {
             return (RunPhase::Stopping, ordered_ms);
         }
-        match watch.start {
-            StartPhase::Unsent => (RunPhase::Unsent, watch.since_ms),
+        match run_state.start {
+            StartPhase::Unsent => (RunPhase::Unsent, run_state.since_ms),
             StartPhase::InFlight => (RunPhase::InFlight, ordered_ms),
             StartPhase::Unsure { .. } => (RunPhase::Unsure, ordered_ms),
             StartPhase::Confirmed { at_ms } => {
                 if let Some(since_ms) = target.failing_since_ms {
                     (RunPhase::Silent, since_ms)
-                } else if is_unreported(target, watch) {
+                } else if is_unreported(target, run_state) {
                     (
                         RunPhase::Unreported,
-                        watch.last_reported_ms.unwrap_or(at_ms),
+                        run_state.last_reported_ms.unwrap_or(at_ms),
                     )
                 } else {
                     (RunPhase::Running, at_ms)
--- a/crates/bh-workload/src/dispatch/run_watch.rs
+++ b/crates/bh-workload/src/dispatch/run_state.rs
@@ -43,7 +43,7 @@
 
 /// The leader's view of one recorded run.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RunWatch {
+pub struct RunState {
     /// The start order.
     pub start: StartPhase,
     /// The stop order.
@@ -76,7 +76,7 @@
     pub checkpoint: Option<Arc<str>>,
 }
 
-impl RunWatch {
+impl RunState {
     /// A run recorded by this leader (`Unsent`) or found in the record (`Unsure`).
     pub fn new(start: StartPhase, now_ms: u64) -> Self {
         Self {
--- a/crates/bh-workload/src/dispatch/target.rs
+++ b/crates/bh-workload/src/dispatch/target.rs
@@ -3,7 +3,7 @@
 use super::FillPace;
 use super::Order;
 use super::Restart;
-use super::RunWatch;
+use super::RunState;
 use super::StartPhase;
 use super::Timing;
 use crate::job::JobId;
@@ -74,10 +74,10 @@
     /// Highest number of the reported ends that are being recorded, if any.
     pub recording_to: Option<u64>,
     /// Its runs: the recorded ones, and others that it reports.
-    pub runs: BTreeMap<RunId, RunWatch>,
+    pub runs: BTreeMap<RunId, RunState>,
     /// Runs that were ended because its lease had expired without a report, until the worker is heard again. Whether the worker crashed
     /// shows later, if at all.
-    pub expired_runs: BTreeMap<RunId, RunWatch>,
+    pub expired_runs: BTreeMap<RunId, RunState>,
     /// Gang runs that are recorded as lost although the worker had not reported their end and its lease had not expired. The worker may
     /// still report that they failed.
     pub unsaid: BTreeSet<RunId>,
@@ -242,9 +242,9 @@
 
     /// Notes that a start order reached another incarnation. The run never started here, unless an earlier send may have been carried out.
     pub fn note_not_started(&mut self, run: RunId) {
-        let watch = self.runs.get_mut(&run);
-        if let Some(watch) = watch.filter(|watch| !watch.may_have_started()) {
-            watch.start = StartPhase::Unsent;
+        let run_state = self.runs.get_mut(&run);
+        if let Some(run_state) = run_state.filter(|run_state| !run_state.may_have_started()) {
+            run_state.start = StartPhase::Unsent;
         }
     }
 
--- a/crates/bh-workload/src/dispatch/worker_reconciler.rs
+++ b/crates/bh-workload/src/dispatch/worker_reconciler.rs
@@ -5,7 +5,7 @@
 use super::OrderBody;
 use super::Permissions;
 use super::Recipient;
-use super::RunWatch;
+use super::RunState;
 use super::StartPhase;
 use super::StopPhase;
 use super::Target;
@@ -80,16 +80,20 @@
         for run in runs {
             let recorded = self.worker.runs.contains_key(&run);
             let wanted = recorded && self.workload.wants(run);
-            let Some(watch) = target.runs.get(&run).filter(|watch| !watch.recording_end) else {
+            let Some(run_state) = target
+                .runs
+                .get(&run)
+                .filter(|run_state| !run_state.recording_end)
+            else {
                 continue;
             };
-            if wanted && !watch.give_up && excess_runs.contains(&run) {
+            if wanted && !run_state.give_up && excess_runs.contains(&run) {
                 self.withdraw(target, run);
-            } else if wanted && !watch.give_up && takes_no_starts && !watch.is_confirmed() {
+            } else if wanted && !run_state.give_up && takes_no_starts && !run_state.is_confirmed() {
                 self.withdraw_if_not_running(target, run);
-            } else if wanted && !watch.give_up && watch.awaits_report() {
+            } else if wanted && !run_state.give_up && run_state.awaits_report() {
                 self.withdraw_refused(target, run);
-            } else if wanted && !watch.give_up {
+            } else if wanted && !run_state.give_up {
                 self.send_start(target, run);
                 if pacing::is_fill_task(self.workload, run) {
                     self.send_pace(target, run);
@@ -105,14 +109,14 @@
     fn resolve_restart(&mut self, target: &mut Target) {
         let runs: Vec<RunId> = target.runs.keys().copied().collect();
         for run in runs {
-            let watch = target.runs.get(&run);
-            if watch.is_some_and(RunWatch::may_reach_later_incarnation) {
+            let run_state = target.runs.get(&run);
+            if run_state.is_some_and(RunState::may_reach_later_incarnation) {
                 self.send_stop(target, run, self.worker.runs.contains_key(&run));
             }
         }
-        let is_stopped = |watch: &RunWatch| {
-            !watch.may_reach_later_incarnation()
-                || matches!(watch.stop, StopPhase::Confirmed { .. })
+        let is_stopped = |run_state: &RunState| {
+            !run_state.may_reach_later_incarnation()
+                || matches!(run_state.stop, StopPhase::Confirmed { .. })
         };
         if target.runs.values().all(is_stopped) {
             self.probe(target);
@@ -160,7 +164,7 @@
                 .must_have_started(&self.worker.info.id, &members)
                 || members
                     .iter()
-                    .all(|run| target.runs.get(run).is_some_and(RunWatch::is_confirmed));
+                    .all(|run| target.runs.get(run).is_some_and(RunState::is_confirmed));
             let times = (self.now_ms, self.timing.stop_timeout_ms);
             if have_started && self.broken_gangs.have_ended(times, &members, self.workload) {
                 for run in members {
@@ -173,23 +177,23 @@
 
     /// Ends a run without a report of the worker.
     fn end_without_report(&mut self, target: &mut Target, run: RunId, kind: EndKind) {
-        let Some(watch) = target
+        let Some(run_state) = target
             .runs
             .get_mut(&run)
-            .filter(|watch| !watch.recording_end)
+            .filter(|run_state| !run_state.recording_end)
         else {
             return;
         };
         if !self.worker.runs.contains_key(&run) {
             return;
         }
-        watch.recording_end = true;
-        target.expired_runs.insert(run, watch.clone());
+        run_state.recording_end = true;
+        target.expired_runs.insert(run, run_state.clone());
         self.ends.push(End {
             run,
             worker: self.worker.info.id.clone(),
             kind,
-            checkpoint: watch.checkpoint.clone(),
+            checkpoint: run_state.checkpoint.clone(),
         });
     }
 
@@ -212,7 +216,7 @@
         if !target.reports_start_time {
             return true;
         }
-        let is_reported = match target.runs.get(&run).map(|watch| watch.start) {
+        let is_reported = match target.runs.get(&run).map(|run_state| run_state.start) {
             Some(StartPhase::Unsure { retry_ms }) => {
                 target.report_requested_ms + RETRY_MS >= retry_ms
             }
@@ -227,7 +231,7 @@
         let is_unsent = target
             .runs
             .get(&run)
-            .is_some_and(|watch| watch.start == StartPhase::Unsent);
+            .is_some_and(|run_state| run_state.start == StartPhase::Unsent);
         // Ends the run at once, so that its gang or its next attempt does not wait until this worker is heard again or its lease has
         // expired.
         if is_unsent && (target.is_failing() || !target.is_current(now_ms, self.timing)) {
@@ -237,7 +241,7 @@
         let ready = target
             .runs
             .get(&run)
-            .is_some_and(|watch| match watch.start {
+            .is_some_and(|run_state| match run_state.start {
                 StartPhase::Unsent => true,
                 StartPhase::Unsure { retry_ms } => now_ms >= retry_ms,
                 StartPhase::InFlight | StartPhase::Confirmed { .. } => false,
@@ -271,12 +275,12 @@
             checkpoint: task.and_then(|task| task.checkpoint.clone()),
             permission,
         };
-        if let Some(watch) = target.runs.get_mut(&run) {
-            if watch.start == StartPhase::Unsent {
-                watch.first_sent_ms = Some(now_ms);
+        if let Some(run_state) = target.runs.get_mut(&run) {
+            if run_state.start == StartPhase::Unsent {
+                run_state.first_sent_ms = Some(now_ms);
             }
-            watch.start = StartPhase::InFlight;
-            watch.was_repeated = false;
+            run_state.start = StartPhase::InFlight;
+            run_state.was_repeated = false;
         }
         self.push_order(body);
     }
@@ -288,7 +292,7 @@
         if self.worker.excess() == Needs::default() {
             return excess_runs;
         }
-        let is_confirmed = |run: &RunId| target.runs.get(run).is_some_and(RunWatch::is_confirmed);
+        let is_confirmed = |run: &RunId| target.runs.get(run).is_some_and(RunState::is_confirmed);
         let mut free = self.worker.info.capacity;
         for (run, needs) in &self.worker.runs {
             if is_confirmed(run) {
@@ -312,10 +316,10 @@
     /// evacuated. If a start order had no answer, also one of an earlier leader, the next report tells whether it was carried out.
     /// Withdrawing the run before that could stop work in progress, and with it the rest of a gang on other workers.
     fn withdraw_if_not_running(&mut self, target: &mut Target, run: RunId) {
-        let Some(watch) = target.runs.get(&run) else {
+        let Some(run_state) = target.runs.get(&run) else {
             return;
         };
-        let is_not_running = match watch.start {
+        let is_not_running = match run_state.start {
             StartPhase::Unsent => true,
             StartPhase::Unsure { retry_ms } => target.report_requested_ms >= retry_ms,
             StartPhase::InFlight | StartPhase::Confirmed { .. } => false,
@@ -331,7 +335,7 @@
         let start_refused_ms = target
             .runs
             .get(&run)
-            .and_then(|watch| watch.start_refused_ms);
+            .and_then(|run_state| run_state.start_refused_ms);
         if start_refused_ms
             .is_some_and(|start_refused_ms| target.report_requested_ms > start_refused_ms)
         {
@@ -345,12 +349,12 @@
         let is_unsent = target
             .runs
             .get(&run)
-            .is_some_and(|watch| watch.start == StartPhase::Unsent);
+            .is_some_and(|run_state| run_state.start == StartPhase::Unsent);
         if is_unsent {
             self.record_not_started(target, run);
         } else if !target.is_failing() {
-            if let Some(watch) = target.runs.get_mut(&run) {
-                watch.give_up = true;
+            if let Some(run_state) = target.runs.get_mut(&run) {
+                run_state.give_up = true;
             }
             self.send_stop(target, run, true);
         }
@@ -358,8 +362,8 @@
 
     /// Ends a run that was never ordered.
     fn record_not_started(&mut self, target: &mut Target, run: RunId) {
-        if let Some(watch) = target.runs.get_mut(&run) {
-            watch.recording_end = true;
+        if let Some(run_state) = target.runs.get_mut(&run) {
+            run_state.recording_end = true;
         }
         self.ends.push(End {
             run,
@@ -371,29 +375,29 @@
 
     fn send_pace(&mut self, target: &mut Target, run: RunId) {
         let now_ms = self.now_ms;
-        let due = |watch: &&mut RunWatch| {
-            matches!(watch.start, StartPhase::Confirmed { .. }) && watch.pace.is_due(now_ms)
+        let due = |run_state: &&mut RunState| {
+            matches!(run_state.start, StartPhase::Confirmed { .. }) && run_state.pace.is_due(now_ms)
         };
-        let Some(watch) = target.runs.get_mut(&run).filter(due) else {
+        let Some(run_state) = target.runs.get_mut(&run).filter(due) else {
             return;
         };
-        watch.pace.note_sent();
-        let percent = watch.pace.wanted_percent;
+        run_state.pace.note_sent();
+        let percent = run_state.pace.wanted_percent;
         self.push_order(OrderBody::Pace { run, percent });
     }
 
     fn send_stop(&mut self, target: &mut Target, run: RunId, recorded: bool) {
         let now_ms = self.now_ms;
-        let Some(watch) = target.runs.get_mut(&run) else {
+        let Some(run_state) = target.runs.get_mut(&run) else {
             return;
         };
-        if watch.start == StartPhase::Unsent {
+        if run_state.start == StartPhase::Unsent {
             if recorded {
                 self.record_not_started(target, run);
             }
             return;
         }
-        let due = match watch.stop {
+        let due = match run_state.stop {
             StopPhase::None => true,
             StopPhase::InFlight => false,
             StopPhase::Retry { retry_ms } => now_ms >= retry_ms,
@@ -402,7 +406,7 @@
             }
         };
         if due {
-            watch.stop = StopPhase::InFlight;
+            run_state.stop = StopPhase::InFlight;
             self.push_order(OrderBody::Stop { run });
         }
     }
@@ -420,7 +424,7 @@
         let only_starts_in_flight = target
             .runs
             .values()
-            .all(|watch| watch.start == StartPhase::InFlight);
+            .all(|run_state| run_state.start == StartPhase::InFlight);
         let has_other_incarnation = self.workload.has_other_incarnation(&self.worker.info.id);
         if only_starts_in_flight && !target.must_be_probed() && !has_other_incarnation {
             return;
@@ -428,7 +432,7 @@
         let has_unsure_start = target
             .runs
             .values()
-            .any(|watch| matches!(watch.start, StartPhase::Unsure { .. }));
+            .any(|run_state| matches!(run_state.start, StartPhase::Unsure { .. }));
         let answer_at_once = target.runs.is_empty()
             || has_unsure_start
             || target.is_failing()
--- a/crates/bh-workload/src/plan/availability.rs
+++ b/crates/bh-workload/src/plan/availability.rs
@@ -1,7 +1,7 @@
 //! How many tasks of a service may be missing.
 
 use crate::dispatch::Dispatcher;
-use crate::dispatch::RunWatch;
+use crate::dispatch::RunState;
 use crate::dispatch::StartPhase;
 use crate::job::RunId;
 use crate::job::StepId;
@@ -69,10 +69,10 @@
     }
 
     fn is_at_work(&self, run: RunId) -> bool {
-        let at_work = |watch: &RunWatch| {
-            watch.percent >= AT_WORK_PERCENT
-                && !watch.give_up
-                && matches!(watch.start, StartPhase::Confirmed { .. })
+        let at_work = |run_state: &RunState| {
+            run_state.percent >= AT_WORK_PERCENT
+                && !run_state.give_up
+                && matches!(run_state.start, StartPhase::Confirmed { .. })
         };
         let watched = self
             .workload
--- a/crates/bh-workload/src/plan/explain.rs
+++ b/crates/bh-workload/src/plan/explain.rs
@@ -183,7 +183,7 @@
     for worker in workload.workers() {
         let target = dispatcher.view(&worker.info.id);
         for run in worker.runs.keys().filter(|run| run.task.step == step) {
-            let watch = target.and_then(|target| target.runs.get(run));
+            let run_state = target.and_then(|target| target.runs.get(run));
             let at = (&worker.info.id, *run);
             let (phase, since_ms) = RunPhase::of(now_ms, workload, dispatcher, at);
             let held_ms = now_ms.saturating_sub(since_ms);
@@ -199,9 +199,10 @@
             runs.push(RunReport {
                 run: run.to_string(),
                 worker: worker.info.id.clone(),
-                percent: watch.map_or(0, |watch| watch.percent),
+                percent: run_state.map_or(0, |run_state| run_state.percent),
                 report_age_ms: target.map_or(0, |t| now_ms.saturating_sub(t.reported_ms)),
-                is_stopping: !workload.wants(*run) || watch.is_some_and(|watch| watch.give_up),
+                is_stopping: !workload.wants(*run)
+                    || run_state.is_some_and(|run_state| run_state.give_up),
                 phase: Some(phase),
             });
         }
--- a/crates/bh-workload/src/plan/leaving.rs
+++ b/crates/bh-workload/src/plan/leaving.rs
@@ -4,7 +4,7 @@
 use super::collect::lateness_value;
 use super::collect::objective_ms;
 use crate::dispatch::Dispatcher;
-use crate::dispatch::RunWatch;
+use crate::dispatch::RunState;
 use crate::dispatch::StartPhase;
 use crate::job::RunId;
 use crate::state::Worker;
@@ -58,8 +58,8 @@
             return Vec::new();
         };
         let is_cut_short = |run: &RunId| {
-            let watch = target.runs.get(run).filter(|watch| !watch.give_up);
-            watch.is_some_and(|watch| self.is_cut_short(*run, watch, leaves_ms))
+            let run_state = target.runs.get(run).filter(|run_state| !run_state.give_up);
+            run_state.is_some_and(|run_state| self.is_cut_short(*run, run_state, leaves_ms))
         };
         let runs = worker.runs.keys().copied();
         runs.filter(is_cut_short)
@@ -67,7 +67,7 @@
             .collect()
     }
 
-    fn is_cut_short(&self, run: RunId, watch: &RunWatch, leaves_ms: u64) -> bool {
+    fn is_cut_short(&self, run: RunId, run_state: &RunState, leaves_ms: u64) -> bool {
         let Some(job) = self.workload.job(run.task.step.job) else {
             return false;
         };
@@ -80,7 +80,7 @@
         }
         let queue = &job.queue.name;
         let usual_ms = self.runtimes.expected_ms(queue, run.task.step, spec);
-        if ends_ms(self.now_ms, watch, usual_ms) <= leaves_ms {
+        if ends_ms(self.now_ms, run_state, usual_ms) <= leaves_ms {
             return false;
         }
         let timing = self.dispatcher.timing();
@@ -99,14 +99,14 @@
 }
 
 /// When a run is expected to end, on the leader's clock in milliseconds: at its pace so far, once that is known, else by the usual time of its kind.
-fn ends_ms(now_ms: u64, watch: &RunWatch, usual_ms: u64) -> u64 {
-    let began_ms = match watch.start {
+fn ends_ms(now_ms: u64, run_state: &RunState, usual_ms: u64) -> u64 {
+    let began_ms = match run_state.start {
         StartPhase::Confirmed { at_ms } => at_ms,
         _ => now_ms,
     };
-    if watch.percent >= KNOWN_PERCENT && !watch.was_unsure {
-        let reported_ms = watch.progress_ms.saturating_sub(began_ms);
-        return began_ms + reported_ms * 100 / watch.percent;
+    if run_state.percent >= KNOWN_PERCENT && !run_state.was_unsure {
+        let reported_ms = run_state.progress_ms.saturating_sub(began_ms);
+        return began_ms + reported_ms * 100 / run_state.percent;
     }
     began_ms + usual_ms
 }
--- a/crates/bh-workload/src/plan/make_room.rs
+++ b/crates/bh-workload/src/plan/make_room.rs
@@ -126,9 +126,12 @@
     fn borrowers_on(&self, worker: &Worker, room: usize) -> Vec<Borrower> {
         let target = self.dispatcher.view(&worker.info.id);
         let runs = worker.runs.iter().map(|(run, needs)| {
-            let watch = target.and_then(|target| target.runs.get(run));
-            let stopping = !self.workload.wants(*run) || watch.is_some_and(|watch| watch.give_up);
-            let ran_ms = watch.map_or(0, |watch| self.now_ms.saturating_sub(watch.since_ms));
+            let run_state = target.and_then(|target| target.runs.get(run));
+            let stopping =
+                !self.workload.wants(*run) || run_state.is_some_and(|run_state| run_state.give_up);
+            let ran_ms = run_state.map_or(0, |run_state| {
+                self.now_ms.saturating_sub(run_state.since_ms)
+            });
             let priority = self.priority_of(*run);
             let spec = self.workload.step_spec(run.task.step);
             Borrower {
--- a/crates/bh-workload/src/plan/overdue.rs
+++ b/crates/bh-workload/src/plan/overdue.rs
@@ -2,7 +2,7 @@
 
 use super::Runtimes;
 use crate::dispatch::Dispatcher;
-use crate::dispatch::RunWatch;
+use crate::dispatch::RunState;
 use crate::dispatch::StartPhase;
 use crate::job::RunId;
 use crate::job::StepSpec;
@@ -59,8 +59,8 @@
         if target.is_failing() {
             continue;
         }
-        for (run, watch) in &target.runs {
-            if watch.give_up || !workload.wants(*run) {
+        for (run, run_state) in &target.runs {
+            if run_state.give_up || !workload.wants(*run) {
                 continue;
             }
             let Some(job) = workload.job(run.task.step.job) else {
@@ -77,13 +77,13 @@
                 runtimes.expected_ms(&job.queue.name, run.task.step, spec) * slowdown / 100;
             // A declared time is off by factors, a gang is as slow as its slowest member, wherever that is, and what began on a worker that had
             // just started was slow for a while.
-            let learnt_ms = (!spec.gang && watch.since_ms >= target.cold_until_ms)
+            let learnt_ms = (!spec.gang && run_state.since_ms >= target.cold_until_ms)
                 .then(|| runtimes.learnt_ms(&job.queue.name, run.task.step, spec))
                 .flatten()
                 .map(|learnt_ms| learnt_ms * slowdown / 100);
-            let why = if stands_still(target.reported_ms, watch, expected_ms) {
+            let why = if stands_still(target.reported_ms, run_state, expected_ms) {
                 Overdue::Still
-            } else if learnt_ms.is_some_and(|learnt_ms| is_slow(now_ms, watch, learnt_ms)) {
+            } else if learnt_ms.is_some_and(|learnt_ms| is_slow(now_ms, run_state, learnt_ms)) {
                 Overdue::Slow
             } else {
                 continue;
@@ -130,28 +130,28 @@
 }
 
 /// Whether the worker reported twice, some time apart, that nothing had been done meanwhile. Time without a report proves nothing.
-fn stands_still(reported_ms: u64, watch: &RunWatch, expected_ms: u64) -> bool {
-    let StartPhase::Confirmed { at_ms } = watch.start else {
+fn stands_still(reported_ms: u64, run_state: &RunState, expected_ms: u64) -> bool {
+    let StartPhase::Confirmed { at_ms } = run_state.start else {
         return false;
     };
-    let still_ms = reported_ms.saturating_sub(watch.progress_ms.max(at_ms));
-    watch.percent < 100 && still_ms > STILL_MS + expected_ms * STILL_PERCENT / 100
+    let still_ms = reported_ms.saturating_sub(run_state.progress_ms.max(at_ms));
+    run_state.percent < 100 && still_ms > STILL_MS + expected_ms * STILL_PERCENT / 100
 }
 
-fn is_slow(now_ms: u64, watch: &RunWatch, learnt_ms: u64) -> bool {
-    let StartPhase::Confirmed { at_ms } = watch.start else {
+fn is_slow(now_ms: u64, run_state: &RunState, learnt_ms: u64) -> bool {
+    let StartPhase::Confirmed { at_ms } = run_state.start else {
         return false;
     };
     let ran_ms = now_ms.saturating_sub(at_ms);
     // When a run began that an earlier leader ordered, or whose order had no answer, is not known.
-    if watch.was_unsure {
+    if run_state.was_unsure {
         return false;
     }
-    if watch.percent == 0 || ran_ms < learnt_ms * SLOW_AFTER_PERCENT / 100 {
+    if run_state.percent == 0 || ran_ms < learnt_ms * SLOW_AFTER_PERCENT / 100 {
         return false;
     }
     // Progress is reckoned as of the report that brought it.
-    let reported_ms = watch.progress_ms.saturating_sub(at_ms);
-    let left_ms = reported_ms * (100 - watch.percent.min(100)) / watch.percent;
+    let reported_ms = run_state.progress_ms.saturating_sub(at_ms);
+    let left_ms = reported_ms * (100 - run_state.percent.min(100)) / run_state.percent;
     left_ms > learnt_ms * SLOW_LEFT_PERCENT / 100
 }
--- a/crates/bh-workload/src/plan/planner.rs
+++ b/crates/bh-workload/src/plan/planner.rs
@@ -102,14 +102,14 @@
         let Some(worker) = workload.worker(&end.worker) else {
             return;
         };
-        let watch = dispatcher
+        let run_state = dispatcher
             .view(&end.worker)
             .and_then(|target| target.runs.get(&end.run));
         // When a run began that an earlier leader ordered, or whose order had no answer, is not known.
-        let Some(watch) = watch.filter(|watch| !watch.was_unsure) else {
+        let Some(run_state) = run_state.filter(|run_state| !run_state.was_unsure) else {
             return;
         };
-        let StartPhase::Confirmed { at_ms } = watch.start else {
+        let StartPhase::Confirmed { at_ms } = run_state.start else {
             return;
         };
         let resumed = usize::try_from(end.run.task.index)
--- a/crates/bh-workload/src/plan/room.rs
+++ b/crates/bh-workload/src/plan/room.rs
@@ -4,7 +4,7 @@
 use super::Unit;
 use super::Unusable;
 use crate::dispatch::Dispatcher;
-use crate::dispatch::RunWatch;
+use crate::dispatch::RunState;
 use crate::dispatch::Target;
 use crate::dispatch::apart_ms;
 use crate::job::Needs;
@@ -33,10 +33,10 @@
             suspect: false,
         };
         for run in worker.runs.keys() {
-            let watch = target.and_then(|target| target.runs.get(run));
-            let at_work_ms = watch.map_or(0, RunWatch::at_work_ms);
+            let run_state = target.and_then(|target| target.runs.get(run));
+            let at_work_ms = run_state.map_or(0, RunState::at_work_ms);
             let crashes = workload.task(run.task).map_or(0, Task::all_crashes);
-            begun.any |= watch.is_none_or(RunWatch::has_just_begun);
+            begun.any |= run_state.is_none_or(RunState::has_just_begun);
             begun.suspect |= at_work_ms < apart_ms(crashes);
         }
         begun
--- a/crates/bh-workload/src/upkeep/keeper.rs
+++ b/crates/bh-workload/src/upkeep/keeper.rs
@@ -245,8 +245,8 @@
 fn stops(worker: &Worker, dispatcher: &Dispatcher, services: &mut Availability) -> Vec<Step> {
     let target = dispatcher.view(&worker.info.id);
     let is_stopping = |run: &RunId| {
-        let watch = target.and_then(|target| target.runs.get(run));
-        watch.is_some_and(|watch| watch.give_up)
+        let run_state = target.and_then(|target| target.runs.get(run));
+        run_state.is_some_and(|run_state| run_state.give_up)
     };
     worker
         .runs
--- a/crates/bh-workload/tests/delays/leader.rs
+++ b/crates/bh-workload/tests/delays/leader.rs
@@ -427,8 +427,8 @@
             let own: Vec<String> = runs
                 .filter(|run| run.task.step.job == job)
                 .map(|run| {
-                    let watch = target.and_then(|target| target.runs.get(run));
-                    format!("{run}: {watch:?}")
+                    let run_state = target.and_then(|target| target.runs.get(run));
+                    format!("{run}: {run_state:?}")
                 })
                 .collect();
             if own.is_empty() {
