--- a/crates/bh-control/src/core/leader_loop.rs
+++ b/crates/bh-control/src/core/leader_loop.rs
@@ -199,7 +199,7 @@
     for late in overdue {
         core.metrics.count("runs_overdue", 1);
         log::info!(run = late.run.to_string(), worker = late.worker.to_string(), why:? = late.why; "run begun anew elsewhere");
-        leadership.dispatcher.give_up(&late.worker, late.run);
+        leadership.dispatcher.request_stop(&late.worker, late.run);
         // A worker on which a run stands still does the same to the next one.
         if late.why == Overdue::Still && !late.gang {
             leadership.dispatcher.set_aside(now_ms, &late.worker);
--- a/crates/bh-control/src/core/planning.rs
+++ b/crates/bh-control/src/core/planning.rs
@@ -58,7 +58,7 @@
     }
     for (worker, run) in &evictions {
         log::info!(run = run.to_string(), worker = worker.to_string(); "stopped to make room for guaranteed work");
-        leadership.dispatcher.give_up(worker, *run);
+        leadership.dispatcher.request_stop(worker, *run);
     }
     if !evictions.is_empty() {
         core.metrics
@@ -102,7 +102,7 @@
     for (worker, run) in cut_short {
         core.metrics.count("runs_cut_short", 1);
         log::info!(run = run.to_string(), worker = worker.to_string(); "stopped since its worker leaves before it can end");
-        leadership.dispatcher.give_up(&worker, run);
+        leadership.dispatcher.request_stop(&worker, run);
     }
 }
 
--- a/crates/bh-control/src/core/upkeep.rs
+++ b/crates/bh-control/src/core/upkeep.rs
@@ -39,7 +39,7 @@
             }
             Step::Stop(worker, run) => {
                 log::info!(run = run.to_string(), worker = worker.to_string(); "stopped for the upkeep of its VM");
-                leadership.dispatcher.give_up(&worker, run);
+                leadership.dispatcher.request_stop(&worker, run);
             }
             Step::Order(order) => {
                 monoio::spawn(send(core.clone(), address, order));
--- a/crates/bh-workload/benches/days/day.rs
+++ b/crates/bh-workload/benches/days/day.rs
@@ -106,7 +106,7 @@
             &day.dispatcher,
         );
         for (worker, run) in &plan.evictions {
-            day.dispatcher.give_up(worker, *run);
+            day.dispatcher.request_stop(worker, *run);
             day.stop(*run);
         }
         day.begin(plan.starts);
--- a/crates/bh-workload/src/dispatch/answers.rs
+++ b/crates/bh-workload/src/dispatch/answers.rs
@@ -77,7 +77,7 @@
             run_state.start = StartPhase::Unsure {
                 retry_ms: now_ms + RETRY_MS,
             };
-            run_state.give_up = !was_unsure;
+            run_state.stop_requested = !was_unsure;
             run_state.start_refused_ms = was_unsure.then_some(now_ms);
             if *denial == Denial::Unhealthy || *denial == Denial::NoRoom {
                 target.set_aside(now_ms);
@@ -119,7 +119,7 @@
         } else if !worker.runs.contains_key(&running.run) {
             // The run is not recorded: a delayed copy of its start order arrived after the run had ended. It is stopped like any other run.
             let mut run_state = RunState::new(StartPhase::Confirmed { at_ms: now_ms }, now_ms);
-            run_state.give_up = true;
+            run_state.stop_requested = true;
             target.runs.insert(running.run, run_state);
         }
     }
--- a/crates/bh-workload/src/dispatch/dispatcher.rs
+++ b/crates/bh-workload/src/dispatch/dispatcher.rs
@@ -265,10 +265,10 @@
     }
 
     /// Requests the end of a run that the record still wants.
-    pub fn give_up(&mut self, worker: &Incarnation, run: RunId) {
+    pub fn request_stop(&mut self, worker: &Incarnation, run: RunId) {
         let target = self.target_mut(worker);
         if let Some(run_state) = target.runs.get_mut(&run) {
-            run_state.give_up = true;
+            run_state.stop_requested = true;
         }
     }
 
--- a/crates/bh-workload/src/dispatch/run_state.rs
+++ b/crates/bh-workload/src/dispatch/run_state.rs
@@ -57,7 +57,7 @@
     /// When a send of the start order was refused though an earlier one may have been carried out, on the leader's clock in milliseconds.
     pub start_refused_ms: Option<u64>,
     /// Whether the leader wants the run to end though the record would let it go on.
-    pub give_up: bool,
+    pub stop_requested: bool,
     /// Whether its end is being recorded.
     pub recording_end: bool,
     /// When the leader first knew of the run, on its clock in milliseconds.
@@ -86,7 +86,7 @@
             was_unsure: matches!(start, StartPhase::Unsure { .. }),
             was_repeated: false,
             start_refused_ms: None,
-            give_up: false,
+            stop_requested: false,
             recording_end: false,
             since_ms: now_ms,
             percent: 0,
--- a/crates/bh-workload/src/dispatch/worker_reconciler.rs
+++ b/crates/bh-workload/src/dispatch/worker_reconciler.rs
@@ -87,13 +87,17 @@
             else {
                 continue;
             };
-            if wanted && !run_state.give_up && excess_runs.contains(&run) {
+            if wanted && !run_state.stop_requested && excess_runs.contains(&run) {
                 self.withdraw(target, run);
-            } else if wanted && !run_state.give_up && takes_no_starts && !run_state.is_confirmed() {
+            } else if wanted
+                && !run_state.stop_requested
+                && takes_no_starts
+                && !run_state.is_confirmed()
+            {
                 self.withdraw_if_not_running(target, run);
-            } else if wanted && !run_state.give_up && run_state.awaits_report() {
+            } else if wanted && !run_state.stop_requested && run_state.awaits_report() {
                 self.withdraw_refused(target, run);
-            } else if wanted && !run_state.give_up {
+            } else if wanted && !run_state.stop_requested {
                 self.send_start(target, run);
                 if pacing::is_fill_task(self.workload, run) {
                     self.send_pace(target, run);
@@ -354,7 +358,7 @@
             self.record_not_started(target, run);
         } else if !target.is_failing() {
             if let Some(run_state) = target.runs.get_mut(&run) {
-                run_state.give_up = true;
+                run_state.stop_requested = true;
             }
             self.send_stop(target, run, true);
         }
--- a/crates/bh-workload/src/plan/availability.rs
+++ b/crates/bh-workload/src/plan/availability.rs
@@ -71,7 +71,7 @@
     fn is_at_work(&self, run: RunId) -> bool {
         let at_work = |run_state: &RunState| {
             run_state.percent >= AT_WORK_PERCENT
-                && !run_state.give_up
+                && !run_state.stop_requested
                 && matches!(run_state.start, StartPhase::Confirmed { .. })
         };
         let watched = self
--- a/crates/bh-workload/src/plan/explain.rs
+++ b/crates/bh-workload/src/plan/explain.rs
@@ -202,7 +202,7 @@
                 percent: run_state.map_or(0, |run_state| run_state.percent),
                 report_age_ms: target.map_or(0, |t| now_ms.saturating_sub(t.reported_ms)),
                 is_stopping: !workload.wants(*run)
-                    || run_state.is_some_and(|run_state| run_state.give_up),
+                    || run_state.is_some_and(|run_state| run_state.stop_requested),
                 phase: Some(phase),
             });
         }
--- a/crates/bh-workload/src/plan/leaving.rs
+++ b/crates/bh-workload/src/plan/leaving.rs
@@ -58,7 +58,10 @@
             return Vec::new();
         };
         let is_cut_short = |run: &RunId| {
-            let run_state = target.runs.get(run).filter(|run_state| !run_state.give_up);
+            let run_state = target
+                .runs
+                .get(run)
+                .filter(|run_state| !run_state.stop_requested);
             run_state.is_some_and(|run_state| self.is_cut_short(*run, run_state, leaves_ms))
         };
         let runs = worker.runs.keys().copied();
--- a/crates/bh-workload/src/upkeep/keeper.rs
+++ b/crates/bh-workload/src/upkeep/keeper.rs
@@ -246,7 +246,7 @@
     let target = dispatcher.view(&worker.info.id);
     let is_stopping = |run: &RunId| {
         let run_state = target.and_then(|target| target.runs.get(run));
-        run_state.is_some_and(|run_state| run_state.give_up)
+        run_state.is_some_and(|run_state| run_state.stop_requested)
     };
     worker
         .runs
--- a/crates/bh-workload/tests/delays/leader.rs
+++ b/crates/bh-workload/tests/delays/leader.rs
@@ -166,7 +166,7 @@
             .planner
             .plan(now_ms, wall_ms, &self.record, &leader.dispatcher);
         for (worker, run) in &plan.evictions {
-            leader.dispatcher.give_up(worker, *run);
+            leader.dispatcher.request_stop(worker, *run);
         }
         if !plan.starts.is_empty() {
             leader.planning = true;
@@ -496,7 +496,7 @@
         };
         for worker in self.record.workers() {
             for run in worker.runs.keys().filter(|run| run.task.step.job == *id) {
-                leader.dispatcher.give_up(&worker.info.id, *run);
+                leader.dispatcher.request_stop(&worker.info.id, *run);
             }
         }
     }
--- a/crates/bh-workload/tests/fuzz_orders.rs
+++ b/crates/bh-workload/tests/fuzz_orders.rs
@@ -845,7 +845,7 @@
         }
         let plan = self.site.plan();
         for (worker, run) in &plan.evictions {
-            self.site.dispatcher.give_up(worker, *run);
+            self.site.dispatcher.request_stop(worker, *run);
         }
         if !plan.starts.is_empty() {
             self.site.workload.apply(Command::Starts(plan.starts));
--- a/crates/bh-workload/tests/guarantees.rs
+++ b/crates/bh-workload/tests/guarantees.rs
@@ -35,7 +35,7 @@
 /// Ends what the plan stops, plans again, and returns the jobs that begin.
 fn stop_and_plan(site: &mut Site, plan: &Plan) -> BTreeSet<JobId> {
     for (worker, run) in &plan.evictions {
-        site.dispatcher.give_up(worker, *run);
+        site.dispatcher.request_stop(worker, *run);
     }
     for (_, run) in &plan.evictions {
         site.end(*run, EndKind::Stopped);
@@ -60,7 +60,7 @@
     let mut plan = site.plan();
     assert_eq!(plan.evictions.len(), 8);
     for (worker, run) in &plan.evictions {
-        site.dispatcher.give_up(worker, *run);
+        site.dispatcher.request_stop(worker, *run);
     }
     let second = site.submit(0, "guaranteed", vec![gang(1, 8)]);
     let later = site.plan();
--- a/crates/bh-workload/tests/lasting.rs
+++ b/crates/bh-workload/tests/lasting.rs
@@ -77,7 +77,7 @@
     let first = site.plan();
     assert_eq!(stopped_of(&first, service), 1);
     for (worker, run) in &first.evictions {
-        site.dispatcher.give_up(worker, *run);
+        site.dispatcher.request_stop(worker, *run);
     }
     site.submit(0, "guaranteed", vec![gang]);
     assert_eq!(stopped_of(&site.plan(), service), 0);
@@ -96,7 +96,7 @@
     let plan = site.plan();
     assert_eq!(plan.evictions.len(), 1);
     let (worker, run) = plan.evictions[0].clone();
-    site.dispatcher.give_up(&worker, run);
+    site.dispatcher.request_stop(&worker, run);
     site.end(run, EndKind::Stopped);
     let begun: Vec<JobId> = site
         .plan_and_start()
--- a/crates/bh-workload/tests/leaving_workers.rs
+++ b/crates/bh-workload/tests/leaving_workers.rs
@@ -59,7 +59,7 @@
     let (mut site, worker, run) = with_notice(gang(), 2_000);
     let cut = cut_short(&site);
     assert_eq!(cut, [(worker.clone(), run)]);
-    site.dispatcher.give_up(&worker, run);
+    site.dispatcher.request_stop(&worker, run);
     assert!(cut_short(&site).is_empty(), "once");
     let orders = site.orders();
     let stops = |order: &bh_workload::dispatch::Order| order.body == OrderBody::Stop { run };
--- a/crates/bh-workload/tests/runnable.rs
+++ b/crates/bh-workload/tests/runnable.rs
@@ -139,7 +139,7 @@
 
 fn give_it_up(site: &mut Site, worker: &Incarnation, run: RunId) {
     confirm(site, worker, run);
-    site.dispatcher.give_up(worker, run);
+    site.dispatcher.request_stop(worker, run);
 }
 
 fn end_it_without_a_record(site: &mut Site, _: &Incarnation, run: RunId) {
--- a/crates/bh-workload/tests/upkeep.rs
+++ b/crates/bh-workload/tests/upkeep.rs
@@ -101,7 +101,7 @@
                 self.site.workload.apply(command);
             }
             Step::Stop(worker, run) => {
-                self.site.dispatcher.give_up(&worker, run);
+                self.site.dispatcher.request_stop(&worker, run);
                 self.site.end(run, EndKind::Stopped);
             }
             Step::Order(order) => {
