--- a/crates/bh-control/src/core/leader_loop.rs
+++ b/crates/bh-control/src/core/leader_loop.rs
@@ -69,7 +69,7 @@
         if led_term.is_some() {
             step_down(core, "another leads, or no majority answers");
         }
-        core.group.machine.with_local(Workload::take_news);
+        core.group.machine.with_local(Workload::take_events);
         return;
     }
     if led_term != Some(status.term) {
@@ -111,7 +111,7 @@
         return;
     }
     let now_ms = core.clock.now_ms();
-    core.group.machine.with_local(Workload::take_news);
+    core.group.machine.with_local(Workload::take_events);
     let workload = core.group.machine.read();
     let gap_ms = gap_ms(core, now_ms, &workload);
     let mut dispatcher = Dispatcher::new(core.config.timing(), term, now_ms, &workload);
--- a/crates/bh-control/src/core/orders.rs
+++ b/crates/bh-control/src/core/orders.rs
@@ -27,15 +27,17 @@
 
 /// Sends the orders that are due, and records ends that are certain without any.
 pub(super) fn give_orders(core: &Rc<CoreNode>, now_ms: u64) {
-    let news = core.group.machine.with_local(Workload::take_news);
+    let record_events = core.group.machine.with_local(Workload::take_events);
     let mut held = core.leadership.borrow_mut();
     let Some(leadership) = held.as_mut() else {
         return;
     };
     let workload = core.group.machine.read();
-    leadership.plan_due |= news.plan;
-    log_job_ends(core, leadership, &workload, &news.ended_jobs);
-    leadership.dispatcher.note_news(now_ms, &news, &workload);
+    leadership.plan_due |= record_events.plan;
+    log_job_ends(core, leadership, &workload, &record_events.ended_jobs);
+    leadership
+        .dispatcher
+        .note_events(now_ms, &record_events, &workload);
     let all = now_ms >= leadership.swept_ms + SWEEP_MS;
     if all {
         leadership.swept_ms = now_ms;
--- a/crates/bh-workload/benches/days/day.rs
+++ b/crates/bh-workload/benches/days/day.rs
@@ -121,7 +121,7 @@
         workload.apply(Command::SetRules(Box::new(rules(shape))));
         let workers = (0..shape.workers).map(|index| WorkerChange::Known(worker(shape, index)));
         workload.apply(Command::Workers(workers.collect()));
-        workload.take_news();
+        workload.take_events();
         let timing = Timing {
             stop_timeout_ms: shape.stop_ms,
             restore_ms: shape.restore_ms,
@@ -261,9 +261,9 @@
                     .note_heartbeat(self.now_ms, &id, Some(self.now_ms));
             }
         }
-        let news = self.workload.take_news();
+        let record_events = self.workload.take_events();
         self.dispatcher
-            .note_news(self.now_ms, &news, &self.workload);
+            .note_events(self.now_ms, &record_events, &self.workload);
         let (orders, _) = self.dispatcher.orders(self.now_ms, &self.workload, false);
         for order in orders {
             if matches!(order.body, OrderBody::Start { .. }) {
--- a/crates/bh-workload/src/dispatch/dispatcher.rs
+++ b/crates/bh-workload/src/dispatch/dispatcher.rs
@@ -24,7 +24,7 @@
 use crate::job::StepId;
 use crate::state::Command;
 use crate::state::End;
-use crate::state::News;
+use crate::state::RecordEvents;
 use crate::state::Worker;
 use crate::state::WorkerChange;
 use crate::state::Workload;
@@ -207,8 +207,8 @@
     }
 
     /// Updates the view of workers and runs after changes of the record.
-    pub fn note_news(&mut self, now_ms: u64, news: &News, workload: &Workload) {
-        for id in &news.workers {
+    pub fn note_events(&mut self, now_ms: u64, record_events: &RecordEvents, workload: &Workload) {
+        for id in &record_events.workers {
             let Some(worker) = workload.worker(id) else {
                 self.targets.remove(id);
                 self.removed.insert(id.clone());
@@ -440,8 +440,8 @@
                     }
                     OrderBody::Stop { .. } | OrderBody::Pace { .. } => {}
                 }
-                let news = target.note_gone(now_ms);
-                return news.then(|| gone_command(now_ms, id, target, workload));
+                let is_new = target.note_gone(now_ms);
+                return is_new.then(|| gone_command(now_ms, id, target, workload));
             }
         }
         if target.has_ended(id, workload) {
--- a/crates/bh-workload/src/state/news.rs
+++ b/crates/bh-workload/src/state/record_events.rs
@@ -6,7 +6,7 @@
 
 /// Changes, as far as the leader's orders depend on them. Not replicated.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct News {
+pub struct RecordEvents {
     /// Workers whose runs or state changed.
     pub workers: BTreeSet<Incarnation>,
     /// Jobs that ended.
@@ -15,7 +15,7 @@
     pub plan: bool,
 }
 
-impl News {
+impl RecordEvents {
     pub(super) fn note_worker(&mut self, worker: &Incarnation) {
         self.workers.insert(worker.clone());
         self.plan = true;
--- a/crates/bh-workload/src/state/workload.rs
+++ b/crates/bh-workload/src/state/workload.rs
@@ -2,9 +2,9 @@
 
 use super::Job;
 use super::JobState;
-use super::News;
 use super::PastStarts;
 use super::Place;
+use super::RecordEvents;
 use super::Refusal;
 use super::Wave;
 use super::Worker;
@@ -53,7 +53,7 @@
     #[serde(skip)]
     pub(super) active: BTreeSet<JobId>,
     #[serde(skip)]
-    pub(super) news: News,
+    pub(super) news: RecordEvents,
 }
 
 /// Where a call belongs, and who may speak there.
@@ -273,7 +273,7 @@
     }
 
     /// Takes what has changed since the last call.
-    pub fn take_news(&mut self) -> News {
+    pub fn take_events(&mut self) -> RecordEvents {
         std::mem::take(&mut self.news)
     }
 }
--- a/crates/bh-workload/tests/acknowledged_ends.rs
+++ b/crates/bh-workload/tests/acknowledged_ends.rs
@@ -79,14 +79,14 @@
     site.workload.apply(first);
     site.dispatcher
         .note_recorded(&worker, None, RecordOutcome::Recorded);
-    site.take_news();
+    site.take_events();
     site.advance(100);
     assert_eq!(told(&mut site), None, "its end is not recorded yet");
 
     site.workload.apply(second);
     site.dispatcher
         .note_recorded(&worker, listed_to, RecordOutcome::Recorded);
-    site.take_news();
+    site.take_events();
     site.advance(100);
     assert_eq!(told(&mut site), Some(NUMBER));
 }
--- a/crates/bh-workload/tests/advice.rs
+++ b/crates/bh-workload/tests/advice.rs
@@ -119,7 +119,7 @@
         .dispatcher
         .note_answer(site.now_ms, &order, &answer, &site.workload);
     site.workload.apply(ends.unwrap());
-    site.take_news();
+    site.take_events();
     let plan = site.plan();
     assert!(plan.starts.is_empty());
     assert_eq!(plan.questions[0].workers, vec![worker_id("w00")]);
--- a/crates/bh-workload/tests/broken_gangs.rs
+++ b/crates/bh-workload/tests/broken_gangs.rs
@@ -87,7 +87,7 @@
         site.dispatcher
             .note_recorded(&worker, listed_to, RecordOutcome::Recorded);
     }
-    site.take_news();
+    site.take_events();
 }
 
 fn ended(site: &Site, run: RunId, kind: EndKind) -> Answer {
@@ -169,7 +169,7 @@
     let (mut site, _, runs) = gang_at_work();
     let gone = WorkerChange::Gone(runs[0].0.clone());
     site.workload.apply(Command::Workers(vec![gone]));
-    site.take_news();
+    site.take_events();
     let says = [Nothing, Nothing, BROKEN];
     assert!(!begins_anew(&mut site, &runs, &says));
 }
@@ -252,7 +252,7 @@
         let known = WorkerChange::Known(info);
         site.workload.apply(Command::Workers(vec![gone, known]));
     }
-    site.take_news();
+    site.take_events();
     site.advance(QUIET_MS);
     site.report();
     let (mut site, runs) = gang_with_a_start_unanswered(site, 8);
--- a/crates/bh-workload/tests/crashing_tasks.rs
+++ b/crates/bh-workload/tests/crashing_tasks.rs
@@ -211,14 +211,14 @@
             Away::Drained => {
                 let change = WorkerChange::Draining(worker.clone());
                 site.workload.apply(Command::Workers(vec![change]));
-                site.take_news();
+                site.take_events();
                 site.advance(DRAIN_MS);
                 site.crash(&worker);
             }
             Away::Left => {
                 let change = WorkerChange::Gone(worker.clone());
                 site.workload.apply(Command::Workers(vec![change]));
-                site.take_news();
+                site.take_events();
             }
             Away::Silent => site.end(run, EndKind::Lost),
             Away::NeverReached => site.crash(&worker),
@@ -260,7 +260,7 @@
     assert_eq!((ends[0].run, ends[0].kind), (run, EndKind::Lapsed));
     let now_ms = site.wall_ms();
     site.workload.apply(Command::ends(ends).at(now_ms));
-    site.take_news();
+    site.take_events();
     site.comes_back_as_another(&worker);
     assert_eq!(crashes(&site, task(job, 0, 0)), 1);
     assert!(site.workload.worker(&worker).is_none(), "it is forgotten");
@@ -418,7 +418,7 @@
             .note_answer(site.now_ms, &start, &answer, &site.workload);
         let now_ms = site.wall_ms();
         site.workload.apply(command.unwrap().at(now_ms));
-        site.take_news();
+        site.take_events();
     }
     rounds
 }
--- a/crates/bh-workload/tests/delays/leader.rs
+++ b/crates/bh-workload/tests/delays/leader.rs
@@ -109,9 +109,11 @@
         leader.turn_ms = now_ms + TURN_MS;
         self.push(leader.turn_ms, Event::Turn { term });
         if leader.deposed.is_none() {
-            let news = self.record.take_news();
-            leader.plan_due |= news.plan;
-            leader.dispatcher.note_news(now_ms, &news, &self.record);
+            let record_events = self.record.take_events();
+            leader.plan_due |= record_events.plan;
+            leader
+                .dispatcher
+                .note_events(now_ms, &record_events, &self.record);
         }
         let all = now_ms >= leader.swept_ms + SWEEP_MS;
         if all {
@@ -372,7 +374,7 @@
         let bytes = machine.snapshot().unwrap();
         machine.restore(&bytes).unwrap();
         self.record = machine.read().clone();
-        self.record.take_news();
+        self.record.take_events();
         let (term, now_ms) = (self.term, self.now_ms);
         let mut dispatcher = Dispatcher::new(self.fleet().timing, term, now_ms, &self.record);
         if gap_ms > SHORT_GAP_MS {
--- a/crates/bh-workload/tests/evacuation.rs
+++ b/crates/bh-workload/tests/evacuation.rs
@@ -101,7 +101,7 @@
     site.evacuate(FAR);
     let reply = site.workload.apply(Command::Starts(plan.starts));
     assert!(matches!(reply, Reply::Started(refused) if refused.len() == 2));
-    site.take_news();
+    site.take_events();
     assert!(
         site.open_runs()
             .iter()
@@ -226,7 +226,7 @@
                 let listed_to = site.dispatcher.recording_to(&order.to.worker);
                 site.dispatcher
                     .note_recorded(&order.to.worker, listed_to, RecordOutcome::Recorded);
-                site.take_news();
+                site.take_events();
             }
         }
     }
--- a/crates/bh-workload/tests/fewer_attempts.rs
+++ b/crates/bh-workload/tests/fewer_attempts.rs
@@ -47,7 +47,7 @@
     let (mut site, job) = failed_once(gang);
     let strict = Command::SetRules(Box::new(strict_rules()));
     site.workload.apply(strict);
-    site.take_news();
+    site.take_events();
     assert_eq!(outcome(&site, job), Some(Outcome::Failed));
     assert_eq!(site.plan().starts, Vec::new());
 }
--- a/crates/bh-workload/tests/fuzz_orders.rs
+++ b/crates/bh-workload/tests/fuzz_orders.rs
@@ -709,7 +709,7 @@
         let bytes = machine.snapshot().unwrap();
         machine.restore(&bytes).unwrap();
         self.site.workload = machine.read().clone();
-        self.site.workload.take_news();
+        self.site.workload.take_events();
         self.site.dispatcher = Dispatcher::new(
             Timing::DEFAULT,
             self.term,
@@ -832,7 +832,7 @@
         if now_ms.is_multiple_of(1_500) {
             self.heartbeats();
         }
-        self.site.take_news();
+        self.site.take_events();
         let (orders, ends) =
             self.site
                 .dispatcher
--- a/crates/bh-workload/tests/leaving_workers.rs
+++ b/crates/bh-workload/tests/leaving_workers.rs
@@ -39,7 +39,7 @@
         .note_leaving(site.now_ms, &worker, leaves_in_ms);
     let leaves = WorkerChange::Draining(worker.clone());
     site.workload.apply(Command::Workers(vec![leaves]));
-    site.take_news();
+    site.take_events();
     (site, worker, run)
 }
 
@@ -123,7 +123,7 @@
     let worker = site.open_runs()[0].0.clone();
     let leaves = WorkerChange::Draining(worker);
     site.workload.apply(Command::Workers(vec![leaves]));
-    site.take_news();
+    site.take_events();
     assert!(cut_short(&site).is_empty());
 }
 
@@ -219,7 +219,7 @@
     site.answer_for(&worker, &Answer::Lost);
     let leaves = WorkerChange::Draining(worker);
     site.workload.apply(Command::Workers(vec![leaves]));
-    site.take_news();
+    site.take_events();
     for _ in 0..10 {
         site.advance(400);
         let orders = site.orders();
--- a/crates/bh-workload/tests/records_in_doubt.rs
+++ b/crates/bh-workload/tests/records_in_doubt.rs
@@ -53,6 +53,6 @@
 
     let now_ms = site.wall_ms();
     site.workload.apply(Command::ends(ends).at(now_ms));
-    site.take_news();
+    site.take_events();
     assert_eq!(site.open_runs(), Vec::new());
 }
--- a/crates/bh-workload/tests/repeated_starts.rs
+++ b/crates/bh-workload/tests/repeated_starts.rs
@@ -56,7 +56,7 @@
         .note_answer(site.now_ms, order, answer, &site.workload);
     if let Some(command) = command.clone() {
         site.workload.apply(command.at(START_WALL_MS + site.now_ms));
-        site.take_news();
+        site.take_events();
     }
     command
 }
--- a/crates/bh-workload/tests/restarted_workers.rs
+++ b/crates/bh-workload/tests/restarted_workers.rs
@@ -45,7 +45,7 @@
 fn site() -> Site {
     let mut site = Site::new(0, 1);
     site.workload.apply(set_worker(Some(FIRST_MS)));
-    site.take_news();
+    site.take_events();
     site.heartbeats();
     site.answer_for(&incarnation(FIRST_MS), &report_answer(&site, &[], &[]));
     site
@@ -96,7 +96,7 @@
         if let Some(command) = command {
             let now_ms = site.wall_ms();
             site.workload.apply(command.at(now_ms));
-            site.take_news();
+            site.take_events();
         }
     }
     orders
@@ -148,7 +148,7 @@
     assert_eq!(state(&site, job), TaskState::Waiting);
     assert!(site.workload.worker(&incarnation(FIRST_MS)).is_none());
     site.workload.apply(set_worker(Some(SECOND_MS)));
-    site.take_news();
+    site.take_events();
     site.heartbeats();
     assert_eq!(
         site.plan().starts,
@@ -275,7 +275,7 @@
     let mut site = site();
     let early = incarnation(500);
     site.workload.apply(set_worker(Some(500)));
-    site.take_news();
+    site.take_events();
     site.heartbeats();
     site.submit(0, "other", vec![step(1, 1)]);
     assert_eq!(site.plan().starts, []);
@@ -306,7 +306,7 @@
     let mut site = Site::new(1, 1);
     let job = begin_task_unreported(&mut site);
     site.workload.apply(set_worker(Some(FIRST_MS)));
-    site.take_news();
+    site.take_events();
     site.heartbeats();
     let run = run_of(job, 1);
     for _ in 0..4 {
@@ -366,7 +366,7 @@
     };
     for _ in 0..2 {
         site.workload.apply(set_worker(Some(500)));
-        site.take_news();
+        site.take_events();
         site.heartbeats();
         for _ in 0..3 {
             site.advance(100);
--- a/crates/bh-workload/tests/runnable.rs
+++ b/crates/bh-workload/tests/runnable.rs
@@ -207,7 +207,7 @@
     let plan = site.plan();
     assert_eq!(wait(&site, job), Wait::StartRecording);
     site.workload.apply(Command::Starts(plan.starts));
-    site.take_news();
+    site.take_events();
     let phase = RunPhase::Unsent;
     assert_eq!(wait(&site, job), Wait::Ordered { phase });
 }
@@ -563,7 +563,7 @@
     let mut site = quiet_site(1);
     let leaving = WorkerChange::Draining(worker_id("w00"));
     site.workload.apply(Command::Workers(vec![leaving]));
-    site.take_news();
+    site.take_events();
     let job = site.submit(2, "other", vec![step(1, 1)]);
     let steps = steps_of(&site, job);
     assert_eq!(steps[0].wait, Wait::NoWorkerAllowed);
--- a/crates/bh-workload/tests/standing_still.rs
+++ b/crates/bh-workload/tests/standing_still.rs
@@ -58,7 +58,7 @@
             site.workload.apply(command.at(now_ms));
         }
     }
-    site.take_news();
+    site.take_events();
 }
 
 /// Whether the workers have room for all tasks of `spec` twice, and under half of what they have is in use.
--- a/crates/bh-workload/tests/standing_tasks.rs
+++ b/crates/bh-workload/tests/standing_tasks.rs
@@ -173,7 +173,7 @@
                 let wall_ms = self.site.wall_ms();
                 let listed_to = self.site.dispatcher.recording_to(&order.to.worker);
                 self.site.workload.apply(command.at(wall_ms));
-                self.site.take_news();
+                self.site.take_events();
                 self.site.dispatcher.note_recorded(
                     &order.to.worker,
                     listed_to,
@@ -186,7 +186,7 @@
     fn record_plan(&mut self) {
         let starts = self.site.plan().starts;
         self.site.workload.apply(Command::Starts(starts));
-        self.site.take_news();
+        self.site.take_events();
     }
 
     /// One turn of the leader.
@@ -388,7 +388,7 @@
     scene.site.now_ms += TURN_MS;
     scene.give_orders();
     scene.site.workload.apply(Command::Starts(starts));
-    scene.site.take_news();
+    scene.site.take_events();
     let stands_ms = scene.stands_ms(second);
     assert!(stands_ms <= STANDS_MS, "stands for {stands_ms} ms");
 }
@@ -409,7 +409,7 @@
     scene.site.now_ms += 2 * TURN_MS;
     scene.heartbeats();
     scene.site.workload.apply(Command::Starts(starts));
-    scene.site.take_news();
+    scene.site.take_events();
     let stands_ms = scene.stands_ms(second);
     assert!(stands_ms <= STANDS_MS, "stands for {stands_ms} ms");
 }
@@ -423,7 +423,7 @@
     let starts = scene.site.plan().starts;
     scene.set(&starts[0].worker.clone(), Manner::Ended);
     scene.site.workload.apply(Command::Starts(starts));
-    scene.site.take_news();
+    scene.site.take_events();
     let stands_ms = scene.stands_ms(job);
     assert!(stands_ms <= STANDS_MS, "stands for {stands_ms} ms");
 }
--- a/crates/bh-workload/tests/support/mod.rs
+++ b/crates/bh-workload/tests/support/mod.rs
@@ -159,7 +159,7 @@
             next_job: 1,
         };
         site.heartbeats();
-        site.workload.take_news();
+        site.workload.take_events();
         site
     }
 
@@ -208,7 +208,7 @@
             now_ms: self.wall_ms(),
         });
         assert_eq!(reply, Reply::Done);
-        self.take_news();
+        self.take_events();
     }
 
     pub fn plan(&mut self) -> Plan {
@@ -225,14 +225,14 @@
         let plan = self.plan();
         let reply = self.workload.apply(Command::Starts(plan.starts.clone()));
         assert_eq!(reply, Reply::Started(Vec::new()));
-        self.take_news();
+        self.take_events();
         plan
     }
 
-    pub fn take_news(&mut self) {
-        let news = self.workload.take_news();
+    pub fn take_events(&mut self) {
+        let record_events = self.workload.take_events();
         self.dispatcher
-            .note_news(self.now_ms, &news, &self.workload);
+            .note_events(self.now_ms, &record_events, &self.workload);
     }
 
     /// Another core leads from now on, with `token`.
@@ -261,7 +261,7 @@
         info.capacity.accelerators = accelerators;
         let known = WorkerChange::Known(info);
         self.workload.apply(Command::Workers(vec![known]));
-        self.take_news();
+        self.take_events();
     }
 
     /// A site of `workers` workers in each of the data centres `dc` and `far`, `per_rack` of them in a rack. No room is kept there for urgent
@@ -274,7 +274,7 @@
             let known = WorkerChange::Known(info);
             site.workload.apply(Command::Workers(vec![known]));
         }
-        site.take_news();
+        site.take_events();
         site.advance(QUIET_MS);
         site
     }
@@ -292,7 +292,7 @@
             now_ms: self.wall_ms(),
         });
         assert_eq!(reply, Reply::Done);
-        self.take_news();
+        self.take_events();
     }
 
     /// The evacuation of a data centre ends.
@@ -301,7 +301,7 @@
             data_centre: Arc::from(data_centre),
         });
         assert_eq!(reply, Reply::Done);
-        self.take_news();
+        self.take_events();
     }
 
     /// Orders that are due now, of all workers.
@@ -310,7 +310,7 @@
         if !ends.is_empty() {
             let now_ms = self.wall_ms();
             self.workload.apply(Command::ends(ends).at(now_ms));
-            self.take_news();
+            self.take_events();
         }
         orders
     }
@@ -394,7 +394,7 @@
         for command in commands {
             self.workload.apply(command.at(START_WALL_MS + self.now_ms));
         }
-        self.take_news();
+        self.take_events();
     }
 
     /// What is recorded when another incarnation answers in a worker's place.
@@ -424,7 +424,7 @@
         info.id = worker_id(&format!("{worker}'"));
         let known = WorkerChange::Known(info);
         self.workload.apply(Command::Workers(vec![known]));
-        self.take_news();
+        self.take_events();
         self.heartbeats();
     }
 
@@ -434,7 +434,7 @@
         info.id = worker_id(&format!("{worker}'"));
         let known = WorkerChange::Known(info);
         self.workload.apply(Command::Workers(vec![known]));
-        self.take_news();
+        self.take_events();
         self.answer_for(worker, &Answer::OtherIncarnation);
     }
 
@@ -454,7 +454,7 @@
         };
         let now_ms = self.wall_ms();
         self.workload.apply(Command::ends(vec![end]).at(now_ms));
-        self.take_news();
+        self.take_events();
     }
 
     /// Runs recorded as open, of all workers.
--- a/crates/bh-workload/tests/upkeep.rs
+++ b/crates/bh-workload/tests/upkeep.rs
@@ -116,7 +116,7 @@
                 });
             }
         }
-        self.site.take_news();
+        self.site.take_events();
     }
 
     fn turn(&mut self) {
@@ -134,7 +134,7 @@
                 .workload
                 .apply(Command::Workers(vec![WorkerChange::Known(info)]));
         }
-        self.site.take_news();
+        self.site.take_events();
         let times = (now_ms, self.site.wall_ms());
         let steps = self
             .keeper
