--- a/crates/bh-control/src/core/run_ends.rs
+++ b/crates/bh-control/src/core/run_ends.rs
@@ -48,8 +48,8 @@
         return Learnt::NeverSent;
     }
     let target = dispatcher.view(&end.worker);
-    let was_unsaid = target.is_some_and(|target| target.unsaid.contains(&end.run));
-    if end.kind == EndKind::Lost && was_unsaid {
+    let was_presumed_lost = target.is_some_and(|target| target.presumed_lost.contains(&end.run));
+    if end.kind == EndKind::Lost && was_presumed_lost {
         Learnt::BrokenGang
     } else {
         Learnt::Lapsed
--- a/crates/bh-workload/src/dispatch/answers.rs
+++ b/crates/bh-workload/src/dispatch/answers.rs
@@ -174,7 +174,7 @@
         ended.any(|ended| ended.run == *run && ended.kind == EndKind::Failed)
     };
     // A listed run is kept until its end is recorded: until then the planner counts it as a possible failure.
-    target.unsaid.retain(|run| {
+    target.presumed_lost.retain(|run| {
         let is_running = report.running.iter().any(|running| running.run == *run);
         is_running || report.ended.iter().any(|ended| ended.run == *run)
     });
@@ -182,8 +182,10 @@
         || target
             .clock
             .is_some_and(|clock| clock.worker_ms <= target.granted_until_ms);
-    let unsaid = target.unsaid.iter().copied();
-    unsaid.filter(|run| in_lease && failed(run)).collect()
+    let presumed_lost = target.presumed_lost.iter().copied();
+    presumed_lost
+        .filter(|run| in_lease && failed(run))
+        .collect()
 }
 
 /// Ends of runs that the worker reports neither as running nor as ended, although it had confirmed the start or a stop before the probe was
--- a/crates/bh-workload/src/dispatch/dispatcher.rs
+++ b/crates/bh-workload/src/dispatch/dispatcher.rs
@@ -87,7 +87,7 @@
             target.said_ms = Some(now_ms);
             // This leader cannot know which of them were lost because a lease expired. It waits for all of them, so that it does not miss a
             // failure that another leader would have counted.
-            target.unsaid = worker.unheard.clone();
+            target.presumed_lost = worker.unheard.clone();
             target.lease_expiry_ms =
                 now_ms + LEADER_OVERLAP_MS + timing.lapse_after_ms(timing.lease_ms);
             for run in worker.runs.keys() {
@@ -222,12 +222,12 @@
             target.is_recorded = true;
             target.runs.retain(|run, _| worker.runs.contains_key(run));
             target
-                .unsaid
+                .presumed_lost
                 .retain(|run| worker.runs.contains_key(run) || worker.unheard.contains(run));
-            let unsaid = &target.unsaid;
+            let presumed_lost = &target.presumed_lost;
             target
                 .presumed_lost_expiring
-                .retain(|run| unsaid.contains(run));
+                .retain(|run| presumed_lost.contains(run));
             for run in worker.runs.keys() {
                 target
                     .runs
@@ -257,7 +257,7 @@
         let mut attempts: BTreeMap<StepId, BTreeSet<u32>> = BTreeMap::new();
         let targets = self.targets.values();
         let targets = targets.filter(|target| !target.has_lease_expired(now_ms));
-        for run in targets.flat_map(|target| &target.unsaid) {
+        for run in targets.flat_map(|target| &target.presumed_lost) {
             let of_step = attempts.entry(run.task.step).or_default();
             of_step.insert(run.attempt);
         }
--- a/crates/bh-workload/src/dispatch/target.rs
+++ b/crates/bh-workload/src/dispatch/target.rs
@@ -80,8 +80,8 @@
     pub expired_runs: BTreeMap<RunId, RunState>,
     /// Gang runs that are recorded as lost although the worker had not reported their end and its lease had not expired. The worker may
     /// still report that they failed.
-    pub unsaid: BTreeSet<RunId>,
-    /// Those of `unsaid` for which the expiry of the lease is being recorded.
+    pub presumed_lost: BTreeSet<RunId>,
+    /// Those of `presumed_lost` for which the expiry of the lease is being recorded.
     pub presumed_lost_expiring: BTreeSet<RunId>,
     /// Probes still to be sent to find out whether it has crashed, since another worker reports the same address.
     pub required_probes: u32,
@@ -227,7 +227,7 @@
             || self.needs_first_probe()
             || self.carrier_lost
             || self.required_probes > 0
-            || !self.unsaid.is_empty() && !self.is_failing()
+            || !self.presumed_lost.is_empty() && !self.is_failing()
             || !self.is_verified() && !self.is_failing()
             || self.announced_end
     }
@@ -264,7 +264,7 @@
 
     /// Whether the worker has runs or must be probed.
     pub fn needs_orders(&self) -> bool {
-        !self.runs.is_empty() || !self.unsaid.is_empty() || self.must_be_probed()
+        !self.runs.is_empty() || !self.presumed_lost.is_empty() || self.must_be_probed()
     }
 
     /// Grants a lease from `now_ms` on; returns its end on the worker's clock. While the worker does not answer, the lease is not extended:
--- a/crates/bh-workload/src/dispatch/worker_reconciler.rs
+++ b/crates/bh-workload/src/dispatch/worker_reconciler.rs
@@ -135,7 +135,7 @@
         }
         // Failures of members that are recorded as lost no longer count. Without recording that, each new leader would wait for this lease
         // again.
-        for run in self.worker.unheard.intersection(&target.unsaid) {
+        for run in self.worker.unheard.intersection(&target.presumed_lost) {
             if target.presumed_lost_expiring.insert(*run) {
                 self.ends.push(End {
                     run: *run,
@@ -173,7 +173,7 @@
             if have_started && self.broken_gangs.have_ended(times, &members, self.workload) {
                 for run in members {
                     self.end_without_report(target, run, EndKind::Lost);
-                    target.unsaid.insert(run);
+                    target.presumed_lost.insert(run);
                 }
             }
         }
