--- a/crates/bh-workload/src/dispatch/dispatcher.rs
+++ b/crates/bh-workload/src/dispatch/dispatcher.rs
@@ -84,7 +84,7 @@
             let target = dispatcher.target_mut(&worker.info.id);
             target.is_recorded = true;
             target.filling = FillPace::after_takeover();
-            target.said_ms = Some(now_ms);
+            target.info_ms = Some(now_ms);
             // This leader cannot know which of them were lost because a lease expired. It waits for all of them, so that it does not miss a
             // failure that another leader would have counted.
             target.presumed_lost = worker.unheard.clone();
@@ -104,7 +104,7 @@
     /// workers may have lost capacity meanwhile without a leader to report it to.
     pub fn with_old_record(mut self) -> Self {
         for target in self.targets.values_mut() {
-            target.said_ms = None;
+            target.info_ms = None;
         }
         self
     }
@@ -153,7 +153,7 @@
             self.due.insert(worker.clone());
         }
         target.last_heartbeat_ms = target.last_heartbeat_ms.max(Some(now_ms));
-        target.said_ms = target.said_ms.max(Some(now_ms));
+        target.info_ms = target.info_ms.max(Some(now_ms));
         if let Some(worker_ms) = clock_ms {
             target.note_clock(now_ms, worker_ms);
         }
--- a/crates/bh-workload/src/dispatch/target.rs
+++ b/crates/bh-workload/src/dispatch/target.rs
@@ -39,7 +39,7 @@
     pub last_heartbeat_ms: Option<u64>,
     /// When the record last held the worker's current particulars, on the leader's clock in milliseconds: at its last heartbeat, or at the
     /// election if the previous leader had received one.
-    pub said_ms: Option<u64>,
+    pub info_ms: Option<u64>,
     /// Until when it is slow after its start, as it last reported, on the leader's clock in milliseconds.
     pub cold_until_ms: u64,
     /// Until when it certainly runs while it is leaving, as it last reported, on the leader's clock in milliseconds.
@@ -153,7 +153,7 @@
         self.failing_since_ms = Some(now_ms);
         // It is unknown whether the previous leader heard the worker lately. It may have been silent for long, and have lost capacity.
         if self.last_heartbeat_ms.is_none() {
-            self.said_ms = None;
+            self.info_ms = None;
         }
         self.connection_broke = now_ms + TIMER_SLACK_MS < order.sent_ms + order.answer_within_ms();
     }
@@ -185,8 +185,8 @@
 
     /// Whether its recorded particulars are recent enough to give it work.
     pub fn is_current(&self, now_ms: u64, timing: &Timing) -> bool {
-        self.said_ms
-            .is_some_and(|said_ms| now_ms <= said_ms + timing.current_ms())
+        self.info_ms
+            .is_some_and(|info_ms| now_ms <= info_ms + timing.current_ms())
     }
 
     /// Whether its latest orders had no answer.
--- a/crates/bh-workload/tests/runnable.rs
+++ b/crates/bh-workload/tests/runnable.rs
@@ -242,14 +242,14 @@
     let worker = worker.info.id.clone();
     match why {
         Unusable::Unheard => {
-            let said_ms = site.now_ms;
+            let info_ms = site.now_ms;
             site.now_ms += Timing::DEFAULT.current_ms() + 1;
             for (other, _) in site.open_runs() {
                 site.dispatcher
                     .note_heartbeat(site.now_ms, &other, Some(site.now_ms));
             }
             let target = site.dispatcher.view(&worker).unwrap();
-            assert_eq!(target.said_ms, Some(said_ms));
+            assert_eq!(target.info_ms, Some(info_ms));
         }
         Unusable::Silent => {
             site.dispatcher.check_incarnations(&worker, &site.workload);
