--- a/crates/bh-workload/src/dispatch/crash.rs
+++ b/crates/bh-workload/src/dispatch/crash.rs
@@ -96,7 +96,7 @@
     workload: &Workload,
     leaving: bool,
 ) -> Vec<Suspect> {
-    let silent_ms = target.failing_since_ms.unwrap_or(now_ms);
+    let silent_ms = target.silent_since_ms.unwrap_or(now_ms);
     let since_ms = silent_ms.saturating_sub(AT_ONCE_MS);
     // A run whose lease has just run out is in both until that is recorded.
     let lapsed = || {
--- a/crates/bh-workload/src/dispatch/fleet_counts.rs
+++ b/crates/bh-workload/src/dispatch/fleet_counts.rs
@@ -38,14 +38,14 @@
             let is_outdated = !target.is_current(now_ms, dispatcher.timing());
             counts.workers_outdated += usize::from(is_outdated);
             counts.workers_set_aside += usize::from(now_ms < target.set_aside_until_ms);
-            counts.workers_silent += usize::from(target.is_failing());
+            counts.workers_silent += usize::from(target.is_silent());
             for run in worker.runs.keys() {
                 let run_state = target.runs.get(run);
                 counts.runs_unconfirmed +=
                     usize::from(!run_state.is_some_and(RunState::is_confirmed));
                 counts.runs_unreported +=
                     usize::from(run_state.is_some_and(|w| is_unreported(target, w)));
-                counts.runs_on_silent_workers += usize::from(target.is_failing());
+                counts.runs_on_silent_workers += usize::from(target.is_silent());
                 let is_stopping = !workload.wants(*run)
                     || run_state.is_some_and(|run_state| run_state.stop_requested);
                 counts.runs_stopping += usize::from(is_stopping);
@@ -57,7 +57,7 @@
 
 /// Whether the worker answers and its latest report, requested after the run's start was confirmed, does not list the run as running.
 pub(super) fn is_unreported(target: &Target, run_state: &RunState) -> bool {
-    !target.is_failing()
+    !target.is_silent()
         && run_state
             .confirmed_ms()
             .is_some_and(|at_ms| at_ms < target.report_requested_ms)
--- a/crates/bh-workload/src/dispatch/run_phase.rs
+++ b/crates/bh-workload/src/dispatch/run_phase.rs
@@ -61,7 +61,7 @@
             StartPhase::InFlight => (RunPhase::InFlight, ordered_ms),
             StartPhase::Unsure { .. } => (RunPhase::Unsure, ordered_ms),
             StartPhase::Confirmed { at_ms } => {
-                if let Some(since_ms) = target.failing_since_ms {
+                if let Some(since_ms) = target.silent_since_ms {
                     (RunPhase::Silent, since_ms)
                 } else if is_unreported(target, run_state) {
                     (
--- a/crates/bh-workload/src/dispatch/target.rs
+++ b/crates/bh-workload/src/dispatch/target.rs
@@ -47,7 +47,7 @@
     /// Whether it announced that it ends now. Its runs go on until it does, for seconds if it gets no acknowledgement.
     pub announced_end: bool,
     /// Since when orders to it have had no answer, on the leader's clock in milliseconds; `None` if it answers.
-    pub failing_since_ms: Option<u64>,
+    pub silent_since_ms: Option<u64>,
     /// Whether nothing listened at its address for an order that had no answer.
     pub not_listening: bool,
     /// Whether the first unanswered order failed before its timeout, because the connection broke: that happens when a process ends.
@@ -120,7 +120,7 @@
 
     /// Notes an answer: the worker is reachable, and its clock shows `clock_ms`.
     pub fn note_answer(&mut self, now_ms: u64, clock_ms: Option<u64>) {
-        self.failing_since_ms = None;
+        self.silent_since_ms = None;
         self.not_listening = false;
         self.carrier_lost = false;
         self.required_probes = 0;
@@ -147,10 +147,10 @@
     pub fn note_no_answer(&mut self, now_ms: u64, order: &Order) {
         /// Tolerance for late timers and a late event loop, in milliseconds.
         const TIMER_SLACK_MS: u64 = 50;
-        if self.is_failing() {
+        if self.is_silent() {
             return;
         }
-        self.failing_since_ms = Some(now_ms);
+        self.silent_since_ms = Some(now_ms);
         // It is unknown whether the previous leader heard the worker lately. It may have been silent for long, and have lost capacity.
         if self.last_heartbeat_ms.is_none() {
             self.info_ms = None;
@@ -161,7 +161,7 @@
     /// Whether it ended abruptly: it answered until it was found to be gone, or the connection broke, so its runs had no time to end
     /// without a report. This is unknown if the core that carried an order to it was lost and the worker has not been heard since.
     pub fn ended_abruptly(&self) -> bool {
-        !self.carrier_lost && (!self.is_failing() || self.connection_broke)
+        !self.carrier_lost && (!self.is_silent() || self.connection_broke)
     }
 
     /// Whether it announced that it ends, and has ended: nothing listens at its address, or nothing runs there.
@@ -180,7 +180,7 @@
 
     /// Whether its clock is known and its last order was answered. Otherwise it gets no work.
     pub fn answers(&self) -> bool {
-        self.clock.is_some() && !self.is_failing() && !self.carrier_lost
+        self.clock.is_some() && !self.is_silent() && !self.carrier_lost
     }
 
     /// Whether its recorded particulars are recent enough to give it work.
@@ -190,20 +190,20 @@
     }
 
     /// Whether its latest orders had no answer.
-    pub fn is_failing(&self) -> bool {
-        self.failing_since_ms.is_some()
+    pub fn is_silent(&self) -> bool {
+        self.silent_since_ms.is_some()
     }
 
     /// Whether its lease has certainly expired at `now_ms`. While there is no answer, no lease is renewed, no matter whether the worker or
     /// the carrier is the cause.
     pub fn has_lease_expired(&self, now_ms: u64) -> bool {
-        (self.is_failing() || self.carrier_lost) && now_ms >= self.lease_expiry_ms
+        (self.is_silent() || self.carrier_lost) && now_ms >= self.lease_expiry_ms
     }
 
     /// Whether a worker that did not answer has sent a heartbeat since. A probe then tells whether it can be used again; without the probe, a
     /// worker that was cut off while it had no runs would never get work again.
     pub fn is_heard_again(&self) -> bool {
-        self.failing_since_ms.is_some_and(|since_ms| {
+        self.silent_since_ms.is_some_and(|since_ms| {
             self.last_heartbeat_ms
                 .is_some_and(|heard_ms| heard_ms > since_ms)
         })
@@ -212,7 +212,7 @@
     /// Whether the leader has not read its clock yet. A new leader knows the workers from the record but may give them work only once it
     /// has read their clocks. Their next heartbeats bring the clocks too, but a second or two later, and urgent work would wait for that.
     pub fn needs_first_probe(&self) -> bool {
-        self.clock.is_none() && !self.is_failing()
+        self.clock.is_none() && !self.is_silent()
     }
 
     /// Whether the worker does not know yet that some of the ends it reported are recorded.
@@ -227,8 +227,8 @@
             || self.needs_first_probe()
             || self.carrier_lost
             || self.required_probes > 0
-            || !self.presumed_lost.is_empty() && !self.is_failing()
-            || !self.is_verified() && !self.is_failing()
+            || !self.presumed_lost.is_empty() && !self.is_silent()
+            || !self.is_verified() && !self.is_silent()
             || self.announced_end
     }
 
@@ -271,7 +271,7 @@
     /// the worker may receive orders although its answers are lost, and its lease would never expire. For the same reason the lease is not
     /// extended after a carrier was lost until the first answer through another one.
     pub fn grant(&mut self, now_ms: u64, timing: &Timing) -> Option<u64> {
-        if self.is_failing() || self.carrier_lost {
+        if self.is_silent() || self.carrier_lost {
             return (self.granted_until_ms > 0).then_some(self.granted_until_ms);
         }
         let reading = self.clock?;
--- a/crates/bh-workload/src/dispatch/worker_reconciler.rs
+++ b/crates/bh-workload/src/dispatch/worker_reconciler.rs
@@ -65,7 +65,7 @@
     pub fn reconcile(&mut self, target: &mut Target) {
         if target.has_lease_expired(self.now_ms) {
             self.end_expired_runs(target);
-        } else if target.is_failing() {
+        } else if target.is_silent() {
             self.end_broken_gangs(target);
         }
         if target.restart.is_some() {
@@ -227,7 +227,7 @@
             _ => true,
         };
         let has_other_incarnation = self.workload.has_other_incarnation(&self.worker.info.id);
-        target.is_verified() && !target.is_failing() && is_reported && !has_other_incarnation
+        target.is_verified() && !target.is_silent() && is_reported && !has_other_incarnation
     }
 
     fn send_start(&mut self, target: &mut Target, run: RunId) {
@@ -238,7 +238,7 @@
             .is_some_and(|run_state| run_state.start == StartPhase::Unsent);
         // Ends the run at once, so that its gang or its next attempt does not wait until this worker is heard again or its lease has
         // expired.
-        if is_unsent && (target.is_failing() || !target.is_current(now_ms, self.timing)) {
+        if is_unsent && (target.is_silent() || !target.is_current(now_ms, self.timing)) {
             self.record_not_started(target, run);
             return;
         }
@@ -356,7 +356,7 @@
             .is_some_and(|run_state| run_state.start == StartPhase::Unsent);
         if is_unsent {
             self.record_not_started(target, run);
-        } else if !target.is_failing() {
+        } else if !target.is_silent() {
             if let Some(run_state) = target.runs.get_mut(&run) {
                 run_state.stop_requested = true;
             }
@@ -439,7 +439,7 @@
             .any(|run_state| matches!(run_state.start, StartPhase::Unsure { .. }));
         let answer_at_once = target.runs.is_empty()
             || has_unsure_start
-            || target.is_failing()
+            || target.is_silent()
             || target.carrier_lost
             || !target.is_verified();
         let wait_ms = if answer_at_once {
@@ -460,7 +460,7 @@
         // Acknowledges ends only to a worker that answered its last probe: a restarted worker would discard new ends that have the same
         // numbers.
         let may_acknowledge = target.has_unacknowledged_ends()
-            && !target.is_failing()
+            && !target.is_silent()
             && target.is_verified()
             && !has_other_incarnation;
         let recorded_to = if may_acknowledge {
--- a/crates/bh-workload/src/plan/leaving.rs
+++ b/crates/bh-workload/src/plan/leaving.rs
@@ -54,7 +54,7 @@
             return Vec::new();
         };
         // A worker that does not answer cannot be told to stop anything.
-        let Some(leaves_ms) = target.leaves_ms.filter(|_| !target.is_failing()) else {
+        let Some(leaves_ms) = target.leaves_ms.filter(|_| !target.is_silent()) else {
             return Vec::new();
         };
         let is_cut_short = |run: &RunId| {
--- a/crates/bh-workload/src/plan/overdue.rs
+++ b/crates/bh-workload/src/plan/overdue.rs
@@ -56,7 +56,7 @@
             continue;
         };
         // A worker that does not answer tells nothing of its runs.
-        if target.is_failing() {
+        if target.is_silent() {
             continue;
         }
         for (run, run_state) in &target.runs {
--- a/crates/bh-workload/src/plan/room.rs
+++ b/crates/bh-workload/src/plan/room.rs
@@ -98,7 +98,7 @@
 
 /// Why the worker behind `target` can't be given work, as far as its answers tell.
 fn not_ready(target: &Target, dispatcher: &Dispatcher, now_ms: u64) -> Option<Unusable> {
-    if target.is_failing() || target.carrier_lost {
+    if target.is_silent() || target.carrier_lost {
         Some(Unusable::Silent)
     } else if !target.answers() {
         Some(Unusable::Unheard)
--- a/crates/bh-workload/tests/lost_carriers.rs
+++ b/crates/bh-workload/tests/lost_carriers.rs
@@ -73,7 +73,7 @@
     let on = going_on(&site, run);
     answer(&mut site, &second, &on);
     let target = site.dispatcher.view(&worker_id("w00")).unwrap();
-    assert!(target.answers() && !target.is_failing());
+    assert!(target.answers() && !target.is_silent());
 }
 
 /// Carriers are lost again and again, each after it has sent the look on. The worker hears every look, and nobody hears the worker: a lease that
