--- a/crates/bh-workload/src/dispatch/dispatcher.rs
+++ b/crates/bh-workload/src/dispatch/dispatcher.rs
@@ -83,7 +83,7 @@
         for worker in workload.workers() {
             let target = dispatcher.target_mut(&worker.info.id);
             target.is_recorded = true;
-            target.filling = FillPace::after_takeover();
+            target.fill_pace = FillPace::after_takeover();
             target.info_ms = Some(now_ms);
             // This leader cannot know which of them were lost because a lease expired. It waits for all of them, so that it does not miss a
             // failure that another leader would have counted.
--- a/crates/bh-workload/src/dispatch/pacing.rs
+++ b/crates/bh-workload/src/dispatch/pacing.rs
@@ -35,7 +35,7 @@
     workload: &Workload,
 ) {
     if !worker.runs.keys().any(|run| is_fill_task(workload, *run)) {
-        target.filling = FillPace::default();
+        target.fill_pace = FillPace::default();
         return;
     }
     let max_tail_percent = target
@@ -45,8 +45,8 @@
             Some(run_state.load * 100 / tail_target_ms(workload, *run)?.max(1))
         })
         .max();
-    target.filling.adjust(now_ms, max_tail_percent);
-    let percent = target.filling.percent();
+    target.fill_pace.adjust(now_ms, max_tail_percent);
+    let percent = target.fill_pace.percent();
     for (run, run_state) in &mut target.runs {
         if is_fill_task(workload, *run) {
             run_state.pace.wanted_percent = percent;
--- a/crates/bh-workload/src/dispatch/target.rs
+++ b/crates/bh-workload/src/dispatch/target.rs
@@ -94,7 +94,7 @@
     /// Set once another incarnation of the worker answered in its place.
     pub restart: Option<Restart>,
     /// Speed of the tasks there that only use idle processors.
-    pub filling: FillPace,
+    pub fill_pace: FillPace,
     /// Jobs with runs that failed there since the last success.
     pub failed_jobs: Vec<JobId>,
     /// No new work before this time, on the leader's clock in milliseconds.
--- a/crates/bh-workload/src/plan/room.rs
+++ b/crates/bh-workload/src/plan/room.rs
@@ -161,7 +161,7 @@
             promised: Needs::default(),
             held: Needs::default(),
             runs,
-            fill_percent: view.map_or(100, |target| target.filling.percent()),
+            fill_percent: view.map_or(100, |target| target.fill_pace.percent()),
             kept: false,
             just_begun: begun.any,
             cold: view.is_some_and(|target| now_ms < target.cold_until_ms),
