--- a/crates/bh-workload/src/dispatch/crash.rs
+++ b/crates/bh-workload/src/dispatch/crash.rs
@@ -27,7 +27,7 @@
 /// How long a run must have been at work until other runs may begin beside it again, in milliseconds, when `crashes` workers have crashed under its
 /// task. Were others begun beside it sooner, they would be lost with it if it crashes its worker, and nothing would tell which of them did.
 /// After two crashes that proved nothing it may be one that crashes its worker later on.
-pub fn apart_ms(crashes: u32) -> u64 {
+pub fn isolation_ms(crashes: u32) -> u64 {
     match crashes {
         0 => 0,
         1 => JUST_BEGUN_MS,
--- a/crates/bh-workload/src/dispatch/mod.rs
+++ b/crates/bh-workload/src/dispatch/mod.rs
@@ -20,7 +20,7 @@
 mod worker_reconciler;
 
 pub use broken_gangs::BrokenGangs;
-pub use crash::apart_ms;
+pub use crash::isolation_ms;
 pub use dispatcher::Dispatcher;
 pub use fill_pace::FillPace;
 pub use fleet_counts::FleetCounts;
--- a/crates/bh-workload/src/plan/room.rs
+++ b/crates/bh-workload/src/plan/room.rs
@@ -6,7 +6,7 @@
 use crate::dispatch::Dispatcher;
 use crate::dispatch::RunState;
 use crate::dispatch::Target;
-use crate::dispatch::apart_ms;
+use crate::dispatch::isolation_ms;
 use crate::job::Needs;
 use crate::job::StepId;
 use crate::state::Task;
@@ -37,7 +37,7 @@
             let at_work_ms = run_state.map_or(0, RunState::at_work_ms);
             let crashes = workload.task(run.task).map_or(0, Task::all_crashes);
             begun.any |= run_state.is_none_or(RunState::has_just_begun);
-            begun.suspect |= at_work_ms < apart_ms(crashes);
+            begun.suspect |= at_work_ms < isolation_ms(crashes);
         }
         begun
     }
