--- a/crates/bh-workload/src/dispatch/crash.rs
+++ b/crates/bh-workload/src/dispatch/crash.rs
@@ -76,7 +76,7 @@
     }
 
     /// Whether it may have begun, and was not yet seen at work for long.
-    pub fn has_just_begun(&self) -> bool {
+    pub fn has_just_started(&self) -> bool {
         self.start != StartPhase::Unsent && self.at_work_ms() < JUST_BEGUN_MS
     }
 }
@@ -106,7 +106,7 @@
     let runs = || target.runs.iter().chain(lapsed());
     let alone = |run: &RunId| {
         runs()
-            .filter(|(_, run_state)| run_state.has_just_begun())
+            .filter(|(_, run_state)| run_state.has_just_started())
             .all(|(other, _)| are_together(workload, run, other))
     };
     let evidence = |run: &RunId, run_state: &RunState| {
