--- a/crates/bh-control/src/core/heartbeats.rs
+++ b/crates/bh-control/src/core/heartbeats.rs
@@ -90,7 +90,7 @@
         ..heartbeat.info.clone()
     };
     let is_news = known.is_none_or(|worker| {
-        info.sequence >= worker.info.sequence && !worker.info.says_the_same(&info)
+        info.sequence >= worker.info.sequence && !worker.info.equals_ignoring_sequence(&info)
     });
     if is_news {
         changes.push(WorkerChange::Known(info));
--- a/crates/bh-control/src/core/unheard.rs
+++ b/crates/bh-control/src/core/unheard.rs
@@ -36,7 +36,7 @@
     pub fn tell(&mut self, dispatcher: &mut Dispatcher, workload: &Workload) {
         for (id, (heard_ms, heartbeat)) in std::mem::take(&mut self.by_worker) {
             let is_known = workload.worker(&id).is_some_and(|worker| {
-                worker.info.says_the_same(&heartbeat.info)
+                worker.info.equals_ignoring_sequence(&heartbeat.info)
                     && worker.draining == heartbeat.draining
                     && worker.info.sequence <= heartbeat.sequence
             });
--- a/crates/bh-workload/src/state/worker.rs
+++ b/crates/bh-workload/src/state/worker.rs
@@ -37,7 +37,7 @@
 
 impl WorkerInfo {
     /// Whether two heartbeats say the same, whichever came first.
-    pub fn says_the_same(&self, other: &WorkerInfo) -> bool {
+    pub fn equals_ignoring_sequence(&self, other: &WorkerInfo) -> bool {
         let renumbered = WorkerInfo {
             sequence: self.sequence,
             ..other.clone()
