--- a/crates/bh-workload/src/dispatch/dispatcher.rs
+++ b/crates/bh-workload/src/dispatch/dispatcher.rs
@@ -283,7 +283,7 @@
     }
 
     /// Number of workers that temporarily get no new work because runs failed there.
-    pub fn count_aside(&self, now_ms: u64) -> usize {
+    pub fn count_set_aside(&self, now_ms: u64) -> usize {
         let targets = self.targets.values();
         targets
             .filter(|target| now_ms < target.set_aside_until_ms)
--- a/crates/bh-workload/src/plan/room.rs
+++ b/crates/bh-workload/src/plan/room.rs
@@ -93,7 +93,7 @@
 fn are_many_aside(workload: &Workload, dispatcher: &Dispatcher, now_ms: u64) -> bool {
     /// Share of the workers that may be at fault at a time, in percent.
     const AT_FAULT_PERCENT: usize = 34;
-    dispatcher.count_aside(now_ms) * 100 > workload.worker_count() * AT_FAULT_PERCENT
+    dispatcher.count_set_aside(now_ms) * 100 > workload.worker_count() * AT_FAULT_PERCENT
 }
 
 /// Why the worker behind `target` can't be given work, as far as its answers tell.
