--- a/crates/bh-control/src/core/leader_loop.rs
+++ b/crates/bh-control/src/core/leader_loop.rs
@@ -116,7 +116,7 @@
     let gap_ms = gap_ms(core, now_ms, &workload);
     let mut dispatcher = Dispatcher::new(core.config.timing(), term, now_ms, &workload);
     if gap_ms > SHORT_GAP_MS {
-        dispatcher = dispatcher.with_old_record();
+        dispatcher = dispatcher.with_outdated_worker_info();
     }
     core.unheard.borrow_mut().tell(&mut dispatcher, &workload);
     let inherited = Inherited::new(&workload);
--- a/crates/bh-control/tests/unheard.rs
+++ b/crates/bh-control/tests/unheard.rs
@@ -61,7 +61,8 @@
     unheard.note(came_ms, &heartbeat("taken", 8), &heard);
 
     let timing = Timing::DEFAULT;
-    let mut dispatcher = Dispatcher::new(timing, 2, ELECTED_MS, &workload).with_old_record();
+    let mut dispatcher =
+        Dispatcher::new(timing, 2, ELECTED_MS, &workload).with_outdated_worker_info();
     unheard.tell(&mut dispatcher, &workload);
     let is_current = |id: &str| {
         let target = dispatcher.view(&Incarnation::parse(id).unwrap());
--- a/crates/bh-workload/src/dispatch/dispatcher.rs
+++ b/crates/bh-workload/src/dispatch/dispatcher.rs
@@ -102,7 +102,7 @@
 
     /// Requires a heartbeat from each worker before it is given work. Used when there was no leader for a while, or for an unknown time:
     /// workers may have lost capacity meanwhile without a leader to report it to.
-    pub fn with_old_record(mut self) -> Self {
+    pub fn with_outdated_worker_info(mut self) -> Self {
         for target in self.targets.values_mut() {
             target.info_ms = None;
         }
--- a/crates/bh-workload/tests/delays/leader.rs
+++ b/crates/bh-workload/tests/delays/leader.rs
@@ -378,7 +378,7 @@
         let (term, now_ms) = (self.term, self.now_ms);
         let mut dispatcher = Dispatcher::new(self.fleet().timing, term, now_ms, &self.record);
         if gap_ms > SHORT_GAP_MS {
-            dispatcher = dispatcher.with_old_record();
+            dispatcher = dispatcher.with_outdated_worker_info();
         }
         self.note(|| format!("core{core} leads in term {term}"));
         self.leader = Some(Leader {
--- a/crates/bh-workload/tests/shrinking_workers.rs
+++ b/crates/bh-workload/tests/shrinking_workers.rs
@@ -140,8 +140,8 @@
 fn after_a_time_without_a_leader_workers_are_heard_first() {
     let mut site = Site::new(2, 2);
     site.now_ms += 10_000;
-    site.dispatcher =
-        Dispatcher::new(Timing::DEFAULT, 2, site.now_ms, &site.workload).with_old_record();
+    site.dispatcher = Dispatcher::new(Timing::DEFAULT, 2, site.now_ms, &site.workload)
+        .with_outdated_worker_info();
     site.submit(0, "other", vec![step(2, 8)]);
     site.report();
     assert!(site.plan().starts.is_empty());
