--- a/crates/bh-workload/src/dispatch/fleet_counts.rs
+++ b/crates/bh-workload/src/dispatch/fleet_counts.rs
@@ -46,7 +46,7 @@
                 counts.runs_unreported +=
                     usize::from(run_state.is_some_and(|w| is_unreported(target, w)));
                 counts.runs_on_silent_workers += usize::from(target.is_silent());
-                let is_stopping = !workload.wants(*run)
+                let is_stopping = !workload.should_run(*run)
                     || run_state.is_some_and(|run_state| run_state.stop_requested);
                 counts.runs_stopping += usize::from(is_stopping);
             }
--- a/crates/bh-workload/src/dispatch/run_phase.rs
+++ b/crates/bh-workload/src/dispatch/run_phase.rs
@@ -53,7 +53,7 @@
             return (RunPhase::Ending, target.reported_ms.max(run_state.since_ms));
         }
         let ordered_ms = run_state.first_sent_ms.unwrap_or(run_state.since_ms);
-        if !workload.wants(run) || run_state.stop_requested {
+        if !workload.should_run(run) || run_state.stop_requested {
             return (RunPhase::Stopping, ordered_ms);
         }
         match run_state.start {
--- a/crates/bh-workload/src/dispatch/worker_reconciler.rs
+++ b/crates/bh-workload/src/dispatch/worker_reconciler.rs
@@ -79,7 +79,7 @@
         let runs: Vec<RunId> = target.runs.keys().copied().collect();
         for run in runs {
             let recorded = self.worker.runs.contains_key(&run);
-            let wanted = recorded && self.workload.wants(run);
+            let wanted = recorded && self.workload.should_run(run);
             let Some(run_state) = target
                 .runs
                 .get(&run)
--- a/crates/bh-workload/src/plan/explain.rs
+++ b/crates/bh-workload/src/plan/explain.rs
@@ -201,7 +201,7 @@
                 worker: worker.info.id.clone(),
                 percent: run_state.map_or(0, |run_state| run_state.percent),
                 report_age_ms: target.map_or(0, |t| now_ms.saturating_sub(t.reported_ms)),
-                is_stopping: !workload.wants(*run)
+                is_stopping: !workload.should_run(*run)
                     || run_state.is_some_and(|run_state| run_state.stop_requested),
                 phase: Some(phase),
             });
--- a/crates/bh-workload/src/plan/keep_room.rs
+++ b/crates/bh-workload/src/plan/keep_room.rs
@@ -92,7 +92,7 @@
                 let since_ms = target.runs.get(run)?.since_ms;
                 let job = self.workload.job(run.task.step.job)?;
                 let spec = job.step_spec(run.task.step)?;
-                if spec.long_running && self.workload.wants(*run) {
+                if spec.long_running && self.workload.should_run(*run) {
                     return None;
                 }
                 let expected_ms = self
--- a/crates/bh-workload/src/plan/leaving.rs
+++ b/crates/bh-workload/src/plan/leaving.rs
@@ -78,7 +78,7 @@
         let Some(spec) = spec.filter(|spec| spec.gang && !spec.long_running) else {
             return false;
         };
-        if !job.wants(run) {
+        if !job.should_run(run) {
             return false;
         }
         let queue = &job.queue.name;
--- a/crates/bh-workload/src/plan/make_room.rs
+++ b/crates/bh-workload/src/plan/make_room.rs
@@ -127,7 +127,7 @@
         let target = self.dispatcher.view(&worker.info.id);
         let runs = worker.runs.iter().map(|(run, needs)| {
             let run_state = target.and_then(|target| target.runs.get(run));
-            let stopping = !self.workload.wants(*run)
+            let stopping = !self.workload.should_run(*run)
                 || run_state.is_some_and(|run_state| run_state.stop_requested);
             let ran_ms = run_state.map_or(0, |run_state| {
                 self.now_ms.saturating_sub(run_state.since_ms)
--- a/crates/bh-workload/src/plan/overdue.rs
+++ b/crates/bh-workload/src/plan/overdue.rs
@@ -60,7 +60,7 @@
             continue;
         }
         for (run, run_state) in &target.runs {
-            if run_state.stop_requested || !workload.wants(*run) {
+            if run_state.stop_requested || !workload.should_run(*run) {
                 continue;
             }
             let Some(job) = workload.job(run.task.step.job) else {
--- a/crates/bh-workload/src/state/job.rs
+++ b/crates/bh-workload/src/state/job.rs
@@ -127,7 +127,7 @@
     }
 
     /// Whether a recorded run should go on: the job goes on, the run is the task's newest, and its gang is whole.
-    pub fn wants(&self, run: RunId) -> bool {
+    pub fn should_run(&self, run: RunId) -> bool {
         if self.outcome.is_some() {
             return false;
         }
--- a/crates/bh-workload/src/state/workload.rs
+++ b/crates/bh-workload/src/state/workload.rs
@@ -253,10 +253,10 @@
     }
 
     /// Whether a recorded run should go on.
-    pub fn wants(&self, run: RunId) -> bool {
+    pub fn should_run(&self, run: RunId) -> bool {
         self.jobs
             .get(&run.task.step.job)
-            .is_some_and(|job| job.wants(run))
+            .is_some_and(|job| job.should_run(run))
     }
 
     /// Failed runs after which a job is given up.
