--- a/crates/bh-control/src/core/leader_loop.rs
+++ b/crates/bh-control/src/core/leader_loop.rs
@@ -18,7 +18,7 @@
 use bh_workload::plan::Planner;
 use bh_workload::state::Command;
 use bh_workload::state::Workload;
-use bh_workload::upkeep::Keeper;
+use bh_workload::upkeep::WaveScheduler;
 use local_sync::mpsc::unbounded;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -125,7 +125,7 @@
     let broken = workload.active_jobs().map(|(id, job)| job.broken_gangs(id));
     let gangs_broken: usize = broken.sum();
     drop(workload);
-    let keeper = Keeper::new(
+    let wave_scheduler = WaveScheduler::new(
         core.config.name.clone(),
         term,
         now_ms,
@@ -133,7 +133,7 @@
     );
     *core.leadership.borrow_mut() = Some(Leadership {
         term,
-        keeper,
+        wave_scheduler,
         dispatcher,
         planner: Planner::new(),
         starts_record: StartsRecord::new(),
--- a/crates/bh-control/src/core/leadership.rs
+++ b/crates/bh-control/src/core/leadership.rs
@@ -6,7 +6,7 @@
 use bh_protocol::Incarnation;
 use bh_workload::dispatch::Dispatcher;
 use bh_workload::plan::Planner;
-use bh_workload::upkeep::Keeper;
+use bh_workload::upkeep::WaveScheduler;
 use std::collections::BTreeMap;
 
 /// A leader's own state; gone with the leadership.
@@ -14,7 +14,7 @@
     /// Its term.
     pub term: u64,
     /// Upkeep of VMs.
-    pub keeper: Keeper,
+    pub wave_scheduler: WaveScheduler,
     /// Orders to workers.
     pub dispatcher: Dispatcher,
     /// The plan.
--- a/crates/bh-control/src/core/upkeep.rs
+++ b/crates/bh-control/src/core/upkeep.rs
@@ -28,9 +28,9 @@
     let workload = core.group.machine.read();
     let times = (now_ms, core.wall_ms());
     let steps = leadership
-        .keeper
+        .wave_scheduler
         .steps(times, &workload, &leadership.dispatcher);
-    let emptied = leadership.keeper.emptied_workers(&workload);
+    let emptied = leadership.wave_scheduler.emptied_workers(&workload);
     leadership.dispatcher.set_emptied(emptied);
     for step in steps {
         match step {
@@ -60,7 +60,7 @@
         log::warn!("not recorded: {failure}");
     }
     if let (Some(vm), Some(leadership)) = (vm, core.leadership.borrow_mut().as_mut()) {
-        leadership.keeper.note_recorded(&vm);
+        leadership.wave_scheduler.note_recorded(&vm);
     }
     core.wake();
 }
@@ -82,7 +82,11 @@
         .borrow_mut()
         .as_mut()
         .filter(|leadership| leadership.term == order.token)
-        .and_then(|leadership| leadership.keeper.note_answer(now_ms, &order, answer));
+        .and_then(|leadership| {
+            leadership
+                .wave_scheduler
+                .note_answer(now_ms, &order, answer)
+        });
     if let Some(command) = command {
         log_departures(&core, order.token, &command, Learnt::Upkeep);
         record(core, command).await;
--- a/crates/bh-workload/src/upkeep/keeper.rs
+++ b/crates/bh-workload/src/upkeep/wave_scheduler.rs
@@ -49,7 +49,7 @@
 
 /// The leader's view of all waves; lost with the leadership and built anew from the record.
 #[derive(Clone, Debug)]
-pub struct Keeper {
+pub struct WaveScheduler {
     holder: Arc<str>,
     token: u64,
     upkeep_ms: u64,
@@ -62,7 +62,7 @@
     recording: BTreeSet<Arc<str>>,
 }
 
-impl Keeper {
+impl WaveScheduler {
     /// The keeper of the core `holder` that was elected at `now_ms` with `token`. The former leader may still believe that it leads, for as
     /// long as the lease of VM orders: none is given before, so that two cores never take turns.
     pub fn new(holder: Arc<str>, token: u64, now_ms: u64, timing: &Timing) -> Self {
--- a/crates/bh-workload/tests/upkeep.rs
+++ b/crates/bh-workload/tests/upkeep.rs
@@ -13,10 +13,10 @@
 use bh_workload::state::WaveSpec;
 use bh_workload::state::WorkerChange;
 use bh_workload::state::WorkerInfo;
-use bh_workload::upkeep::Keeper;
 use bh_workload::upkeep::Step;
 use bh_workload::upkeep::UpkeepAnswer;
 use bh_workload::upkeep::UpkeepOrder;
+use bh_workload::upkeep::WaveScheduler;
 use rstest::rstest;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -32,7 +32,7 @@
 /// A site whose VMs the service below takes down and brings up again.
 struct Fleet {
     site: Site,
-    keeper: Keeper,
+    wave_scheduler: WaveScheduler,
     /// When each VM that is down comes up, and what its worker is then.
     down: BTreeMap<Arc<str>, (u64, WorkerInfo)>,
     /// Upkeeps that were begun, by VM.
@@ -58,10 +58,11 @@
         };
         let now_ms = site.wall_ms();
         site.workload.apply(Command::StartWave { spec, now_ms });
-        let keeper = Keeper::new(Arc::from("core-1"), 1, site.now_ms, &Timing::DEFAULT);
+        let wave_scheduler =
+            WaveScheduler::new(Arc::from("core-1"), 1, site.now_ms, &Timing::DEFAULT);
         Self {
             site,
-            keeper,
+            wave_scheduler,
             down: BTreeMap::new(),
             begun: BTreeMap::new(),
             most_down: 0,
@@ -96,7 +97,7 @@
         match step {
             Step::Record(command) => {
                 if let Command::Upkeep { vm, .. } = &command {
-                    self.keeper.note_recorded(vm);
+                    self.wave_scheduler.note_recorded(vm);
                 }
                 self.site.workload.apply(command);
             }
@@ -110,7 +111,9 @@
                 if self.lost_answers && !self.answers.is_multiple_of(3) {
                     answer = UpkeepAnswer::Lost;
                 }
-                let command = self.keeper.note_answer(self.site.now_ms, &order, answer);
+                let command = self
+                    .wave_scheduler
+                    .note_answer(self.site.now_ms, &order, answer);
                 command.into_iter().for_each(|command| {
                     self.site.workload.apply(command);
                 });
@@ -137,9 +140,9 @@
         self.site.take_events();
         let times = (now_ms, self.site.wall_ms());
         let steps = self
-            .keeper
+            .wave_scheduler
             .steps(times, &self.site.workload, &self.site.dispatcher);
-        let emptied = self.keeper.emptied_workers(&self.site.workload);
+        let emptied = self.wave_scheduler.emptied_workers(&self.site.workload);
         self.site.dispatcher.set_emptied(emptied);
         for step in steps {
             self.carry_out(step);
@@ -175,7 +178,8 @@
         if turns == 100 {
             let now_ms = fleet.site.now_ms;
             fleet.site.take_over(2);
-            fleet.keeper = Keeper::new(Arc::from("core-2"), 2, now_ms, &Timing::DEFAULT);
+            fleet.wave_scheduler =
+                WaveScheduler::new(Arc::from("core-2"), 2, now_ms, &Timing::DEFAULT);
         }
     }
     assert!(fleet.down.is_empty(), "called over while a VM is down");
@@ -205,14 +209,15 @@
         fleet.site.advance(TURN_MS);
         let times = (fleet.site.now_ms, fleet.site.wall_ms());
         for step in fleet
-            .keeper
+            .wave_scheduler
             .steps(times, &fleet.site.workload, &fleet.site.dispatcher)
         {
             if let Step::Order(order) = &step {
                 let now_ms = fleet.site.now_ms;
-                let command = fleet
-                    .keeper
-                    .note_answer(now_ms, order, UpkeepAnswer::NotPart);
+                let command =
+                    fleet
+                        .wave_scheduler
+                        .note_answer(now_ms, order, UpkeepAnswer::NotPart);
                 fleet.site.workload.apply(command.unwrap());
             } else {
                 fleet.carry_out(step);
