--- a/crates/bh-control/src/core/upkeep.rs
+++ b/crates/bh-control/src/core/upkeep.rs
@@ -7,7 +7,7 @@
 use super::worker_calls::Answered;
 use super::worker_calls::Unanswered;
 use bh_workload::state::Command;
-use bh_workload::upkeep::Step;
+use bh_workload::upkeep::UpkeepAction;
 use bh_workload::upkeep::UpkeepAnswer;
 use bh_workload::upkeep::UpkeepOrder;
 use std::net::SocketAddr;
@@ -34,14 +34,14 @@
     leadership.dispatcher.set_emptied(emptied);
     for step in steps {
         match step {
-            Step::Record(command) => {
+            UpkeepAction::Record(command) => {
                 monoio::spawn(record(core.clone(), command));
             }
-            Step::Stop(worker, run) => {
+            UpkeepAction::Stop(worker, run) => {
                 log::info!(run = run.to_string(), worker = worker.to_string(); "stopped for the upkeep of its VM");
                 leadership.dispatcher.request_stop(&worker, run);
             }
-            Step::Order(order) => {
+            UpkeepAction::Order(order) => {
                 monoio::spawn(send(core.clone(), address, order));
             }
         }
--- a/crates/bh-workload/src/upkeep/mod.rs
+++ b/crates/bh-workload/src/upkeep/mod.rs
@@ -1,4 +1,4 @@
-//! Waves of upkeep: which VM is emptied and serviced when.
+//! Upkeep waves: decides which VM is emptied and serviced next, and when.
 
 mod emptying;
 mod order;
@@ -7,5 +7,5 @@
 pub use emptying::Emptying;
 pub use order::UpkeepAnswer;
 pub use order::UpkeepOrder;
-pub use wave_scheduler::Step;
+pub use wave_scheduler::UpkeepAction;
 pub use wave_scheduler::WaveScheduler;
--- a/crates/bh-workload/src/upkeep/order.rs
+++ b/crates/bh-workload/src/upkeep/order.rs
@@ -1,34 +1,34 @@
-//! What the platform of the VMs is asked for.
+//! Orders to the VM platform, and their answers.
 
 use bh_protocol::Incarnation;
 use std::sync::Arc;
 
-/// Asks for the upkeep of one VM. Everything that runs on it ends at once.
+/// Asks for the upkeep of one VM, which ends everything that runs on it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpkeepOrder {
     /// Number of the wave.
     pub wave: u64,
     /// The VM.
     pub vm: Arc<str>,
-    /// Worker that lived on it when it was decided.
+    /// Worker that ran on it when the order was decided.
     pub worker: Option<Incarnation>,
-    /// Who asks: name of the leading core.
+    /// Name of the leading core, which sends the order.
     pub holder: Arc<str>,
     /// Fencing token: the leader's term.
     pub token: u64,
 }
 
-/// What came back.
+/// The outcome of an upkeep order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpkeepAnswer {
-    /// It has begun, or is over already.
+    /// The upkeep has started, or has ended already.
     Done,
-    /// Somebody with a higher token has asked since.
+    /// An order with a higher token has arrived since.
     Fenced,
-    /// The VM is not up, or is leaving.
+    /// The VM is not up, or is shutting down.
     Busy,
-    /// The VM does not belong to the wave, or there is none of that name.
+    /// The VM does not belong to the wave or does not exist.
     NotPart,
-    /// No whole answer: it may have begun.
+    /// No complete answer: the upkeep may have started.
     Lost,
 }
--- a/crates/bh-workload/src/upkeep/wave_scheduler.rs
+++ b/crates/bh-workload/src/upkeep/wave_scheduler.rs
@@ -1,4 +1,4 @@
-//! Decides which VM is next and when its upkeep is ordered.
+//! Decides which VM of a wave is next and when its upkeep is ordered.
 
 use super::Emptying;
 use super::UpkeepAnswer;
@@ -18,66 +18,68 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Time that a VM needs beside what runs on it, in milliseconds: stops, the order, the upkeep itself, its worker's first heartbeat.
-const SERVICE_MS: u64 = 5_000;
-/// Wait after an order that was not carried out or had no answer, in milliseconds: several tries within the time of one upkeep.
-const RETRY_MS: u64 = 700;
+/// Time that a VM needs in addition to the remaining time of its runs, in milliseconds: for stops, the order, the upkeep itself and the
+/// first heartbeat of its new worker.
+const VM_OVERHEAD_MS: u64 = 5_000;
+/// Delay after an order that was not carried out or had no answer, in milliseconds. Several attempts fit into the time of one upkeep.
+const ORDER_RETRY_MS: u64 = 700;
 
-/// What to do now.
+/// An action that the caller of [`WaveScheduler::steps`] must carry out.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
-    /// Record a command; what depends on it follows once it is in the record.
+pub enum UpkeepAction {
+    /// Record a command. Actions that depend on it follow once it is committed.
     Record(Command),
     /// Stop a run on a worker.
     Stop(Incarnation, RunId),
-    /// Send an order.
+    /// Send an order to the VM platform.
     Order(UpkeepOrder),
 }
 
-/// How far the order for a VM is.
+/// State of the order for a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Phase {
+enum OrderPhase {
     InFlight,
     Retry {
         at_ms: u64,
     },
-    /// Carried out, as was heard at this time.
+    /// The order was carried out; its answer arrived at this time.
     Done {
         at_ms: u64,
     },
 }
 
-/// The leader's view of all waves; lost with the leadership and built anew from the record.
+/// Schedules all waves. Its state is lost when the leader changes, and is rebuilt from the record.
 #[derive(Clone, Debug)]
 pub struct WaveScheduler {
     holder: Arc<str>,
     token: u64,
     upkeep_ms: u64,
-    /// No order before this time, on the leader's clock in milliseconds.
-    quiet_until_ms: u64,
+    /// No order is sent before this time, on the leader's clock in milliseconds.
+    no_orders_until_ms: u64,
     emptying: BTreeMap<Arc<str>, Emptying>,
     /// Orders by wave and VM.
-    orders: BTreeMap<(u64, Arc<str>), Phase>,
-    /// Changes that are being recorded, by VM.
+    orders: BTreeMap<(u64, Arc<str>), OrderPhase>,
+    /// VMs with a change that is being recorded.
     recording: BTreeSet<Arc<str>>,
 }
 
 impl WaveScheduler {
-    /// The keeper of the core `holder` that was elected at `now_ms` with `token`. The former leader may still believe that it leads, for as
-    /// long as the lease of VM orders: none is given before, so that two cores never take turns.
+    /// Creates the scheduler of the core `holder`, which was elected at `now_ms` with `token`. The former leader may still believe that it
+    /// leads for as long as the lease of VM orders lasts. No order is sent before the end of that time, so that two cores never send orders
+    /// in turns.
     pub fn new(holder: Arc<str>, token: u64, now_ms: u64, timing: &Timing) -> Self {
         Self {
             holder,
             token,
             upkeep_ms: timing.upkeep_ms,
-            quiet_until_ms: now_ms + timing.vm_lease_ms,
+            no_orders_until_ms: now_ms + timing.vm_lease_ms,
             emptying: BTreeMap::new(),
             orders: BTreeMap::new(),
             recording: BTreeSet::new(),
         }
     }
 
-    /// Workers that get no new work because their VMs are next, or because the order that ends them is on its way.
+    /// Workers that get no new work because their VMs are next, or because the order that ends them is in flight.
     pub fn emptied_workers(&self, workload: &Workload) -> BTreeSet<Incarnation> {
         let emptied = self.emptying.keys().filter_map(|vm| workload.worker_on(vm));
         let ended = workload.waves().flat_map(|(_, wave)| wave.ended_workers());
@@ -88,46 +90,49 @@
             .collect()
     }
 
-    /// What to do at `now_ms` of the leader's clock and `wall_ms` since 1970.
+    /// The actions to carry out at `now_ms` on the leader's clock and `wall_ms` since 1970.
     pub fn steps(
         &mut self,
         (now_ms, wall_ms): (u64, u64),
         workload: &Workload,
         dispatcher: &Dispatcher,
-    ) -> Vec<Step> {
+    ) -> Vec<UpkeepAction> {
         let mut steps = Vec::new();
         for (id, wave) in workload.waves().filter(|(_, wave)| !wave.is_over()) {
-            self.choose((now_ms, wall_ms), (id, wave), workload);
+            self.choose_vms((now_ms, wall_ms), (id, wave), workload);
             self.follow_orders(now_ms, (id, wave), workload, &mut steps);
         }
-        self.empty(now_ms, workload, dispatcher, &mut steps);
+        self.empty_vms(now_ms, workload, dispatcher, &mut steps);
         steps
     }
 
-    /// Chooses VMs to be emptied, those first where least is done, as many as may be down at the same time.
-    fn choose(
+    /// Chooses VMs to be emptied, as many as may be down at the same time. VMs with the least work come first.
+    fn choose_vms(
         &mut self,
         (now_ms, wall_ms): (u64, u64),
         (id, wave): (u64, &Wave),
         workload: &Workload,
     ) {
         let most = usize::try_from(wave.most_at_once).unwrap_or(usize::MAX);
-        let down = wave
+        let down_count = wave
             .vms
             .values()
             .filter(|u| matches!(u, VmUpkeep::Ordered { .. }))
             .count();
-        let chosen = self.emptying.values().filter(|e| e.wave == id).count();
+        let emptying_count = self.emptying.values().filter(|e| e.wave == id).count();
         let mut waiting: Vec<(u64, &Arc<str>)> = wave
             .waiting()
             .filter(|vm| !self.emptying.contains_key(*vm))
-            .map(|vm| (workload.worker_on(vm).map_or(0, busy), vm))
+            .map(|vm| (workload.worker_on(vm).map_or(0, load), vm))
             .collect();
         waiting.sort();
-        let rounds = (waiting.len() + chosen).div_ceil(most).max(1);
+        let rounds = (waiting.len() + emptying_count).div_ceil(most).max(1);
         let left_ms = wave.due_ms.saturating_sub(wall_ms) / u64::try_from(rounds).unwrap_or(1);
-        let wait_ms = left_ms.saturating_sub(SERVICE_MS);
-        for (_, vm) in waiting.into_iter().take(most.saturating_sub(down + chosen)) {
+        let wait_ms = left_ms.saturating_sub(VM_OVERHEAD_MS);
+        for (_, vm) in waiting
+            .into_iter()
+            .take(most.saturating_sub(down_count + emptying_count))
+        {
             let emptying = Emptying {
                 wave: id,
                 stop_at_ms: now_ms + wait_ms,
@@ -136,13 +141,13 @@
         }
     }
 
-    /// Records the VMs that are empty, and stops what still runs on those whose time has come.
-    fn empty(
+    /// Records the orders for VMs that are empty, and stops the remaining runs on VMs whose time is up.
+    fn empty_vms(
         &mut self,
         now_ms: u64,
         workload: &Workload,
         dispatcher: &Dispatcher,
-        steps: &mut Vec<Step>,
+        steps: &mut Vec<UpkeepAction>,
     ) {
         self.emptying.retain(|vm, emptying| {
             let wave = workload.wave(emptying.wave);
@@ -153,12 +158,12 @@
             let worker = workload.worker_on(vm);
             match worker.filter(|worker| !worker.runs.is_empty()) {
                 Some(worker) if now_ms >= emptying.stop_at_ms => {
-                    steps.extend(stops(worker, dispatcher, &mut services));
+                    steps.extend(stop_actions(worker, dispatcher, &mut services));
                 }
                 Some(_) => {}
-                None if now_ms >= self.quiet_until_ms && self.recording.insert(vm.clone()) => {
+                None if now_ms >= self.no_orders_until_ms && self.recording.insert(vm.clone()) => {
                     let worker = worker.map(|worker| worker.info.id.clone());
-                    steps.push(Step::Record(Command::Upkeep {
+                    steps.push(UpkeepAction::Record(Command::Upkeep {
                         wave: emptying.wave,
                         vm: vm.clone(),
                         upkeep: VmUpkeep::Ordered { worker },
@@ -169,13 +174,13 @@
         }
     }
 
-    /// Sends the orders that are recorded until they are carried out, and records the VMs that are up again.
+    /// Sends recorded orders until they are carried out, and records the VMs that are up again.
     fn follow_orders(
         &mut self,
         now_ms: u64,
         (id, wave): (u64, &Wave),
         workload: &Workload,
-        steps: &mut Vec<Step>,
+        steps: &mut Vec<UpkeepAction>,
     ) {
         for (vm, upkeep) in &wave.vms {
             let VmUpkeep::Ordered { worker } = upkeep else {
@@ -183,23 +188,23 @@
             };
             let key = (id, vm.clone());
             let phase = self.orders.get(&key).copied();
-            let now_there = workload.worker_on(vm).map(|worker| &worker.info.id);
-            if let Some(Phase::Done { at_ms }) = phase {
-                let is_back = now_there.is_some() && now_there != worker.as_ref();
-                let served = now_ms >= at_ms + self.upkeep_ms;
-                if served && is_back && self.recording.insert(vm.clone()) {
-                    steps.push(Step::Record(over(id, vm)));
+            let current_worker = workload.worker_on(vm).map(|worker| &worker.info.id);
+            if let Some(OrderPhase::Done { at_ms }) = phase {
+                let is_back = current_worker.is_some() && current_worker != worker.as_ref();
+                let upkeep_has_ended = now_ms >= at_ms + self.upkeep_ms;
+                if upkeep_has_ended && is_back && self.recording.insert(vm.clone()) {
+                    steps.push(UpkeepAction::Record(ended_command(id, vm)));
                 }
                 continue;
             }
             let due = match phase {
-                None => now_ms >= self.quiet_until_ms,
-                Some(Phase::Retry { at_ms }) => now_ms >= at_ms,
-                Some(Phase::InFlight | Phase::Done { .. }) => false,
+                None => now_ms >= self.no_orders_until_ms,
+                Some(OrderPhase::Retry { at_ms }) => now_ms >= at_ms,
+                Some(OrderPhase::InFlight | OrderPhase::Done { .. }) => false,
             };
             if due {
-                self.orders.insert(key, Phase::InFlight);
-                steps.push(Step::Order(UpkeepOrder {
+                self.orders.insert(key, OrderPhase::InFlight);
+                steps.push(UpkeepAction::Order(UpkeepOrder {
                     wave: id,
                     vm: vm.clone(),
                     worker: worker.clone(),
@@ -210,12 +215,12 @@
         }
     }
 
-    /// Notes that what was to be recorded of a VM is recorded, or was not.
+    /// Notes that recording a change of a VM has succeeded or failed.
     pub fn note_recorded(&mut self, vm: &str) {
         self.recording.remove(vm);
     }
 
-    /// Takes the answer to an order; returns what must be recorded.
+    /// Processes the answer to an order; returns what must be recorded.
     pub fn note_answer(
         &mut self,
         now_ms: u64,
@@ -223,17 +228,17 @@
         answer: UpkeepAnswer,
     ) -> Option<Command> {
         let key = (order.wave, order.vm.clone());
-        let retry = Phase::Retry {
-            at_ms: now_ms + RETRY_MS,
+        let retry = OrderPhase::Retry {
+            at_ms: now_ms + ORDER_RETRY_MS,
         };
-        let done = Phase::Done { at_ms: now_ms };
+        let done = OrderPhase::Done { at_ms: now_ms };
         let (phase, command) = match answer {
-            // Whatever ran on the VM has ended with its worker.
+            // All runs on the VM have ended with its worker.
             UpkeepAnswer::Done => {
                 let gone = order.worker.clone().map(WorkerChange::Gone);
                 (done, gone.map(|gone| Command::Workers(vec![gone])))
             }
-            UpkeepAnswer::NotPart => (done, Some(over(order.wave, &order.vm))),
+            UpkeepAnswer::NotPart => (done, Some(ended_command(order.wave, &order.vm))),
             UpkeepAnswer::Fenced | UpkeepAnswer::Busy | UpkeepAnswer::Lost => (retry, None),
         };
         self.orders.insert(key, phase);
@@ -241,8 +246,12 @@
     }
 }
 
-/// Stops of what runs on a worker and is not being stopped yet, as far as services bear it.
-fn stops(worker: &Worker, dispatcher: &Dispatcher, services: &mut Availability) -> Vec<Step> {
+/// Stops of the runs on a worker that are not being stopped yet, as far as the services there may lose more tasks.
+fn stop_actions(
+    worker: &Worker,
+    dispatcher: &Dispatcher,
+    services: &mut Availability,
+) -> Vec<UpkeepAction> {
     let target = dispatcher.view(&worker.info.id);
     let is_stopping = |run: &RunId| {
         let run_state = target.and_then(|target| target.runs.get(run));
@@ -253,11 +262,11 @@
         .keys()
         .filter(|run| !is_stopping(run))
         .filter(|run| services.may_miss(**run))
-        .map(|run| Step::Stop(worker.info.id.clone(), *run))
+        .map(|run| UpkeepAction::Stop(worker.info.id.clone(), *run))
         .collect()
 }
 
-fn over(wave: u64, vm: &Arc<str>) -> Command {
+fn ended_command(wave: u64, vm: &Arc<str>) -> Command {
     Command::Upkeep {
         wave,
         vm: vm.clone(),
@@ -265,7 +274,7 @@
     }
 }
 
-/// What a worker is doing, as one figure.
-fn busy(worker: &Worker) -> u64 {
+/// The work on a worker, as the sum of the weights of its runs.
+fn load(worker: &Worker) -> u64 {
     worker.runs.values().map(|needs| needs.weight()).sum()
 }
--- a/crates/bh-workload/tests/upkeep.rs
+++ b/crates/bh-workload/tests/upkeep.rs
@@ -13,7 +13,7 @@
 use bh_workload::state::WaveSpec;
 use bh_workload::state::WorkerChange;
 use bh_workload::state::WorkerInfo;
-use bh_workload::upkeep::Step;
+use bh_workload::upkeep::UpkeepAction;
 use bh_workload::upkeep::UpkeepAnswer;
 use bh_workload::upkeep::UpkeepOrder;
 use bh_workload::upkeep::WaveScheduler;
@@ -93,19 +93,19 @@
         UpkeepAnswer::Done
     }
 
-    fn carry_out(&mut self, step: Step) {
+    fn carry_out(&mut self, step: UpkeepAction) {
         match step {
-            Step::Record(command) => {
+            UpkeepAction::Record(command) => {
                 if let Command::Upkeep { vm, .. } = &command {
                     self.wave_scheduler.note_recorded(vm);
                 }
                 self.site.workload.apply(command);
             }
-            Step::Stop(worker, run) => {
+            UpkeepAction::Stop(worker, run) => {
                 self.site.dispatcher.request_stop(&worker, run);
                 self.site.end(run, EndKind::Stopped);
             }
-            Step::Order(order) => {
+            UpkeepAction::Order(order) => {
                 let mut answer = self.serve(&order);
                 self.answers += 1;
                 if self.lost_answers && !self.answers.is_multiple_of(3) {
@@ -212,7 +212,7 @@
             .wave_scheduler
             .steps(times, &fleet.site.workload, &fleet.site.dispatcher)
         {
-            if let Step::Order(order) = &step {
+            if let UpkeepAction::Order(order) = &step {
                 let now_ms = fleet.site.now_ms;
                 let command =
                     fleet
