--- a/crates/bh-workload/src/dispatch/crash.rs
+++ b/crates/bh-workload/src/dispatch/crash.rs
@@ -1,4 +1,4 @@
-//! Which runs may have crashed a worker.
+//! Finds the runs that may have crashed a worker.
 
 use super::RunState;
 use super::StartPhase;
@@ -8,15 +8,15 @@
 use crate::state::Suspect;
 use crate::state::Workload;
 
-/// Time at work, as the worker reports it, from which a run is no longer one that has just begun, in milliseconds. What crashes its worker
-/// by its start does so within a fraction of it, and a report comes every second or two.
-const JUST_BEGUN_MS: u64 = 1_000;
-/// Time after the worker's word that it has a run, in milliseconds, within which it must be lost for the run to be suspected of crashing it
-/// by its start. A process that crashes breaks its connections off, which shows within some milliseconds.
-const AT_ONCE_MS: u64 = 400;
-/// Time at work after which a run is no suspect at all, in milliseconds. It is far above the time in which a start does its harm, and below
-/// what most long jobs run: these must not be given up because, over hours, some of their workers crashed for other reasons.
-const OUTLASTED_MS: u64 = 30_000;
+/// Reported run time from which a run no longer counts as just started, in milliseconds. A run that crashes its worker at its start does so
+/// within a fraction of this time, and a report comes every second or two.
+const JUST_STARTED_MS: u64 = 1_000;
+/// Time after the confirmation of a start, in milliseconds, within which the worker must be lost for the run to be suspected of crashing it
+/// at its start. When a process crashes its connections break, which shows within some milliseconds.
+const START_CRASH_WINDOW_MS: u64 = 400;
+/// Run time from which a run is not a suspect at all, in milliseconds. It is far above the time in which a start does its harm, and below
+/// the run time of most long jobs: these must not be given up because some of their workers crash for other reasons over hours.
+const MAX_SUSPECT_RUN_TIME_MS: u64 = 30_000;
 
 /// Minimum time from the crash of a worker until its next incarnation answers, in milliseconds.
 const MIN_RESTART_MS: u64 = 150;
@@ -24,19 +24,19 @@
 /// ensures that a task is given up if it crashes workers that restart faster than that.
 const MAX_UNSUSPECTED_ATTEMPTS: u32 = 8;
 
-/// How long a run must have been at work until other runs may begin beside it again, in milliseconds, when `crashes` workers have crashed under its
-/// task. Were others begun beside it sooner, they would be lost with it if it crashes its worker, and nothing would tell which of them did.
-/// After two crashes that proved nothing it may be one that crashes its worker later on.
+/// Run time until which no other runs may start beside a run, in milliseconds, when `crashes` workers have crashed under its task. If other
+/// runs started beside it sooner, they would be lost with it if it crashed its worker, and nothing would tell which run caused the crash.
+/// After two crashes without proof, the task may be one that crashes its worker some time after its start.
 pub fn isolation_ms(crashes: u32) -> u64 {
     match crashes {
         0 => 0,
-        1 => JUST_BEGUN_MS,
-        _ => OUTLASTED_MS,
+        1 => JUST_STARTED_MS,
+        _ => MAX_SUSPECT_RUN_TIME_MS,
     }
 }
 
 impl RunState {
-    /// How long the run had been at work when its worker last reported it, in milliseconds.
+    /// Run time when the worker last reported the run, in milliseconds.
     pub fn at_work_ms(&self) -> u64 {
         match (self.start, self.last_reported_ms) {
             (StartPhase::Confirmed { at_ms }, Some(last_reported_ms)) => {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Whether the worker said that it has the run, or has had it.
+    /// Whether the worker confirmed that it has the run, or has had it.
     pub fn is_confirmed(&self) -> bool {
         self.confirmed_ms().is_some()
     }
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Whether it surely began at `since_ms` or later. When a run began whose order once had no answer is not known.
-    fn began_since(&self, since_ms: u64) -> bool {
+    /// Whether it certainly started at `since_ms` or later. The start time of a run is unknown if a start order for it once had no answer.
+    fn started_since(&self, since_ms: u64) -> bool {
         !self.was_unsure
             && matches!(self.start, StartPhase::Confirmed { at_ms } if at_ms >= since_ms)
     }
@@ -75,21 +75,23 @@
                 .is_some_and(|sent_ms| now_ms < sent_ms + MIN_RESTART_MS)
     }
 
-    /// Whether it may have begun, and was not yet seen at work for long.
+    /// Whether it may have started and has not been reported as running for long.
     pub fn has_just_started(&self) -> bool {
-        self.start != StartPhase::Unsent && self.at_work_ms() < JUST_BEGUN_MS
+        self.start != StartPhase::Unsent && self.at_work_ms() < JUST_STARTED_MS
     }
 }
 
-/// The runs that may have crashed the worker behind `target`.
+/// The runs that may have crashed the worker of `target`.
 ///
-/// A worker that crashed tells nothing any more; what remains is what it had answered before. A run that was never ordered is no suspect,
-/// nor one that was seen at work for long. A start without an answer may never have come to the worker: where another run had surely just
-/// begun, that one is the cause. Behind a cut a run may have ended well before the worker crashed for another reason, so where the silence
-/// did not begin at once nothing is certain. An unconfirmed run whose start was first sent less than [`MIN_RESTART_MS`] before another incarnation answered
-/// is not a suspect in the first [`MAX_UNSUSPECTED_ATTEMPTS`] attempts of its task: the worker had crashed before the start arrived.
+/// A crashed worker reports nothing any more; only its earlier answers are known. A run that was never ordered is not a suspect, nor is one
+/// that had been running for long. A start order without an answer may never have reached the worker: if another run had certainly just
+/// started, that run is the cause. If the worker was cut off, a run may have ended well before the worker crashed for another reason; so
+/// nothing is certain unless the silence began at the moment of the crash. An unconfirmed run whose start was first sent less than
+/// [`MIN_RESTART_MS`] before another incarnation answered is not a suspect in the first [`MAX_UNSUSPECTED_ATTEMPTS`] attempts of its task:
+/// the worker had crashed before the start arrived.
 ///
-/// A worker that said that it leaves may have left; only what it began at the very last may have crashed it before.
+/// A worker that announced that it leaves may have left without a crash. Only a run that started at the very last may have crashed it
+/// before.
 pub(super) fn suspects(
     now_ms: u64,
     target: &Target,
@@ -97,24 +99,24 @@
     leaving: bool,
 ) -> Vec<Suspect> {
     let silent_ms = target.silent_since_ms.unwrap_or(now_ms);
-    let since_ms = silent_ms.saturating_sub(AT_ONCE_MS);
-    // A run whose lease has just run out is in both until that is recorded.
-    let lapsed = || {
-        let lapsed = target.expired_runs.iter();
-        lapsed.filter(|(run, _)| !target.runs.contains_key(run))
+    let since_ms = silent_ms.saturating_sub(START_CRASH_WINDOW_MS);
+    // A run whose lease has just expired is in both maps until its end is recorded.
+    let expired_runs = || {
+        let expired_runs = target.expired_runs.iter();
+        expired_runs.filter(|(run, _)| !target.runs.contains_key(run))
     };
-    let runs = || target.runs.iter().chain(lapsed());
-    let alone = |run: &RunId| {
+    let runs = || target.runs.iter().chain(expired_runs());
+    let is_alone = |run: &RunId| {
         runs()
             .filter(|(_, run_state)| run_state.has_just_started())
-            .all(|(other, _)| are_together(workload, run, other))
+            .all(|(other, _)| are_same_or_in_one_gang(workload, run, other))
     };
     let evidence = |run: &RunId, run_state: &RunState| {
         if !run_state.is_confirmed() || !target.ended_abruptly() {
             Evidence::Possible
-        } else if !run_state.began_since(since_ms) {
+        } else if !run_state.started_since(since_ms) {
             Evidence::Present
-        } else if alone(run) {
+        } else if is_alone(run) {
             Evidence::Alone
         } else {
             Evidence::JustBegun
@@ -123,13 +125,13 @@
     let mut suspects: Vec<Suspect> = runs()
         .filter(|(_, run_state)| run_state.start != StartPhase::Unsent)
         .filter(|(run, run_state)| !run_state.was_sent_after_crash(now_ms, run.attempt))
-        .filter(|(_, run_state)| run_state.at_work_ms() < OUTLASTED_MS)
+        .filter(|(_, run_state)| run_state.at_work_ms() < MAX_SUSPECT_RUN_TIME_MS)
         .map(|(run, run_state)| Suspect {
             run: *run,
             evidence: evidence(run, run_state),
         })
         .collect();
-    let cause_is_known = suspects.iter().any(Suspect::had_just_begun);
+    let cause_is_known = suspects.iter().any(Suspect::had_just_started);
     suspects.retain(|suspect| match suspect.evidence {
         Evidence::Possible => !cause_is_known && !leaving,
         Evidence::Present => !leaving,
@@ -143,8 +145,8 @@
     suspects
 }
 
-/// Whether two runs are one, or members of one gang.
-fn are_together(workload: &Workload, run: &RunId, other: &RunId) -> bool {
+/// Whether two runs are the same, or members of the same gang.
+fn are_same_or_in_one_gang(workload: &Workload, run: &RunId, other: &RunId) -> bool {
     let step = run.task.step;
     let gang = || workload.step_spec(step).is_some_and(|spec| spec.gang);
     run == other || step == other.task.step && gang()
--- a/crates/bh-workload/src/dispatch/fleet_counts.rs
+++ b/crates/bh-workload/src/dispatch/fleet_counts.rs
@@ -22,7 +22,7 @@
     pub runs_unreported: usize,
     /// Recorded runs on workers that did not answer their latest order.
     pub runs_on_silent_workers: usize,
-    /// Recorded runs that should end: the record no longer wants them, or the leader has given them up.
+    /// Recorded runs that should end: they are no longer wanted in the record, or the leader has requested their stop.
     pub runs_stopping: usize,
 }
 
--- a/crates/bh-workload/src/dispatch/order.rs
+++ b/crates/bh-workload/src/dispatch/order.rs
@@ -1,4 +1,4 @@
-//! What the leader asks of workers, and what they answer.
+//! Orders from the leader to workers, and their answers.
 
 use crate::job::RunId;
 use crate::state::EndKind;
@@ -7,12 +7,12 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Wait before an order without an answer is sent again, in milliseconds: above the time of a slow answer, well below the bounds
-/// on stops and gang starts.
+/// Delay before an order without an answer is sent again, in milliseconds: longer than a slow answer takes, and much shorter than the
+/// bounds on stops and gang starts.
 pub(super) const RETRY_MS: u64 = 300;
 
-/// Wait for an order's answer in milliseconds, in addition to the wait that a probe asks for. A worker answers in a few milliseconds, and a lost
-/// packet is sent again after some two hundred.
+/// Time to wait for the answer to an order, in milliseconds, in addition to the wait that a probe asks for. A worker answers in a few
+/// milliseconds, and a lost packet is sent again after about 200 milliseconds.
 const ANSWER_MS: u64 = 500;
 
 /// The worker incarnation an order is meant for.
@@ -20,20 +20,20 @@
 pub struct Recipient {
     /// Worker id and start time.
     pub worker: Incarnation,
-    /// Where it takes orders.
+    /// Address at which it receives orders.
     pub address: SocketAddr,
     /// Number of earlier incarnations of the worker.
     pub restarts: u64,
 }
 
-/// One order.
+/// One order to a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// Who shall carry it out.
+    /// The worker incarnation that should carry it out.
     pub to: Recipient,
     /// The leader's term; see [`Order::fencing_token`].
     pub token: u64,
-    /// When it was made, on the leader's clock in milliseconds.
+    /// When it was created, on the leader's clock in milliseconds.
     pub sent_ms: u64,
     /// What to do.
     pub body: OrderBody,
@@ -46,7 +46,7 @@
         self.token + self.to.restarts
     }
 
-    /// Longest time to wait for the answer, in milliseconds. Whoever has not answered by then is taken to be silent, and gets no new work.
+    /// Longest time to wait for the answer, in milliseconds. A worker that has not answered by then counts as silent and gets no new work.
     pub fn answer_within_ms(&self) -> u64 {
         match &self.body {
             OrderBody::Probe { wait_ms, .. } => ANSWER_MS + wait_ms,
@@ -58,38 +58,38 @@
 /// What an order asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderBody {
-    /// Begin a run.
+    /// Start a run.
     Start {
         /// The run.
         run: RunId,
-        /// The caller's text.
+        /// The caller's text, passed on unchanged.
         text: Arc<str>,
         /// End of the lease on the worker's clock, in milliseconds.
         lease_until_ms: u64,
-        /// Saved progress to go on from.
+        /// Checkpoint to resume from.
         checkpoint: Option<Arc<str>>,
         /// The adviser's permission.
         permission: Option<Arc<str>>,
     },
-    /// End a run.
+    /// Stop a run.
     Stop {
         /// The run.
         run: RunId,
     },
-    /// Let a run work at a share of its speed, until told otherwise.
+    /// Run a task at a share of its full speed until the next pace order.
     Pace {
         /// The run.
         run: RunId,
         /// The share in percent.
         percent: u64,
     },
-    /// Renew the lease and report.
+    /// Renew the lease and ask for a report.
     Probe {
-        /// End of the lease on the worker's clock, in milliseconds; `None` leaves it as it is.
+        /// End of the lease on the worker's clock, in milliseconds; `None` leaves the lease unchanged.
         lease_until_ms: Option<u64>,
-        /// Ends up to this number are recorded and may be forgotten.
+        /// Ends up to this number are recorded; the worker may forget them.
         recorded_to: u64,
-        /// How long the worker may wait for an end before it answers, in milliseconds.
+        /// How long the worker may hold back its answer while no run ends, in milliseconds.
         wait_ms: u64,
     },
 }
@@ -105,43 +105,43 @@
     }
 }
 
-/// Why a worker did not do as ordered.
+/// Why a worker refused an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
     /// It has seen a higher fencing token.
     Fenced,
-    /// This run or a later one has ended there or was stopped.
+    /// This run or a later run of the same task has ended there or was stopped.
     Outdated,
-    /// The order arrived after its lease had run out.
+    /// The order arrived after its lease had expired.
     Late,
-    /// It has no room.
+    /// It has not enough free capacity.
     NoRoom,
     /// The adviser's permission is missing or no longer valid.
     NoPermission,
-    /// It could not read the order.
+    /// It could not parse the order.
     Malformed,
-    /// It says that it is overloaded or unhealthy and has done nothing.
+    /// It reports that it is overloaded or unhealthy, and has done nothing.
     Unhealthy,
 }
 
-/// What came back for an order.
+/// The outcome of sending an order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// Done. The report is there for a probe only.
+    /// The order was carried out. Only the answer to a probe has a report.
     Done {
         /// The worker's clock in milliseconds.
         clock_ms: Option<u64>,
-        /// What runs and what has ended.
+        /// The worker's running and ended runs.
         report: Option<Report>,
     },
-    /// Not done.
+    /// The order was refused.
     Denied {
         /// The worker's clock in milliseconds.
         clock_ms: Option<u64>,
-        /// Why.
+        /// The reason.
         denial: Denial,
     },
-    /// Another incarnation lives at the address.
+    /// Another incarnation runs at the address.
     OtherIncarnation,
     /// The order was a probe, and another incarnation with the same worker id answered it.
     Restarted {
@@ -150,22 +150,22 @@
         /// Its running and ended runs.
         report: Report,
     },
-    /// Nothing listens at the address, and the order was not sent: the process is gone, for good or until it starts again.
+    /// Nothing listens at the address, and the order was not sent: the process has ended, for good or until it starts again.
     NotListening,
-    /// No whole answer: it may have been carried out, or may still be.
+    /// No complete answer: the order may have been carried out, or may still be.
     Lost,
-    /// The core that was to carry it was lost: as without an answer, but it says nothing of the worker.
+    /// The core that carried the order was lost. The order may have been carried out, but nothing follows about the worker.
     CarrierLost,
 }
 
-/// What a worker says of its runs.
+/// A worker's report on its runs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    /// What runs.
+    /// Runs in progress.
     pub running: Vec<Running>,
-    /// What has ended and was not recorded yet, in order; the oldest ones only when there are very many.
+    /// Ended runs whose ends are not acknowledged as recorded yet, in order of their ends; only the oldest ones if there are very many.
     pub ended: Vec<Ended>,
-    /// Whether more ends follow once these are recorded.
+    /// Whether more ends will be reported once these are recorded.
     pub more: bool,
 }
 
@@ -174,24 +174,24 @@
 pub struct Running {
     /// The run.
     pub run: RunId,
-    /// Progress it has saved, if any.
+    /// Its last checkpoint, if any.
     pub checkpoint: Option<Arc<str>>,
     /// Progress in percent.
     pub percent: u64,
-    /// For a task with a bound on its response times, their tail in milliseconds; for any other, processors in use in thousandths of a
-    /// core. A rough figure of the last half second.
+    /// For a task with a bound on its response times, their tail in milliseconds; for any other task, the processors in use in thousandths
+    /// of a core. A rough figure for the last half second.
     pub load: u64,
 }
 
 /// A run that has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ended {
-    /// Number of the end, growing within a worker's life.
+    /// Number of the end; increases during a worker's life.
     pub number: u64,
     /// The run.
     pub run: RunId,
     /// How it ended.
     pub kind: EndKind,
-    /// Progress it saved, if any.
+    /// Its last checkpoint, if any.
     pub checkpoint: Option<Arc<str>>,
 }
--- a/crates/bh-workload/src/dispatch/permissions.rs
+++ b/crates/bh-workload/src/dispatch/permissions.rs
@@ -1,4 +1,4 @@
-//! What an outside adviser allows.
+//! Permissions of an external adviser to run steps on workers.
 
 use crate::job::StepId;
 use crate::rules::Advice;
@@ -7,24 +7,24 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Workers asked about in one question at most. The adviser takes time for each and answers one question after the other, so that a long
-/// one holds up every other step; callers count on one question about thirty workers for a step.
-const MOST_ASKED: usize = 30;
-/// Time before its end at which a permission is no longer used, in milliseconds: an order that is on its way must arrive before.
-const MARGIN_MS: u64 = 300;
-/// Time beyond what the adviser takes after which a question counts as lost, in milliseconds.
-const PATIENCE_MS: u64 = 1_000;
-/// Wait after a question without an answer, in milliseconds.
+/// Maximum number of workers in one question. The adviser takes time for each worker and answers one question after the other, so a long
+/// question delays all other steps. Callers rely on one question about some 30 workers for a step.
+const MAX_WORKERS_PER_QUESTION: usize = 30;
+/// Time before the end of a permission from which it is no longer used, in milliseconds: an order in flight must arrive before that end.
+const EXPIRY_MARGIN_MS: u64 = 300;
+/// Time beyond the adviser's expected answer time after which a question counts as lost, in milliseconds.
+const ANSWER_SLACK_MS: u64 = 1_000;
+/// Delay after a question without an answer, in milliseconds.
 const RETRY_MS: u64 = 200;
 
-/// Which of some workers may run a step.
+/// Asks the adviser which of some workers may run a step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Question {
     /// The step.
     pub step: StepId,
-    /// The workers.
+    /// The workers to ask about.
     pub workers: Vec<Incarnation>,
-    /// How long to wait for the answer, in milliseconds.
+    /// Timeout of the answer, in milliseconds.
     pub limit_ms: u64,
     /// How long a permission is valid, in milliseconds.
     pub valid_ms: u64,
@@ -35,32 +35,32 @@
 pub struct Permission {
     /// Id of the worker.
     pub worker: Arc<str>,
-    /// What shows it to the worker.
+    /// Proof of the permission, sent to the worker with the start order.
     pub proof: Arc<str>,
 }
 
-/// What is known of one step.
+/// Answers received about one step.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Known {
+struct StepAnswers {
     /// Proof and its end on the leader's clock in milliseconds, by worker.
     allowed: BTreeMap<Incarnation, (Arc<str>, u64)>,
-    /// Workers that may not run it; that does not change.
+    /// Workers that may not run it. A refusal is final.
     refused: BTreeSet<Incarnation>,
 }
 
-/// Permissions as far as this leader has asked for them. Lost with the leadership and asked for again.
+/// The permissions that this leader has asked for. They are lost when the leader changes and are asked for again.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Permissions {
-    steps: BTreeMap<StepId, Known>,
-    /// Whether a question has no answer yet: the adviser takes one at a time.
-    asking: bool,
+    steps: BTreeMap<StepId, StepAnswers>,
+    /// Whether a question is in flight: the adviser takes one at a time.
+    question_in_flight: bool,
     retry_ms: u64,
 }
 
 impl Permissions {
     /// Whether a question may be asked now.
     pub fn may_ask(&self, now_ms: u64) -> bool {
-        !self.asking && now_ms >= self.retry_ms
+        !self.question_in_flight && now_ms >= self.retry_ms
     }
 
     /// Workers that may be given tasks of `step` now.
@@ -73,14 +73,14 @@
         valid.map(|(worker, _)| worker.clone()).collect()
     }
 
-    /// What shows a worker that it may run a step.
+    /// The valid proof that `worker` may run `step`, if there is one.
     pub fn proof(&self, step: StepId, worker: &Incarnation, now_ms: u64) -> Option<Arc<str>> {
         let (proof, until_ms) = self.steps.get(&step)?.allowed.get(worker)?;
         (now_ms < *until_ms).then(|| proof.clone())
     }
 
-    /// The question to ask next about a step that has not enough places: workers that were allowed before, then those of which nothing
-    /// is known, out of `candidates`, the best first. `None` when there is nobody left to ask about.
+    /// The next question about a step for which too few workers are permitted. Asks about workers that were allowed before, then about
+    /// unknown ones, in the order of `candidates`, the best first. `None` if no worker is left to ask about.
     pub fn question(
         &self,
         now_ms: u64,
@@ -96,36 +96,36 @@
         let workers: Vec<Incarnation> = allowed
             .into_iter()
             .chain(unknown)
-            .take(MOST_ASKED)
+            .take(MAX_WORKERS_PER_QUESTION)
             .collect();
         let count = u64::try_from(workers.len()).unwrap_or(0);
         (count > 0).then(|| Question {
             step,
             workers,
-            limit_ms: advice.decision_ms + advice.per_worker_ms * count + PATIENCE_MS,
+            limit_ms: advice.decision_ms + advice.per_worker_ms * count + ANSWER_SLACK_MS,
             valid_ms: advice.validity_ms,
         })
     }
 
     /// Notes that a question is being asked.
     pub fn note_asked(&mut self) {
-        self.asking = true;
+        self.question_in_flight = true;
     }
 
-    /// Takes the answer to a question; `None` when there was none.
+    /// Processes the answer to a question; `None` if there was no answer.
     pub fn note_answer(&mut self, now_ms: u64, question: &Question, answer: Option<&[Permission]>) {
-        self.asking = false;
+        self.question_in_flight = false;
         let Some(allowed) = answer else {
             self.retry_ms = now_ms + RETRY_MS;
             return;
         };
-        let until_ms = now_ms + question.valid_ms.saturating_sub(MARGIN_MS);
+        let until_ms = now_ms + question.valid_ms.saturating_sub(EXPIRY_MARGIN_MS);
         let known = self.steps.entry(question.step).or_default();
         for worker in &question.workers {
             match allowed.iter().find(|allowed| allowed.worker == worker.id) {
                 Some(permission) => {
-                    let held = (permission.proof.clone(), until_ms);
-                    known.allowed.insert(worker.clone(), held);
+                    let proof_until = (permission.proof.clone(), until_ms);
+                    known.allowed.insert(worker.clone(), proof_until);
                 }
                 None => {
                     known.refused.insert(worker.clone());
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Notes that a worker did not take a proof: it is asked for again.
+    /// Notes that a worker refused a proof, so that a new one is asked for.
     pub fn forget(&mut self, step: StepId, worker: &Incarnation) {
         if let Some((_, until_ms)) = self
             .steps
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Forgets the steps that `is_over`.
-    pub fn forget_steps(&mut self, is_over: impl Fn(StepId) -> bool) {
-        self.steps.retain(|step, _| !is_over(*step));
+    /// Forgets the steps for which `has_ended` is true.
+    pub fn forget_steps(&mut self, has_ended: impl Fn(StepId) -> bool) {
+        self.steps.retain(|step, _| !has_ended(*step));
     }
 }
--- a/crates/bh-workload/src/dispatch/run_phase.rs
+++ b/crates/bh-workload/src/dispatch/run_phase.rs
@@ -1,4 +1,4 @@
-//! How far a recorded run has come, as far as the leader knows.
+//! The phase of a recorded run, as known to the leader.
 
 use super::Dispatcher;
 use super::StartPhase;
@@ -9,30 +9,30 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How far a recorded run has come.
+/// The phase of a recorded run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunPhase {
-    /// Its start order has not gone out.
+    /// Its start order has not been sent.
     Unsent,
-    /// Its start order is on its way.
+    /// Its start order is in flight.
     InFlight,
-    /// Its start order had no answer, or an earlier leader recorded the run: it may have begun.
+    /// Unconfirmed: its start order had no answer, or an earlier leader recorded the run. The run may have started.
     Unsure,
-    /// The worker has confirmed it, and no later report lacks it.
+    /// The worker has confirmed the start, and its later reports list the run.
     Running,
-    /// The worker has confirmed it, and its latest report lacks it.
+    /// The worker has confirmed the start, but its latest report does not list the run.
     Unreported,
-    /// The worker has confirmed it, and has not answered its latest order.
+    /// The worker has confirmed the start, but has not answered its latest order.
     Silent,
-    /// It is to end: the record no longer wants it, or the leader has given it up.
+    /// The run should end: it is no longer wanted in the record, or the leader has requested its stop.
     Stopping,
     /// Its end is being recorded.
     Ending,
 }
 
 impl RunPhase {
-    /// The phase of a recorded run at `now_ms`, and since when, both on the leader's clock in milliseconds.
+    /// The phase of a recorded run at `now_ms`, and since when it has been in that phase, both on the leader's clock in milliseconds.
     pub fn of(
         now_ms: u64,
         workload: &Workload,
@@ -44,12 +44,12 @@
         let (Some(target), Some(run_state)) = (target, run_state) else {
             return (RunPhase::Unsent, now_ms);
         };
-        let listed = run_state.last_reported_ms == Some(target.reported_ms);
+        let is_listed = run_state.last_reported_ms == Some(target.reported_ms);
         let reported_since = |at_ms: u64| target.reported_ms >= at_ms;
         let confirmed_ms = run_state.confirmed_ms();
-        let records_end =
-            target.recording_to.is_some() && !listed && confirmed_ms.is_some_and(reported_since);
-        if run_state.recording_end || records_end {
+        let is_end_in_flight =
+            target.recording_to.is_some() && !is_listed && confirmed_ms.is_some_and(reported_since);
+        if run_state.recording_end || is_end_in_flight {
             return (RunPhase::Ending, target.reported_ms.max(run_state.since_ms));
         }
         let ordered_ms = run_state.first_sent_ms.unwrap_or(run_state.since_ms);
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Whether the run takes room on its worker, as far as known: it runs there, or is about to.
+    /// Whether the run uses capacity of its worker, as far as known: it runs there, or is about to.
     pub fn takes_room(self) -> bool {
         match self {
             RunPhase::InFlight | RunPhase::Running | RunPhase::Silent | RunPhase::Stopping => true,
--- a/crates/bh-workload/src/dispatch/run_state.rs
+++ b/crates/bh-workload/src/dispatch/run_state.rs
@@ -1,16 +1,16 @@
-//! What the leader knows of one recorded run beyond the record.
+//! The leader's view of one recorded run: what is known of it beyond the record.
 
 use super::Pace;
 use std::sync::Arc;
 
-/// How far the start order has come.
+/// State of the start order of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartPhase {
-    /// This leader has not sent it, and no other can have.
+    /// This leader has not sent it, and no other leader can have sent it.
     Unsent,
     /// It is on its way.
     InFlight,
-    /// It may have been carried out, or may still be; it is sent again from this time on.
+    /// Unconfirmed: it may have been carried out, or may still be. It is sent again from `retry_ms` on.
     Unsure {
         /// On the leader's clock, in milliseconds.
         retry_ms: u64,
@@ -22,19 +22,19 @@
     },
 }
 
-/// How far a stop order has come.
+/// State of the stop order of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopPhase {
     /// None was sent.
     None,
     /// It is on its way.
     InFlight,
-    /// It is sent again from this time on.
+    /// It had no answer or was refused, and is sent again from `retry_ms` on.
     Retry {
         /// On the leader's clock, in milliseconds.
         retry_ms: u64,
     },
-    /// The worker has it: the run ends, or will never begin.
+    /// The worker has received it: the run ends, or will never start.
     Confirmed {
         /// When it was confirmed, on the leader's clock in milliseconds.
         at_ms: u64,
@@ -50,13 +50,14 @@
     pub stop: StopPhase,
     /// When the start order was first sent, on the leader's clock in milliseconds; `None` if it has not been sent or a previous leader sent it.
     pub first_sent_ms: Option<u64>,
-    /// Whether an earlier send of the start order had no answer, so that a refusal of a later one proves nothing.
+    /// Whether an earlier send of the start order had no answer, so that a refusal of a later one does not prove that the run never
+    /// started.
     pub was_unsure: bool,
-    /// Whether the last send of the start order was a repetition: an earlier one went out, and its connection broke before an answer came.
+    /// Whether the last send of the start order was repeated: the connection of the first send broke before an answer came.
     pub was_repeated: bool,
-    /// When a send of the start order was refused though an earlier one may have been carried out, on the leader's clock in milliseconds.
+    /// When a send of the start order was refused although an earlier one may have been carried out, on the leader's clock in milliseconds.
     pub start_refused_ms: Option<u64>,
-    /// Whether the leader wants the run to end though the record would let it go on.
+    /// Whether the leader wants the run to end although the record still wants it.
     pub stop_requested: bool,
     /// Whether its end is being recorded.
     pub recording_end: bool,
@@ -70,14 +71,14 @@
     pub last_reported_ms: Option<u64>,
     /// Load that the worker last reported, as in [`super::Running`].
     pub load: u64,
-    /// How fast it shall work and was told to.
+    /// The wanted and the confirmed share of its full speed.
     pub pace: Pace,
-    /// Last saved progress that the worker reported.
+    /// Last checkpoint that the worker reported.
     pub checkpoint: Option<Arc<str>>,
 }
 
 impl RunState {
-    /// A run recorded by this leader (`Unsent`) or found in the record (`Unsure`).
+    /// The state of a run that was recorded by this leader (`Unsent`) or found in the record (`Unsure`).
     pub fn new(start: StartPhase, now_ms: u64) -> Self {
         Self {
             start,
@@ -110,7 +111,7 @@
             && (self.last_reported_ms.is_none() || self.may_have_started())
     }
 
-    /// Whether only a report can tell if it has begun: its last start was refused, and an earlier one may have been carried out.
+    /// Whether only a report can tell if it has started: its last start order was refused, and an earlier one may have been carried out.
     pub fn awaits_report(&self) -> bool {
         self.start_refused_ms.is_some() && matches!(self.start, StartPhase::Unsure { .. })
     }
--- a/crates/bh-workload/src/dispatch/worker_reconciler.rs
+++ b/crates/bh-workload/src/dispatch/worker_reconciler.rs
@@ -170,7 +170,7 @@
                     .iter()
                     .all(|run| target.runs.get(run).is_some_and(RunState::is_confirmed));
             let times = (self.now_ms, self.timing.stop_timeout_ms);
-            if have_started && self.broken_gangs.have_ended(times, &members, self.workload) {
+            if have_started && self.broken_gangs.all_ended(times, &members, self.workload) {
                 for run in members {
                     self.end_without_report(target, run, EndKind::Lost);
                     target.presumed_lost.insert(run);
--- a/crates/bh-workload/src/state/apply.rs
+++ b/crates/bh-workload/src/state/apply.rs
@@ -1,4 +1,4 @@
-//! Applies commands to the record.
+//! Applies commands to the replicated record.
 
 use super::Command;
 use super::End;
@@ -25,7 +25,7 @@
 impl Workload {
     /// Applies one command.
     pub fn apply(&mut self, command: Command) -> Reply {
-        self.latest_ms = self.latest_ms.max(command.made_ms().unwrap_or(0));
+        self.latest_ms = self.latest_ms.max(command.time_ms().unwrap_or(0));
         match command {
             Command::SetRules(rules) => self.set_rules(*rules),
             Command::Accept {
@@ -42,22 +42,23 @@
                 crash,
                 late_failures,
             } => {
-                let unheard = |run: &RunId| {
+                let may_still_report = |run: &RunId| {
                     ends.iter().any(|end| {
                         let worker = self.workers.get(&end.worker);
                         end.run == *run && worker.is_some_and(|worker| worker.unheard.contains(run))
                     })
                 };
-                // An end that is recorded again counts once.
-                let late_failures: Vec<RunId> = late_failures.into_iter().filter(unheard).collect();
-                self.end_all(ends, now_ms, crash);
+                // An end that is recorded a second time is not counted again.
+                let late_failures: Vec<RunId> =
+                    late_failures.into_iter().filter(may_still_report).collect();
+                self.end_runs(ends, now_ms, crash);
                 for run in late_failures {
                     self.count_late_failure(run, now_ms);
                 }
                 Reply::Done
             }
             Command::StartWave { spec, now_ms } => {
-                // A wave that is known was ordered again because its acknowledgement was lost.
+                // A known wave was ordered again because its acknowledgement was lost.
                 self.waves
                     .entry(spec.id)
                     .or_insert_with(|| Wave::new(&spec, now_ms));
@@ -77,16 +78,16 @@
                 data_centre,
                 now_ms,
             } => {
-                // One that is recorded already was ordered again because its acknowledgement was lost.
+                // A recorded evacuation was ordered again because its acknowledgement was lost.
                 self.evacuations
                     .entry(data_centre.clone())
                     .or_insert(now_ms);
-                self.note_workers_in(&data_centre);
+                self.mark_workers_in(&data_centre);
                 Reply::Done
             }
             Command::EndEvacuation { data_centre } => {
                 self.evacuations.remove(&data_centre);
-                self.note_workers_in(&data_centre);
+                self.mark_workers_in(&data_centre);
                 Reply::Done
             }
             Command::Forget { before_ms } => {
@@ -97,7 +98,7 @@
         }
     }
 
-    /// A version that is not higher than the one in force was overtaken, or is a resend: it is acknowledged without effect.
+    /// Sets the rules. A version that is not higher than the one in force is outdated or was sent again; it is acknowledged without effect.
     fn set_rules(&mut self, rules: Rules) -> Reply {
         if let Some(problem) = rules.problem() {
             return Reply::Refused(Refusal::BadRules(problem));
@@ -105,21 +106,21 @@
         let in_force = self.rules.as_ref().map(|rules| rules.version);
         if in_force.is_none_or(|version| rules.version > version) {
             self.rules = Some(Arc::new(rules));
-            self.news.plan = true;
-            self.give_up_used_up();
+            self.events.plan = true;
+            self.give_up_exhausted_jobs();
         }
         Reply::Done
     }
 
-    /// Gives up the jobs that have failed as often as the rules now in force allow, but for those of which a run goes on. They may not begin again, and
-    /// would wait for ever.
-    fn give_up_used_up(&mut self) {
-        let mut used_up = Vec::new();
+    /// Gives up the jobs that have failed as often as the current rules allow, except for those that still have a run in progress. They may
+    /// not start again and would wait forever.
+    fn give_up_exhausted_jobs(&mut self) {
+        let mut exhausted = Vec::new();
         for (id, job) in self.active_jobs() {
-            let most = self.max_attempts(job);
+            let limit = self.max_attempts(job);
             let steps = job.spec.steps.iter().cycle().zip(&job.steps).zip(0u32..);
             for ((spec, step), position) in steps {
-                if spec.long_running || !step.has_used_up(most, spec.gang) {
+                if spec.long_running || !step.has_exhausted_attempts(limit, spec.gang) {
                     continue;
                 }
                 let count = u32::try_from(job.spec.steps.len())
@@ -130,15 +131,15 @@
                     occurrence: position / count,
                     step: position % count,
                 };
-                used_up.push((id, GiveUp::Failures { step }));
+                exhausted.push((id, GiveUp::Failures { step }));
             }
         }
-        for (id, why) in used_up {
-            self.give_up(id, why, self.latest_ms);
+        for (id, reason) in exhausted {
+            self.give_up(id, reason, self.latest_ms);
         }
     }
 
-    /// A job that is known already stays one job, so that a caller who got no answer may send it again.
+    /// Accepts a job. A known job is not added twice, so a caller that got no answer may send it again.
     fn accept(&mut self, place: &Place, spec: JobSpec, now_ms: u64) -> Reply {
         let found = match self.find(place) {
             Ok(found) => found,
@@ -158,22 +159,22 @@
         self.jobs
             .insert(id, Job::new(spec, queue, customer, now_ms));
         self.active.insert(id);
-        self.news.plan = true;
+        self.events.plan = true;
         Reply::Done
     }
 
     fn cancel(&mut self, place: &Place, now_ms: u64) -> Reply {
         match self.find_job(place) {
             Ok((id, _)) => {
-                self.close(id, Outcome::Cancelled, now_ms);
+                self.end_job(id, Outcome::Cancelled, now_ms);
                 Reply::Done
             }
             Err(refusal) => Reply::Refused(refusal),
         }
     }
 
-    /// Ends a job; the first end counts. Its runs stay recorded until each is known to be over.
-    pub(super) fn close(&mut self, id: JobId, outcome: Outcome, now_ms: u64) {
+    /// Ends a job; only the first outcome counts. Its runs stay recorded until each of them has ended.
+    pub(super) fn end_job(&mut self, id: JobId, outcome: Outcome, now_ms: u64) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -183,36 +184,36 @@
         job.outcome = Some(outcome);
         job.ended_ms = now_ms;
         self.active.remove(&id);
-        self.news.ended_jobs.insert(id);
-        let holders = self
+        self.events.ended_jobs.insert(id);
+        let holding_workers = self
             .workers
             .iter()
             .filter(|(_, worker)| worker.runs.keys().any(|run| run.task.step.job == id));
-        for (worker, _) in holders {
-            self.news.note_worker(worker);
+        for (worker, _) in holding_workers {
+            self.events.mark_worker(worker);
         }
     }
 
-    /// What may begin on the workers of a data centre has changed.
-    fn note_workers_in(&mut self, data_centre: &str) {
-        let inside = self
+    /// Marks the workers of a data centre as changed, because what may start there has changed.
+    fn mark_workers_in(&mut self, data_centre: &str) {
+        let local_workers = self
             .workers
             .iter()
             .filter(|(_, worker)| *worker.info.data_centre == *data_centre);
-        for (id, _) in inside {
-            self.news.note_worker(id);
+        for (id, _) in local_workers {
+            self.events.mark_worker(id);
         }
-        self.news.plan = true;
+        self.events.plan = true;
     }
 
     fn change_workers(&mut self, changes: Vec<WorkerChange>) -> Reply {
         for change in changes {
             match change {
-                WorkerChange::Known(info) => self.note_worker(info),
+                WorkerChange::Known(info) => self.update_worker(info),
                 WorkerChange::Draining(id) => {
                     if let Some(worker) = self.workers.get_mut(&id) {
                         worker.draining = true;
-                        self.news.note_worker(&id);
+                        self.events.mark_worker(&id);
                     }
                 }
                 WorkerChange::Gone(id) => self.remove_worker(&id),
@@ -221,18 +222,18 @@
         Reply::Done
     }
 
-    /// Takes over what a worker says of itself. A heartbeat that was held up says what is no longer so: taken for new, it would have a
-    /// worker that has shrunk filled beyond what it has. So an older one than the last that changed something changes nothing.
-    fn note_worker(&mut self, info: WorkerInfo) {
+    /// Updates a worker from a heartbeat. An older heartbeat than the last one that changed something is ignored: it may have been delayed,
+    /// and if it were applied, a worker that has lost capacity since would be filled beyond what it has.
+    fn update_worker(&mut self, info: WorkerInfo) {
         let known = self.workers.get_mut(&info.id);
         if let Some(worker) = known {
             if info.sequence >= worker.info.sequence {
-                self.news.note_worker(&info.id);
+                self.events.mark_worker(&info.id);
                 worker.info = info;
             }
             return;
         }
-        self.news.note_worker(&info.id);
+        self.events.mark_worker(&info.id);
         self.arrivals += 1;
         let restarts = self.restarts_of(&info.id);
         let worker = Worker::new(info, self.arrivals, restarts);
@@ -282,11 +283,11 @@
                 kind: EndKind::Lost,
                 checkpoint: None,
             };
-            self.end(end, 0);
+            self.end_run(end, 0);
         }
         if let Some(worker) = self.workers.remove(id) {
             self.note_past_start(&worker);
         }
-        self.news.note_worker(id);
+        self.events.mark_worker(id);
     }
 }
--- a/crates/bh-workload/src/state/command.rs
+++ b/crates/bh-workload/src/state/command.rs
@@ -1,4 +1,4 @@
-//! What is replicated: every change of the record, in one order.
+//! Commands: the changes of the record, replicated in one order.
 
 use super::Crash;
 use super::VmUpkeep;
@@ -18,37 +18,37 @@
 pub enum Command {
     /// New rules; only a higher version than the one in force has an effect.
     SetRules(Box<Rules>),
-    /// A caller hands in a job.
+    /// A caller submits a job.
     Accept {
-        /// Where it was handed in.
+        /// Host, path and key of the call.
         place: Place,
-        /// What it asks for.
+        /// What the job asks for.
         spec: JobSpec,
-        /// When the leader took it, in milliseconds since 1970.
+        /// When the leader received the call, in milliseconds since 1970.
         now_ms: u64,
     },
-    /// A caller takes a job back.
+    /// A caller cancels a job.
     Cancel {
         /// The job.
         place: Place,
         /// When the leader took the call, in milliseconds since 1970.
         now_ms: u64,
     },
-    /// Workers came, are leaving, or are gone.
+    /// Workers were added or changed, are leaving, or are gone.
     Workers(Vec<WorkerChange>),
-    /// Runs that are about to be ordered. An order leaves only after this is committed: a leader that comes later must know of
-    /// everything that may run.
+    /// Runs that are about to be ordered. A start order is sent only after this is committed: a later leader must know every run that may
+    /// be in progress.
     Starts(Vec<Start>),
-    /// Runs that are over.
+    /// Runs that have ended.
     Ends {
         /// The runs.
         ends: Vec<End>,
-        /// When the leader learnt of them, in milliseconds since 1970.
+        /// When the leader learned of the ends, in milliseconds since 1970.
         now_ms: u64,
-        /// The crash that ended them, if one did. A core of an older version, which does not know it, still ends the runs.
+        /// The crash that ended them, if any. A core of an older version does not know this field and still ends the runs.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         crash: Option<Crash>,
-        /// Runs of gangs that were recorded as lost and turn out to have failed. A core of an older version counts them as nobody's fault.
+        /// Gang runs that were recorded as lost and are now reported as failed. A core of an older version does not count these failures.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         late_failures: Vec<RunId>,
     },
@@ -59,17 +59,17 @@
         /// When the leader took the call, in milliseconds since 1970.
         now_ms: u64,
     },
-    /// A VM of a wave came one step further. The order itself leaves only after this is committed: more VMs than allowed could be down at
-    /// the same time otherwise, should another core lead next.
+    /// The upkeep of a VM of a wave has progressed. The order to the VM is sent only after this is committed: otherwise, after a change of
+    /// leader, more VMs than allowed could be down at the same time.
     Upkeep {
         /// Number of the wave.
         wave: u64,
         /// The VM.
         vm: Arc<str>,
-        /// How far it is.
+        /// Its new state.
         upkeep: VmUpkeep,
     },
-    /// An operator evacuates a data centre: nothing more begins on its workers until the evacuation is ended.
+    /// An operator evacuates a data centre: no run starts on its workers until the evacuation is ended.
     Evacuate {
         /// The data centre.
         data_centre: Arc<str>,
@@ -81,7 +81,7 @@
         /// The data centre.
         data_centre: Arc<str>,
     },
-    /// Drops jobs that ended before a time, in milliseconds since 1970.
+    /// Removes jobs that ended before a time, in milliseconds since 1970.
     Forget {
         /// The time.
         before_ms: u64,
@@ -89,7 +89,7 @@
 }
 
 impl Command {
-    /// Runs that are over, as of a time that is still to be filled in.
+    /// The command for runs that have ended. The time is filled in later.
     pub fn ends(ends: Vec<End>) -> Self {
         Command::Ends {
             ends,
@@ -99,8 +99,8 @@
         }
     }
 
-    /// When the leader made it, in milliseconds since 1970, where it holds a time.
-    pub fn made_ms(&self) -> Option<u64> {
+    /// When the leader created the command, in milliseconds since 1970, if the command has a time.
+    pub fn time_ms(&self) -> Option<u64> {
         match self {
             Command::Ends { now_ms, .. }
             | Command::Accept { now_ms, .. }
@@ -111,7 +111,7 @@
         }
     }
 
-    /// The command as of `at_ms`, in milliseconds since 1970, where it holds a time.
+    /// The command with its time set to `at_ms`, in milliseconds since 1970, if it has a time.
     pub fn at(mut self, at_ms: u64) -> Self {
         if let Command::Ends { now_ms, .. }
         | Command::Accept { now_ms, .. }
@@ -125,10 +125,10 @@
     }
 }
 
-/// Which queue and job a call concerns, and who calls.
+/// The queue and job that a call names, and its caller.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Place {
-    /// Host that the caller named.
+    /// Host named in the call.
     pub host: Arc<str>,
     /// Path of the call.
     pub path: Arc<str>,
@@ -136,48 +136,49 @@
     pub key: Option<Arc<str>>,
 }
 
-/// What became of a worker.
+/// A change of a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum WorkerChange {
-    /// A new one, or a known one with other particulars, whatever was known before.
+    /// A new worker, or new particulars of a known worker, which replace the old ones.
     Known(WorkerInfo),
     /// It gets no new work.
     Draining(Incarnation),
-    /// It has ended, and everything that ran on it.
+    /// It has ended, together with everything that ran on it.
     Gone(Incarnation),
 }
 
-/// A run about to be ordered.
+/// A run that is about to be ordered.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Start {
     /// The run.
     pub run: RunId,
-    /// Worker incarnation it goes to.
+    /// Worker incarnation on which it should start.
     pub worker: Incarnation,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum EndKind {
-    /// Its work is done.
+    /// It succeeded.
     Done,
-    /// It failed, through its own fault or the worker's.
+    /// It failed; the cause may be the task or the worker.
     Failed,
-    /// It was stopped by our order.
+    /// It was stopped by an order of the leader.
     Stopped,
-    /// The worker's lease ran out, as it says or as it surely has by now.
+    /// The worker's lease expired, as the worker reported or as the leader computed.
     Lapsed,
     /// Another member of its gang ended.
     Broken,
-    /// It waited in vain for the other members of its gang.
+    /// It timed out waiting for the other members of its gang.
     Alone,
-    /// It never began.
+    /// It never started.
     NotStarted,
-    /// Its worker is gone, or other members of its gang say that it is over; a worker that lives may yet say that it failed.
+    /// Its worker is gone, or the ends of other members of its gang prove that it has ended. In the second case the worker may still report
+    /// that the run failed.
     Lost,
 }
 
-/// A run that is over.
+/// A run that has ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct End {
     /// The run.
@@ -186,18 +187,18 @@
     pub worker: Incarnation,
     /// How it ended.
     pub kind: EndKind,
-    /// Progress it saved, if any.
+    /// Its last checkpoint, if any.
     pub checkpoint: Option<Arc<str>>,
 }
 
 /// The answer to a command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
-    /// It is in effect, or was already.
+    /// The command is in effect, or was before.
     Done,
-    /// It has no effect, and why.
+    /// The command has no effect, for this reason.
     Refused(Refusal),
-    /// Steps of which at least one start was not taken over into the record; none of a gang's was.
+    /// Steps with at least one start that was not recorded; of a gang, either all starts are recorded or none.
     Started(Vec<StepId>),
 }
 
@@ -210,13 +211,13 @@
     NoQueue,
     /// The key is missing or unknown.
     NoKey,
-    /// There is no such job.
+    /// No such job exists.
     NoJob,
-    /// There is no such wave.
+    /// No such wave exists.
     NoWave,
-    /// There is no such data centre.
+    /// No such data centre exists.
     NoDataCentre,
-    /// The job cannot be read or breaks a limit.
+    /// The job cannot be parsed or exceeds a limit.
     BadJob(String),
     /// The rules are invalid.
     BadRules(String),
--- a/crates/bh-workload/src/state/crashes.rs
+++ b/crates/bh-workload/src/state/crashes.rs
@@ -1,4 +1,4 @@
-//! Counts crashes at the tasks under which workers crashed, and gives up jobs whose tasks crash their workers.
+//! Counts worker crashes per task, and gives up jobs with tasks that crash their workers.
 
 use super::Crash;
 use super::End;
@@ -10,20 +10,21 @@
 use super::Workload;
 use crate::job::TaskId;
 
-/// Workers that crash under one task before it is given up, whatever ran beside it. The users bear three: with a lower number, neighbours of tasks
-/// that crash their workers would be given up with them.
-const MOST_CRASHES: u32 = 3;
-/// The same for workers that crashed just as the task had begun, when it was alone on the last one: nothing else can have crashed that one,
-/// and a second worker hardly crashes by chance just as the same task begins.
-const MOST_CRASHES_AT_START: u32 = 2;
-/// The same for all crashes that count or may, when the task was alone on the last one.
-const MOST_BEFORE_ALONE: u32 = 3;
-/// The same without that. One that crashes its workers before they answer shows no other crashes, so there must be a bound; it leaves a
-/// sound task more room for orders that came to nothing than one start after the third crash would need.
-const MOST_POSSIBLE_CRASHES: u32 = 4;
+/// Crashes under one task after which its job is given up, no matter what ran beside it. Customers accept three. A lower number would also
+/// give up tasks that ran beside tasks that crash their workers.
+const MAX_CRASHES: u32 = 3;
+/// Crashes just after the start of a task after which its job is given up, if the task was alone on the last worker. Nothing else can have
+/// crashed that worker, and a second worker hardly crashes by chance just as the same task starts.
+const MAX_CRASHES_AT_START: u32 = 2;
+/// All certain and possible crashes under a task after which its job is given up, if the task was alone on the last worker.
+const MAX_ALL_CRASHES_ALONE: u32 = 3;
+/// All certain and possible crashes under a task after which its job is given up if it was not alone on the last worker. A task that
+/// crashes its workers before they answer has only possible crashes, so these need a limit. The limit leaves a sound task more margin for
+/// start orders that failed than a single start after the third crash would need.
+const MAX_ALL_CRASHES: u32 = 4;
 
 impl Task {
-    /// Workers that crashed under it or may have.
+    /// Number of workers that crashed under it or may have.
     pub fn all_crashes(&self) -> u32 {
         self.crashes + self.possible_crashes
     }
@@ -39,31 +40,31 @@
         }
     }
 
-    /// Whether it is given up once a worker has crashed under it with that evidence. With three crashes no newer run is waited for: it
-    /// would be the next one to crash a worker. Two are no proof while a newer run goes on, which may show that the task is sound.
+    /// Whether its job is given up after a worker crashed under it with the given evidence. After three crashes a newer run is not awaited:
+    /// it would crash the next worker. Two crashes are no proof while a newer run is in progress, which may show that the task is sound.
     fn is_given_up(&self, evidence: Evidence) -> bool {
-        let often = self.crashes >= MOST_CRASHES || self.all_crashes() >= MOST_POSSIBLE_CRASHES;
-        let proven = evidence == Evidence::Alone
-            && (self.crashes_at_start >= MOST_CRASHES_AT_START
-                || self.all_crashes() >= MOST_BEFORE_ALONE);
+        let too_often = self.crashes >= MAX_CRASHES || self.all_crashes() >= MAX_ALL_CRASHES;
+        let is_proven = evidence == Evidence::Alone
+            && (self.crashes_at_start >= MAX_CRASHES_AT_START
+                || self.all_crashes() >= MAX_ALL_CRASHES_ALONE);
         match self.state {
             TaskState::Done => false,
-            TaskState::Open(_) => often,
-            TaskState::Waiting => often || proven,
+            TaskState::Open(_) => too_often,
+            TaskState::Waiting => too_often || is_proven,
         }
     }
 }
 
 impl Workload {
-    /// Notes runs that are over. A crashed worker is taken out of the record, and the crash counts at the task of each suspect. The count
-    /// is in the record, so that it outlives the leader, a loss of all cores and a snapshot; a second leader that records the same crash
-    /// finds no such worker, so none counts twice.
+    /// Ends runs. A crashed worker is removed from the record, and the crash is counted at the task of each suspect. The count is part of
+    /// the record, so it survives the leader, a loss of all cores and a snapshot. A second leader that records the same crash does not find
+    /// the worker, so no crash is counted twice.
     ///
-    /// Without the count a task that crashes each worker that starts it takes one worker after the other down, with all that runs there, and its
-    /// caller waits for ever.
-    pub(super) fn end_all(&mut self, ends: Vec<End>, now_ms: u64, crash: Option<Crash>) {
+    /// Without the count, a task that crashes every worker that starts it would take down one worker after the other with all their runs,
+    /// and its caller would wait forever.
+    pub(super) fn end_runs(&mut self, ends: Vec<End>, now_ms: u64, crash: Option<Crash>) {
         for end in ends {
-            self.end(end, now_ms);
+            self.end_run(end, now_ms);
         }
         let Some(Crash { worker, suspects }) = crash else {
             return;
--- a/crates/bh-workload/src/state/end.rs
+++ b/crates/bh-workload/src/state/end.rs
@@ -1,4 +1,4 @@
-//! What the end of a run means for its task, its gang and its job.
+//! Applies the end of a run to its task, its gang and its job.
 
 use super::End;
 use super::EndKind;
@@ -11,13 +11,13 @@
 use crate::job::StepId;
 
 impl Workload {
-    /// Notes that a run is over.
-    pub(super) fn end(&mut self, end: End, now_ms: u64) {
+    /// Ends a run.
+    pub(super) fn end_run(&mut self, end: End, now_ms: u64) {
         let was_open = self.workers.get_mut(&end.worker).is_some_and(|worker| {
             worker.unheard.remove(&end.run);
             worker.runs.remove(&end.run).is_some()
         });
-        self.news.note_worker(&end.worker);
+        self.events.mark_worker(&end.worker);
         let id = end.run.task.step.job;
         let max_attempts = self.jobs.get(&id).map(|job| self.max_attempts(job));
         let Some(job) = self.jobs.get_mut(&id) else {
@@ -40,29 +40,30 @@
             worker.unheard.insert(end.run);
         }
         let failed_too_often = if spec.gang {
-            end_in_gang(step, &end, was_open)
+            end_gang_member(step, &end, was_open)
         } else {
-            end_of_task(step, &end, was_open, spec.long_running)
+            end_task_run(step, &end, was_open, spec.long_running)
         }
         .is_some_and(|failures| max_attempts.is_some_and(|most| failures >= most));
-        step.count_done();
+        step.update_done();
         if step.open_runs == 0 {
             step.broken.clear();
         }
-        // The rules may allow fewer failures than when the run began.
-        let used_up = max_attempts.is_some_and(|most| step.has_used_up(most, spec.gang));
-        let others_open = spec.gang && step.open_runs > 0;
-        if (failed_too_often || used_up) && !spec.long_running {
+        // The rules may allow fewer failures now than when the run started.
+        let is_exhausted =
+            max_attempts.is_some_and(|most| step.has_exhausted_attempts(most, spec.gang));
+        let has_other_open_runs = spec.gang && step.open_runs > 0;
+        if (failed_too_often || is_exhausted) && !spec.long_running {
             let step = end.run.task.step;
             self.give_up(id, GiveUp::Failures { step }, now_ms);
         } else if job.outcome.is_none() && job.is_done() {
-            self.close(id, Outcome::Completed, now_ms);
-        } else if others_open {
-            self.note_holders(end.run.task.step);
+            self.end_job(id, Outcome::Completed, now_ms);
+        } else if has_other_open_runs {
+            self.mark_gang_workers(end.run.task.step);
         }
     }
 
-    /// Counts the failure of a gang member that was recorded as lost, once for each attempt of the gang.
+    /// Counts the failure of a gang member that was recorded as lost. A gang attempt counts at most once.
     pub(super) fn count_late_failure(&mut self, run: RunId, now_ms: u64) {
         let id = run.task.step.job;
         let Some(most) = self.jobs.get(&id).map(|job| self.max_attempts(job)) else {
@@ -75,8 +76,8 @@
         let Some(step) = step.filter(|step| !step.is_done()) else {
             return;
         };
-        let known = [step.failed_attempt, step.late_failed_attempt];
-        if known.contains(&run.attempt) {
+        let counted_attempts = [step.failed_attempt, step.late_failed_attempt];
+        if counted_attempts.contains(&run.attempt) {
             return;
         }
         step.late_failed_attempt = run.attempt;
@@ -87,32 +88,32 @@
         }
     }
 
-    /// Ends a job as failed, unless it has ended.
-    pub(super) fn give_up(&mut self, id: JobId, why: GiveUp, now_ms: u64) {
+    /// Ends a job as failed, unless it has ended before.
+    pub(super) fn give_up(&mut self, id: JobId, reason: GiveUp, now_ms: u64) {
         if let Some(job) = self.jobs.get_mut(&id)
             && job.outcome.is_none()
         {
-            job.given_up = Some(why);
+            job.given_up = Some(reason);
         }
-        self.close(id, Outcome::Failed, now_ms);
+        self.end_job(id, Outcome::Failed, now_ms);
     }
 
-    /// The rest of a gang whose member ended must be looked after on the workers that hold it.
-    fn note_holders(&mut self, step: StepId) {
-        let holders = self
+    /// Marks the workers that hold other members of a gang as changed after one member ended.
+    fn mark_gang_workers(&mut self, step: StepId) {
+        let holding_workers = self
             .workers
             .iter()
             .filter(|(_, worker)| worker.runs.keys().any(|run| run.task.step == step));
-        for (worker, _) in holders {
-            self.news.note_worker(worker);
+        for (worker, _) in holding_workers {
+            self.events.mark_worker(worker);
         }
     }
 }
 
-/// Notes the end of a task's run; returns the failures so far when it failed.
+/// Applies the end of a run of a single task. Returns the number of failed runs of the task if this run failed.
 ///
-/// An end with success counts whichever run it is of: the work is done, and another run of it would do it twice.
-fn end_of_task(
+/// A success counts no matter which run of the task it belongs to: the work is done, and another run would repeat it.
+fn end_task_run(
     step: &mut super::Step,
     end: &End,
     was_open: bool,
@@ -138,9 +139,9 @@
     None
 }
 
-/// Notes the end of a gang member's run; returns the failures of the gang when this end added one. A success of one member is
-/// the success of all; a failure counts once for each attempt of the gang.
-fn end_in_gang(step: &mut super::Step, end: &End, was_open: bool) -> Option<u32> {
+/// Applies the end of a run of a gang member. Returns the number of failed attempts of the gang if this end added one. The success of one
+/// member is the success of all; each attempt of the gang counts as failed at most once.
+fn end_gang_member(step: &mut super::Step, end: &End, was_open: bool) -> Option<u32> {
     if end.kind == EndKind::Done {
         for task in &mut step.tasks {
             task.state = TaskState::Done;
--- a/crates/bh-workload/src/state/give_up.rs
+++ b/crates/bh-workload/src/state/give_up.rs
@@ -16,7 +16,7 @@
     },
     /// Workers crashed under a task.
     Crashes {
-        /// Its last run.
+        /// The last run of the task.
         run: RunId,
     },
 }
--- a/crates/bh-workload/src/state/job.rs
+++ b/crates/bh-workload/src/state/job.rs
@@ -1,4 +1,4 @@
-//! One accepted job and its progress.
+//! An accepted job and its progress.
 
 use super::GiveUp;
 use super::Step;
@@ -20,11 +20,11 @@
     Completed,
     /// A task or gang failed too often, or too many workers crashed under a task.
     Failed,
-    /// Its caller took it back.
+    /// Its caller cancelled it.
     Cancelled,
 }
 
-/// What a caller is told of a job.
+/// The state of a job as reported to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
     /// No task has started yet.
@@ -40,27 +40,28 @@
 pub struct Job {
     /// What was asked for.
     pub spec: Arc<JobSpec>,
-    /// Queue it came through, as it was then. The queue may be taken out of the rules while the job, once accepted, is still owed.
+    /// Queue through which it was submitted, as it was then. The queue may be removed from the rules later, but an accepted job must still
+    /// be carried out.
     pub queue: Arc<Queue>,
-    /// Customer it belongs to, when its caller proved to be one.
+    /// Customer to whom it belongs, if the caller was identified.
     pub customer: Option<Arc<str>>,
     /// When it was accepted, in milliseconds since 1970.
     pub accepted_ms: u64,
-    /// How it ended.
+    /// How it ended; `None` while it has not ended.
     pub outcome: Option<Outcome>,
     /// Why it was given up, if it was.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub given_up: Option<GiveUp>,
-    /// When it ended, in milliseconds since 1970.
+    /// When it ended, in milliseconds since 1970; 0 while it has not ended.
     pub ended_ms: u64,
     /// Whether a task has ever started.
     pub started: bool,
-    /// Its steps, those of the first occurrence first.
+    /// Its steps, ordered by occurrence.
     pub steps: Vec<Step>,
 }
 
 impl Job {
-    /// A job of which nothing has started.
+    /// A job without started tasks.
     pub fn new(
         spec: JobSpec,
         queue: Arc<Queue>,
@@ -83,7 +84,7 @@
         }
     }
 
-    /// What its caller is told.
+    /// The state reported to the caller.
     pub fn state(&self) -> JobState {
         match self.outcome {
             Some(outcome) => JobState::Ended(outcome),
@@ -108,12 +109,12 @@
         self.steps.get_mut(position)
     }
 
-    /// What was asked of a step.
+    /// The specification of a step.
     pub fn step_spec(&self, id: StepId) -> Option<&StepSpec> {
         self.spec.steps.get(usize::try_from(id.step).ok()?)
     }
 
-    /// Whether all steps that `id` waits for are done.
+    /// Whether all steps for which `id` waits are done.
     pub fn is_unblocked(&self, id: StepId) -> bool {
         self.step_spec(id).is_some_and(|spec| {
             spec.after.iter().all(|before| {
@@ -126,7 +127,7 @@
         })
     }
 
-    /// Whether a recorded run should go on: the job goes on, the run is the task's newest, and its gang is whole.
+    /// Whether a recorded run should go on: the job has not ended, the run is the newest of its task, and its gang is complete.
     pub fn should_run(&self, run: RunId) -> bool {
         if self.outcome.is_some() {
             return false;
@@ -144,7 +145,7 @@
             .is_some_and(|task| task.state == TaskState::Open(run.attempt))
     }
 
-    /// Whether a step is a gang of which some runs are recorded and others are not: it waits until all of them are known to be over.
+    /// Whether a step is a gang with recorded runs of some members but not of all. Such a gang waits until all of them have ended.
     pub fn is_broken_gang(&self, id: StepId) -> bool {
         let (Some(step), Some(spec)) = (self.step(id), self.step_spec(id)) else {
             return false;
@@ -156,7 +157,7 @@
         spec.gang && step.open_runs > 0 && !step.is_done() && !is_whole
     }
 
-    /// Number of such gangs.
+    /// Number of broken gangs; see [`Job::is_broken_gang`].
     pub fn broken_gangs(&self, id: JobId) -> usize {
         let steps = (0..self.spec.occurrences()).flat_map(|occurrence| {
             let steps = (0u32..).zip(&self.spec.steps);
@@ -169,12 +170,12 @@
         steps.filter(|step| self.is_broken_gang(*step)).count()
     }
 
-    /// Whether any recorded run of the job is not known to be over.
+    /// Whether a recorded run of the job is not known to have ended.
     pub fn has_open_runs(&self) -> bool {
         self.steps.iter().any(|step| step.open_runs > 0)
     }
 
-    /// Whether nothing is left to do.
+    /// Whether all steps are done.
     pub fn is_done(&self) -> bool {
         self.steps.iter().all(Step::is_done)
     }
--- a/crates/bh-workload/src/state/mod.rs
+++ b/crates/bh-workload/src/state/mod.rs
@@ -40,5 +40,5 @@
 pub use wave::WaveSpec;
 pub use worker::Worker;
 pub use worker::WorkerInfo;
-pub use workload::Found;
+pub use workload::ResolvedCall;
 pub use workload::Workload;
--- a/crates/bh-workload/src/state/start.rs
+++ b/crates/bh-workload/src/state/start.rs
@@ -1,4 +1,4 @@
-//! Which starts are taken over into the record.
+//! Decides which starts are recorded.
 
 use super::Reply;
 use super::Start;
@@ -10,8 +10,8 @@
 use std::collections::BTreeMap;
 
 impl Workload {
-    /// Takes starts over into the record, a gang's all or none. What changed between plan and record is checked here again: the
-    /// order of commands decides, not what the leader saw when it planned.
+    /// Records starts; of a gang, all or none. The conditions of the planner are checked again, because the record may have changed since:
+    /// the order of commands decides, not what the leader saw when it planned.
     pub(super) fn start(&mut self, starts: Vec<Start>) -> Reply {
         let mut by_step: BTreeMap<StepId, Vec<Start>> = BTreeMap::new();
         for start in starts {
@@ -59,10 +59,10 @@
                     .tasks
                     .get(usize::try_from(start.run.task.index).ok()?)
             });
-        let waits = task.is_some_and(|task| {
+        let is_waiting = task.is_some_and(|task| {
             task.state == TaskState::Waiting && start.run.attempt > task.attempt
         });
-        waits && self.has_room(step, &start.worker, 1)
+        is_waiting && self.has_room(step, &start.worker, 1)
     }
 
     fn gang_may_start(&self, step: StepId, starts: &[Start]) -> bool {
@@ -75,10 +75,10 @@
         let attempt = progress.next_gang_attempt();
         let members: std::collections::BTreeSet<u32> =
             starts.iter().map(|start| start.run.task.index).collect();
-        let whole = members.len() == progress.tasks.len()
+        let is_complete = members.len() == progress.tasks.len()
             && starts.len() == progress.tasks.len()
             && starts.iter().all(|start| start.run.attempt == attempt);
-        if !whole || !progress.gang_waits() {
+        if !is_complete || !progress.gang_waits() {
             return false;
         }
         let mut by_worker: BTreeMap<&Incarnation, u64> = BTreeMap::new();
@@ -103,8 +103,8 @@
         let Some(spec) = self.step_spec(step) else {
             return false;
         };
-        let most = spec.most_on_worker().saturating_sub(worker.runs_of(step));
-        count <= most && spec.reserved().times_in(&worker.free(), count) >= count
+        let limit = spec.most_on_worker().saturating_sub(worker.runs_of(step));
+        count <= limit && spec.reserved().times_in(&worker.free(), count) >= count
     }
 
     fn reserved(&self, step: StepId) -> Needs {
@@ -116,10 +116,10 @@
     fn record_starts(&mut self, starts: Vec<Start>) {
         for Start { run, worker } in starts {
             let needs = self.reserved(run.task.step);
-            if let Some(holder) = self.workers.get_mut(&worker) {
-                holder.runs.insert(run, needs);
+            if let Some(target_worker) = self.workers.get_mut(&worker) {
+                target_worker.runs.insert(run, needs);
             }
-            self.news.note_worker(&worker);
+            self.events.mark_worker(&worker);
             let Some(job) = self.jobs.get_mut(&run.task.step.job) else {
                 continue;
             };
--- a/crates/bh-workload/src/state/suspect.rs
+++ b/crates/bh-workload/src/state/suspect.rs
@@ -5,16 +5,17 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What is known of a run on a worker that crashed.
+/// How strongly the known facts suggest that a run crashed its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Evidence {
-    /// Its start had no answer, so that it may not have begun; or the worker was silent before it crashed, so that it may have ended.
+    /// The run may not have been there: its start had no answer, so it may not have started, or the worker was silent before the crash, so
+    /// the run may have ended.
     Possible,
-    /// It was there.
+    /// The run was in progress.
     Present,
-    /// It had just begun.
+    /// The run had just started.
     JustBegun,
-    /// The same, and nothing else had but members of its gang.
+    /// The run had just started, and no other runs had except members of its gang.
     Alone,
 }
 
@@ -23,13 +24,13 @@
 pub struct Suspect {
     /// The run.
     pub run: RunId,
-    /// What speaks against it.
+    /// The evidence against it.
     pub evidence: Evidence,
 }
 
 impl Suspect {
-    /// Whether the run had surely just begun.
-    pub fn had_just_begun(&self) -> bool {
+    /// Whether the run had certainly just started.
+    pub fn had_just_started(&self) -> bool {
         matches!(self.evidence, Evidence::JustBegun | Evidence::Alone)
     }
 }
--- a/crates/bh-workload/src/state/task.rs
+++ b/crates/bh-workload/src/state/task.rs
@@ -1,69 +1,69 @@
-//! Progress of tasks and of the step they belong to.
+//! Progress of tasks and of the step to which they belong.
 
 use serde::Deserialize;
 use serde::Serialize;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Where a task stands.
+/// State of a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
-    /// Nothing of it runs.
+    /// No run of it is recorded as open.
     #[default]
     Waiting,
-    /// The run with this number is recorded and not known to be over.
+    /// The run with this number is recorded and not known to have ended.
     Open(u32),
-    /// Done for good.
+    /// Done.
     Done,
 }
 
-/// Whether a count need not be written.
+/// Whether a count can be left out of the serialized form.
 #[expect(clippy::trivially_copy_pass_by_ref, reason = "what serde asks for")]
 fn is_zero(count: &u32) -> bool {
     *count == 0
 }
 
-/// One task.
+/// A task of a step.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Task {
-    /// Where it stands.
+    /// Its state.
     pub state: TaskState,
     /// Number of its last run; 0 before the first.
     pub attempt: u32,
-    /// Runs that failed.
+    /// Number of runs that failed.
     pub failures: u32,
-    /// Workers that crashed while a run of it was there and had not been at work for long. Hardly any task has one, and the record holds
-    /// very many tasks.
+    /// Number of workers that crashed while a run of it was in progress that had not been running for long. Left out if zero: few tasks
+    /// have any, and the record holds very many tasks.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub crashes: u32,
-    /// Those of them that crashed when the run had just begun.
+    /// Number of those crashes that happened just after the start of the run.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub crashes_at_start: u32,
-    /// Workers that crashed when a run of it had been ordered and may have begun.
+    /// Number of workers that crashed when a run of it had been ordered and may have started.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub possible_crashes: u32,
-    /// Saved progress.
+    /// Its last checkpoint.
     pub checkpoint: Option<Arc<str>>,
 }
 
-/// One step of one occurrence.
+/// One step of one occurrence of a job.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
     /// Its tasks by index.
     pub tasks: Vec<Task>,
-    /// Tasks that are done.
+    /// Number of tasks that are done.
     pub done: u32,
-    /// Recorded runs not known to be over, those of done tasks included.
+    /// Number of recorded runs that are not known to have ended, including those of done tasks.
     pub open_runs: u32,
-    /// Attempts of the gang that failed.
+    /// Number of attempts of the gang that failed.
     pub failures: u32,
     /// The last attempt of the gang that failed; several members of one attempt may fail.
     pub failed_attempt: u32,
-    /// The last attempt of the gang whose failure was heard after it had been recorded as lost.
+    /// The last attempt of the gang whose failure was reported after it had been recorded as lost.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub late_failed_attempt: u32,
-    /// Members of the gang's last attempt that ended because another one did, while others of them are open. A leader that comes later does not hear of
-    /// them any more. Not those on workers that may begin a run again after a restart.
+    /// Members of the gang's last attempt that ended because another member did, while other members are still open. Kept for later
+    /// leaders, to which these ends are not reported again. Members on workers that may start a run again after a restart are left out.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub broken: BTreeSet<u32>,
 }
@@ -77,7 +77,7 @@
         }
     }
 
-    pub(super) fn count_done(&mut self) {
+    pub(super) fn update_done(&mut self) {
         let done = self
             .tasks
             .iter()
@@ -91,7 +91,7 @@
         usize::try_from(self.done).is_ok_and(|done| done == self.tasks.len())
     }
 
-    /// Whether the whole gang waits and nothing of an earlier attempt can still run.
+    /// Whether the whole gang waits and no run of an earlier attempt can still be in progress.
     pub fn gang_waits(&self) -> bool {
         self.open_runs == 0
             && self
@@ -100,26 +100,26 @@
                 .all(|task| task.state == TaskState::Waiting)
     }
 
-    /// Whether a task, or the gang, waits though it has failed `most` times.
-    pub fn has_used_up(&self, most: u32, gang: bool) -> bool {
+    /// Whether a task, or the gang, waits although it has failed `max_attempts` times.
+    pub fn has_exhausted_attempts(&self, max_attempts: u32, gang: bool) -> bool {
         if gang {
-            return self.failures >= most && self.gang_waits();
+            return self.failures >= max_attempts && self.gang_waits();
         }
-        let waits = |task: &&Task| task.state == TaskState::Waiting;
+        let is_waiting = |task: &&Task| task.state == TaskState::Waiting;
         self.tasks
             .iter()
-            .filter(waits)
-            .any(|task| task.failures >= most)
+            .filter(is_waiting)
+            .any(|task| task.failures >= max_attempts)
     }
 
-    /// Whether every task of the gang has the run `attempt` open: one member that ended ends the others.
+    /// Whether every task of the gang has the run `attempt` open. A member that ends also ends the others.
     pub fn gang_is_whole(&self, attempt: u32) -> bool {
         self.tasks
             .iter()
             .all(|task| task.state == TaskState::Open(attempt))
     }
 
-    /// The number that the next run of the whole gang takes.
+    /// Number of the next attempt of the whole gang.
     pub fn next_gang_attempt(&self) -> u32 {
         1 + self
             .tasks
--- a/crates/bh-workload/src/state/wave.rs
+++ b/crates/bh-workload/src/state/wave.rs
@@ -1,4 +1,4 @@
-//! Waves of upkeep that an operator has ordered.
+//! Upkeep waves: maintenance of a set of VMs, ordered by an operator.
 
 use bh_protocol::Incarnation;
 use serde::Deserialize;
@@ -7,47 +7,47 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// What an operator asks for.
+/// An operator's order of a wave.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaveSpec {
-    /// Its number, chosen by the operator.
+    /// Number of the wave, assigned by the operator.
     pub id: u64,
-    /// VMs that each need upkeep once.
+    /// VMs that need upkeep, each once.
     pub vms: BTreeSet<Arc<str>>,
-    /// Time for all of it in milliseconds.
+    /// Time for the whole wave, in milliseconds.
     pub within_ms: u64,
-    /// VMs of the wave that may be down for it at the same time.
+    /// Maximum number of VMs of the wave that may be down at the same time.
     pub most_at_once: u32,
 }
 
-/// How far one VM of a wave has come.
+/// Progress of one VM of a wave.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum VmUpkeep {
     /// Nothing was ordered.
     #[default]
     Waiting,
-    /// Its upkeep was or is about to be ordered while this worker lived on it.
+    /// Its upkeep was ordered, or is about to be, while this worker ran on it.
     Ordered {
-        /// The worker; `None` when none was known.
+        /// The worker; `None` if none was known.
         worker: Option<Incarnation>,
     },
-    /// It is up again, or does not take part any more.
+    /// It is up again, or no longer takes part.
     Over,
 }
 
-/// One wave.
+/// A wave and its progress.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Wave {
-    /// When it is to be over, in milliseconds since 1970.
+    /// When it should have ended, in milliseconds since 1970.
     pub due_ms: u64,
-    /// VMs that may be down at the same time, at least 1.
+    /// Maximum number of VMs that may be down at the same time, at least 1.
     pub most_at_once: u32,
-    /// Its VMs.
+    /// Its VMs and their progress.
     pub vms: BTreeMap<Arc<str>, VmUpkeep>,
 }
 
 impl Wave {
-    /// A wave that was ordered at `now_ms` since 1970.
+    /// A wave that was ordered at `now_ms`, in milliseconds since 1970.
     pub fn new(spec: &WaveSpec, now_ms: u64) -> Self {
         Self {
             due_ms: now_ms + spec.within_ms,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Whether every VM is through.
+    /// Whether the upkeep of every VM has ended.
     pub fn is_over(&self) -> bool {
         self.vms.values().all(|upkeep| *upkeep == VmUpkeep::Over)
     }
--- a/crates/bh-workload/src/state/worker.rs
+++ b/crates/bh-workload/src/state/worker.rs
@@ -1,4 +1,4 @@
-//! A worker incarnation as the record knows it.
+//! A worker incarnation in the record.
 
 use crate::job::Needs;
 use crate::job::RunId;
@@ -11,32 +11,32 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What a worker says of itself. Only its capacity may change during its life.
+/// Particulars of a worker, as it reports them. Only its capacity may change during its life.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerInfo {
     /// Worker id and start time.
     pub id: Incarnation,
-    /// VM it lives on, if it says so.
+    /// VM on which it runs, if it reports one.
     pub vm: Option<Arc<str>>,
-    /// Pool it works for.
+    /// Pool to which it belongs.
     pub pool: Arc<str>,
-    /// Where it takes orders.
+    /// Address at which it receives orders.
     pub address: SocketAddr,
     /// Data centre.
     pub data_centre: Arc<str>,
     /// Rack.
     pub rack: Arc<str>,
-    /// Labels, its rack among them.
+    /// Labels, including its rack.
     pub labels: Vec<Arc<str>>,
-    /// What it has now.
+    /// Its current capacity.
     pub capacity: Needs,
-    /// Number of the heartbeat that said so; it grows during its life.
+    /// Sequence number of the heartbeat that reported this; increases during the worker's life.
     #[serde(default)]
     pub sequence: u64,
 }
 
 impl WorkerInfo {
-    /// Whether two heartbeats say the same, whichever came first.
+    /// Whether two heartbeats report the same particulars, regardless of their sequence numbers.
     pub fn equals_ignoring_sequence(&self, other: &WorkerInfo) -> bool {
         let renumbered = WorkerInfo {
             sequence: self.sequence,
@@ -54,12 +54,13 @@
     *count == 0
 }
 
-/// A worker incarnation and what was ordered to run there.
+/// A worker incarnation and its recorded runs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Worker {
-    /// What it said of itself.
+    /// Its particulars.
     pub info: WorkerInfo,
-    /// Place in the order in which workers came: of two on one VM the later one lives.
+    /// Arrival number: workers are numbered in the order in which they were recorded. If two are recorded on one VM, the later one runs
+    /// there.
     #[serde(default)]
     pub arrival: u64,
     /// Number of earlier incarnations of the worker, as far as recorded.
@@ -67,10 +68,11 @@
     pub restarts: u64,
     /// Whether it is leaving.
     pub draining: bool,
-    /// Runs recorded there and not known to be over, with what each takes.
+    /// Runs that are recorded there and not known to have ended, with the resources that each takes.
     #[serde(with = "crate::pairs")]
     pub runs: BTreeMap<RunId, Needs>,
-    /// Members of gangs that are recorded as lost though the worker lives and its lease had not run out: it may still say that they failed, to whoever leads then.
+    /// Gang members that are recorded as lost although the worker runs and its lease had not expired. The worker may still report to the
+    /// leader that they failed.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub unheard: BTreeSet<RunId>,
 }
@@ -94,7 +96,7 @@
         u64::try_from(count).unwrap_or(u64::MAX)
     }
 
-    /// What recorded runs take beyond what the worker has: it may have shrunk since they began.
+    /// Resources that recorded runs take beyond the capacity of the worker, which may have shrunk since they started.
     pub fn excess(&self) -> Needs {
         let mut excess = Needs::default();
         for needs in self.runs.values() {
@@ -104,7 +106,7 @@
         excess
     }
 
-    /// What recorded runs leave free. A run counts until its end is known: it may still use the worker while it is being stopped.
+    /// Capacity that recorded runs leave free. A run counts until its end is known: it may still use the worker while it is being stopped.
     pub fn free(&self) -> Needs {
         let mut free = self.info.capacity;
         for needs in self.runs.values() {
--- a/crates/bh-workload/src/state/workload.rs
+++ b/crates/bh-workload/src/state/workload.rs
@@ -27,7 +27,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// The record. Every replica applies the same commands in the same order and so holds the same one.
+/// The replicated record. Every replica applies the same commands in the same order and so holds the same record.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Workload {
     /// The rules in force; `None` before the first.
@@ -37,37 +37,37 @@
     /// Start counts of removed workers, by worker id.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub(super) past_starts: BTreeMap<Arc<str>, PastStarts>,
-    /// Workers that have ever come.
+    /// Number of workers that were ever recorded.
     #[serde(default)]
     pub(super) arrivals: u64,
-    /// The latest time at which a leader recorded something, in milliseconds since 1970.
+    /// Latest time at which a leader recorded something, in milliseconds since 1970.
     #[serde(default)]
     pub latest_ms: u64,
-    /// Waves of upkeep by number.
+    /// Upkeep waves by number.
     #[serde(default)]
     pub(super) waves: BTreeMap<u64, Wave>,
     /// Data centres under evacuation, and since when, in milliseconds since 1970.
     #[serde(default)]
     pub(super) evacuations: BTreeMap<Arc<str>, u64>,
-    /// Jobs that have not ended.
+    /// Jobs that have not ended. Not serialized: derived from `jobs`.
     #[serde(skip)]
     pub(super) active: BTreeSet<JobId>,
     #[serde(skip)]
-    pub(super) news: RecordEvents,
+    pub(super) events: RecordEvents,
 }
 
-/// Where a call belongs, and who may speak there.
-pub struct Found<'a> {
+/// The queue of a call and its identified caller.
+pub struct ResolvedCall<'a> {
     /// The queue.
     pub queue: &'a Arc<Queue>,
-    /// Path after the queue's prefix.
+    /// Rest of the path after the prefix of the queue.
     pub rest: &'a str,
-    /// The caller, when its key says so.
+    /// The caller, if the call has a known key.
     pub customer: Option<&'a Arc<Customer>>,
 }
 
 impl Workload {
-    /// How the record is changed and kept.
+    /// Applies encoded commands, takes snapshots and restores them.
     pub const CODEC: Codec<Workload> = Codec {
         apply: Workload::apply_encoded,
         snapshot: Workload::snapshot,
@@ -90,16 +90,18 @@
             .filter(|(_, job)| job.outcome.is_none())
             .map(|(id, _)| *id)
             .collect();
-        self.news.note_everything(self.workers.keys());
+        self.events.mark_workers(self.workers.keys());
         Ok(())
     }
 
-    /// Finds the queue of a call and checks its key.
+    /// Finds the queue of a call and checks the key of the caller.
+    ///
     ///
     /// # Errors
     ///
+    ///
     /// [`Refusal::NoRules`], [`Refusal::NoQueue`], [`Refusal::NoKey`].
-    pub fn find<'a>(&'a self, place: &'a Place) -> Result<Found<'a>, Refusal> {
+    pub fn find<'a>(&'a self, place: &'a Place) -> Result<ResolvedCall<'a>, Refusal> {
         let rules = self.rules.as_ref().ok_or(Refusal::NoRules)?;
         let (queue, rest) = rules
             .route(&place.host, &place.path)
@@ -111,31 +113,33 @@
         if customer.is_none() && !queue.public {
             return Err(Refusal::NoKey);
         }
-        Ok(Found {
+        Ok(ResolvedCall {
             queue,
             rest,
             customer,
         })
     }
 
-    /// The job that a call names, if its caller may know of it.
+    /// The job that a call names, if its caller may access it.
+    ///
     ///
     /// # Errors
     ///
+    ///
     /// [`Refusal::NoJob`], and those of [`Workload::find`].
     pub fn find_job(&self, place: &Place) -> Result<(JobId, &Job), Refusal> {
         let found = self.find(place)?;
         let id = JobId::parse(found.rest).ok_or(Refusal::NoJob)?;
         let job = self.jobs.get(&id).ok_or(Refusal::NoJob)?;
         let owner = found.customer.map(|customer| &customer.name);
-        // A customer must not learn of another's jobs, not even that they exist.
+        // A customer must not learn of the jobs of another customer, not even that they exist.
         if !found.queue.public && job.customer.is_some() && job.customer.as_ref() != owner {
             return Err(Refusal::NoJob);
         }
         Ok((id, job))
     }
 
-    /// Jobs of the queue `queue` of which no task has started.
+    /// Number of jobs of the queue `queue` of which no task has started.
     pub fn pending(&self, queue: &str) -> usize {
         self.active
             .iter()
@@ -144,17 +148,17 @@
             .count()
     }
 
-    /// A job.
+    /// The job with this id.
     pub fn job(&self, id: JobId) -> Option<&Job> {
         self.jobs.get(&id)
     }
 
-    /// What was asked of a step.
+    /// The specification of a step.
     pub fn step_spec(&self, step: StepId) -> Option<&StepSpec> {
         self.jobs.get(&step.job)?.step_spec(step)
     }
 
-    /// Jobs that have not ended, in order of their names.
+    /// Jobs that have not ended, ordered by id.
     pub fn active_jobs(&self) -> impl Iterator<Item = (JobId, &Job)> {
         self.active
             .iter()
@@ -170,8 +174,9 @@
             .min()
     }
 
-    /// Whether `info` may name a worker: the rules know its pool, or the worker is known already as one of that pool. Another writer may name any
-    /// pool; that must neither add a worker nor change one that is in use. Before the first rules every pool may come to be known.
+    /// Whether `info` may add or change a worker: the rules contain its pool, or the worker is recorded in that pool already. Heartbeats
+    /// may come from an unknown sender that names any pool, and must neither add a worker nor change one that is in use. Before the first
+    /// rules are set, any pool is accepted.
     pub fn may_be_worker(&self, info: &WorkerInfo) -> bool {
         if let Some(worker) = self.worker(&info.id) {
             return worker.info.pool == info.pool;
@@ -182,7 +187,7 @@
         })
     }
 
-    /// A worker.
+    /// The worker incarnation with this id.
     pub fn worker(&self, id: &Incarnation) -> Option<&Worker> {
         self.workers.get(id)
     }
@@ -197,22 +202,22 @@
         self.incarnations(id).any(|other| other.info.id != *id)
     }
 
-    /// Number of workers.
+    /// Number of worker incarnations.
     pub fn worker_count(&self) -> usize {
         self.workers.len()
     }
 
-    /// All workers.
+    /// All worker incarnations.
     pub fn workers(&self) -> impl Iterator<Item = &Worker> {
         self.workers.values()
     }
 
-    /// A wave of upkeep.
+    /// The upkeep wave with this number.
     pub fn wave(&self, id: u64) -> Option<&Wave> {
         self.waves.get(&id)
     }
 
-    /// All waves of upkeep, by number.
+    /// All upkeep waves, by number.
     pub fn waves(&self) -> impl Iterator<Item = (u64, &Wave)> {
         self.waves.iter().map(|(id, wave)| (*id, wave))
     }
@@ -224,19 +229,19 @@
             .map(|(data_centre, since_ms)| (data_centre, *since_ms))
     }
 
-    /// Whether a worker's data centre is under evacuation, so that nothing may begin there.
+    /// Whether the data centre of a worker is under evacuation, so that no run may start there.
     pub fn is_evacuated(&self, worker: &WorkerInfo) -> bool {
         self.evacuations.contains_key(&worker.data_centre)
     }
 
-    /// Whether a data centre is known by its workers, or by an evacuation that was recorded.
+    /// Whether a data centre has recorded workers, or a recorded evacuation.
     pub fn knows_data_centre(&self, name: &str) -> bool {
         let mut workers = self.workers.values();
         self.evacuations.contains_key(name)
             || workers.any(|worker| *worker.info.data_centre == *name)
     }
 
-    /// The worker that lives on a VM, as far as known.
+    /// The worker that runs on a VM, as far as known.
     pub fn worker_on(&self, vm: &str) -> Option<&Worker> {
         self.workers
             .values()
@@ -244,7 +249,7 @@
             .max_by_key(|worker| worker.arrival)
     }
 
-    /// Whether the upkeep of a worker's VM is ordered, which ends the worker.
+    /// Whether the upkeep of the worker's VM is ordered, which ends the worker.
     pub fn is_in_upkeep(&self, worker: &Incarnation) -> bool {
         self.waves
             .values()
@@ -252,19 +257,19 @@
             .any(|ended| ended == worker)
     }
 
-    /// Whether a recorded run should go on.
+    /// Whether a recorded run should go on; see [`Job::should_run`].
     pub fn should_run(&self, run: RunId) -> bool {
         self.jobs
             .get(&run.task.step.job)
             .is_some_and(|job| job.should_run(run))
     }
 
-    /// Failed runs after which a job is given up.
+    /// Number of failed attempts after which a job is given up.
     pub fn max_attempts(&self, job: &Job) -> u32 {
         self.queue_of(job).max_attempts.max(1)
     }
 
-    /// The queue of a job as it is now, or as it was when the job came.
+    /// The queue of a job as it is now, or as it was when the job was accepted if it has been removed.
     pub fn queue_of<'a>(&'a self, job: &'a Job) -> &'a Arc<Queue> {
         self.rules
             .as_ref()
@@ -272,8 +277,8 @@
             .unwrap_or(&job.queue)
     }
 
-    /// Takes what has changed since the last call.
+    /// Takes the changes since the last call.
     pub fn take_events(&mut self) -> RecordEvents {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.events)
     }
 }
