--- a/crates/bh-control/src/core/answer_call.rs
+++ b/crates/bh-control/src/core/answer_call.rs
@@ -83,7 +83,7 @@
             Err(answer) => answer,
             Ok(()) => match core.group.machine.read().wave(id) {
                 Some(wave) => Answer::Wave {
-                    is_over: wave.is_over(),
+                    is_over: wave.has_ended(),
                 },
                 None => Answer::Refused(Refusal::NoWave),
             },
--- a/crates/bh-control/src/core/operator.rs
+++ b/crates/bh-control/src/core/operator.rs
@@ -181,7 +181,7 @@
         free_accelerators: free.sum(),
         waves: workload
             .waves()
-            .filter(|(_, wave)| !wave.is_over())
+            .filter(|(_, wave)| !wave.has_ended())
             .map(|(id, _)| id)
             .collect(),
         evacuations: evacuations::list(core.wall_ms(), &workload),
--- a/crates/bh-workload/src/state/wave.rs
+++ b/crates/bh-workload/src/state/wave.rs
@@ -61,7 +61,7 @@
     }
 
     /// Whether the upkeep of every VM has ended.
-    pub fn is_over(&self) -> bool {
+    pub fn has_ended(&self) -> bool {
         self.vms.values().all(|upkeep| *upkeep == VmUpkeep::Over)
     }
 
--- a/crates/bh-workload/src/upkeep/wave_scheduler.rs
+++ b/crates/bh-workload/src/upkeep/wave_scheduler.rs
@@ -98,7 +98,7 @@
         dispatcher: &Dispatcher,
     ) -> Vec<UpkeepAction> {
         let mut steps = Vec::new();
-        for (id, wave) in workload.waves().filter(|(_, wave)| !wave.is_over()) {
+        for (id, wave) in workload.waves().filter(|(_, wave)| !wave.has_ended()) {
             self.choose_vms((now_ms, wall_ms), (id, wave), workload);
             self.follow_orders(now_ms, (id, wave), workload, &mut steps);
         }
--- a/crates/bh-workload/tests/upkeep.rs
+++ b/crates/bh-workload/tests/upkeep.rs
@@ -72,7 +72,7 @@
     }
 
     fn is_over(&self) -> bool {
-        self.site.workload.wave(WAVE).unwrap().is_over()
+        self.site.workload.wave(WAVE).unwrap().has_ended()
     }
 
     /// The service takes an order.
