--- a/crates/bh-workload/benches/days/policy.rs
+++ b/crates/bh-workload/benches/days/policy.rs
@@ -97,7 +97,7 @@
     let (Some(progress), spec) = (job.step(step), &job.spec.steps[0]) else {
         return;
     };
-    if spec.gang && !progress.gang_waits() {
+    if spec.gang && !progress.is_gang_waiting() {
         return;
     }
     let waiting = progress
--- a/crates/bh-workload/src/plan/collect.rs
+++ b/crates/bh-workload/src/plan/collect.rs
@@ -214,7 +214,7 @@
 /// Tasks that wait, and the numbers of their next runs. Tasks under which a worker has crashed go first and by themselves, a gang always whole.
 fn waiting(progress: &Step, spec: &StepSpec) -> (Vec<u32>, Vec<u32>) {
     if spec.gang {
-        if !progress.gang_waits() {
+        if !progress.is_gang_waiting() {
             return (Vec::new(), Vec::new());
         }
         let attempt = progress.next_gang_attempt();
--- a/crates/bh-workload/src/state/start.rs
+++ b/crates/bh-workload/src/state/start.rs
@@ -78,7 +78,7 @@
         let is_complete = members.len() == progress.tasks.len()
             && starts.len() == progress.tasks.len()
             && starts.iter().all(|start| start.run.attempt == attempt);
-        if !is_complete || !progress.gang_waits() {
+        if !is_complete || !progress.is_gang_waiting() {
             return false;
         }
         let mut by_worker: BTreeMap<&Incarnation, u64> = BTreeMap::new();
--- a/crates/bh-workload/src/state/task.rs
+++ b/crates/bh-workload/src/state/task.rs
@@ -92,7 +92,7 @@
     }
 
     /// Whether the whole gang waits and no run of an earlier attempt can still be in progress.
-    pub fn gang_waits(&self) -> bool {
+    pub fn is_gang_waiting(&self) -> bool {
         self.open_runs == 0
             && self
                 .tasks
@@ -103,7 +103,7 @@
     /// Whether a task, or the gang, waits although it has failed `max_attempts` times.
     pub fn has_exhausted_attempts(&self, max_attempts: u32, gang: bool) -> bool {
         if gang {
-            return self.failures >= max_attempts && self.gang_waits();
+            return self.failures >= max_attempts && self.is_gang_waiting();
         }
         let is_waiting = |task: &&Task| task.state == TaskState::Waiting;
         self.tasks
