--- a/crates/bh-workload/src/dispatch/crash.rs
+++ b/crates/bh-workload/src/dispatch/crash.rs
@@ -37,7 +37,7 @@
 
 impl RunState {
     /// Run time when the worker last reported the run, in milliseconds.
-    pub fn at_work_ms(&self) -> u64 {
+    pub fn run_time_ms(&self) -> u64 {
         match (self.start, self.last_reported_ms) {
             (StartPhase::Confirmed { at_ms }, Some(last_reported_ms)) => {
                 last_reported_ms.saturating_sub(at_ms)
@@ -77,7 +77,7 @@
 
     /// Whether it may have started and has not been reported as running for long.
     pub fn has_just_started(&self) -> bool {
-        self.start != StartPhase::Unsent && self.at_work_ms() < JUST_STARTED_MS
+        self.start != StartPhase::Unsent && self.run_time_ms() < JUST_STARTED_MS
     }
 }
 
@@ -125,7 +125,7 @@
     let mut suspects: Vec<Suspect> = runs()
         .filter(|(_, run_state)| run_state.start != StartPhase::Unsent)
         .filter(|(run, run_state)| !run_state.was_sent_after_crash(now_ms, run.attempt))
-        .filter(|(_, run_state)| run_state.at_work_ms() < MAX_SUSPECT_RUN_TIME_MS)
+        .filter(|(_, run_state)| run_state.run_time_ms() < MAX_SUSPECT_RUN_TIME_MS)
         .map(|(run, run_state)| Suspect {
             run: *run,
             evidence: evidence(run, run_state),
--- a/crates/bh-workload/src/plan/room.rs
+++ b/crates/bh-workload/src/plan/room.rs
@@ -34,10 +34,10 @@
         };
         for run in worker.runs.keys() {
             let run_state = target.and_then(|target| target.runs.get(run));
-            let at_work_ms = run_state.map_or(0, RunState::at_work_ms);
+            let run_time_ms = run_state.map_or(0, RunState::run_time_ms);
             let crashes = workload.task(run.task).map_or(0, Task::all_crashes);
             begun.any |= run_state.is_none_or(RunState::has_just_started);
-            begun.suspect |= at_work_ms < isolation_ms(crashes);
+            begun.suspect |= run_time_ms < isolation_ms(crashes);
         }
         begun
     }
