--- a/crates/bh-workload/src/dispatch/answers.rs
+++ b/crates/bh-workload/src/dispatch/answers.rs
@@ -68,22 +68,22 @@
             run_state.start = StartPhase::Unsure {
                 retry_ms: now_ms + RETRY_MS,
             };
-            run_state.was_unsure = true;
+            run_state.was_unconfirmed = true;
             None
         }
         Answer::Denied { denial, .. } => {
-            run_state.was_unsure = run_state.may_have_started();
-            let was_unsure = run_state.was_unsure;
+            run_state.was_unconfirmed = run_state.may_have_started();
+            let was_unconfirmed = run_state.was_unconfirmed;
             run_state.start = StartPhase::Unsure {
                 retry_ms: now_ms + RETRY_MS,
             };
-            run_state.stop_requested = !was_unsure;
-            run_state.start_refused_ms = was_unsure.then_some(now_ms);
+            run_state.stop_requested = !was_unconfirmed;
+            run_state.start_refused_ms = was_unconfirmed.then_some(now_ms);
             if *denial == Denial::Unhealthy || *denial == Denial::NoRoom {
                 target.set_aside(now_ms);
             }
             // An earlier send may have been carried out: the next report tells, or a confirmed stop.
-            if was_unsure {
+            if was_unconfirmed {
                 return None;
             }
             if let Some(run_state) = target.runs.get_mut(&run) {
--- a/crates/bh-workload/src/dispatch/crash.rs
+++ b/crates/bh-workload/src/dispatch/crash.rs
@@ -61,7 +61,7 @@
 
     /// Whether it certainly started at `since_ms` or later. The start time of a run is unknown if a start order for it once had no answer.
     fn started_since(&self, since_ms: u64) -> bool {
-        !self.was_unsure
+        !self.was_unconfirmed
             && matches!(self.start, StartPhase::Confirmed { at_ms } if at_ms >= since_ms)
     }
 
--- a/crates/bh-workload/src/dispatch/run_state.rs
+++ b/crates/bh-workload/src/dispatch/run_state.rs
@@ -52,7 +52,7 @@
     pub first_sent_ms: Option<u64>,
     /// Whether an earlier send of the start order had no answer, so that a refusal of a later one does not prove that the run never
     /// started.
-    pub was_unsure: bool,
+    pub was_unconfirmed: bool,
     /// Whether the last send of the start order was repeated: the connection of the first send broke before an answer came.
     pub was_repeated: bool,
     /// When a send of the start order was refused although an earlier one may have been carried out, on the leader's clock in milliseconds.
@@ -84,7 +84,7 @@
             start,
             stop: StopPhase::None,
             first_sent_ms: None,
-            was_unsure: matches!(start, StartPhase::Unsure { .. }),
+            was_unconfirmed: matches!(start, StartPhase::Unsure { .. }),
             was_repeated: false,
             start_refused_ms: None,
             stop_requested: false,
@@ -101,7 +101,7 @@
 
     /// Whether an earlier send of the start order may have been carried out, so that a refusal of the last one does not settle the run.
     pub fn may_have_started(&self) -> bool {
-        self.was_unsure || self.was_repeated
+        self.was_unconfirmed || self.was_repeated
     }
 
     /// Whether a start order for the run may reach a later incarnation of its worker. It cannot if it was sent only once and the worker has reported
--- a/crates/bh-workload/src/plan/leaving.rs
+++ b/crates/bh-workload/src/plan/leaving.rs
@@ -107,7 +107,7 @@
         StartPhase::Confirmed { at_ms } => at_ms,
         _ => now_ms,
     };
-    if run_state.percent >= KNOWN_PERCENT && !run_state.was_unsure {
+    if run_state.percent >= KNOWN_PERCENT && !run_state.was_unconfirmed {
         let reported_ms = run_state.progress_ms.saturating_sub(began_ms);
         return began_ms + reported_ms * 100 / run_state.percent;
     }
--- a/crates/bh-workload/src/plan/overdue.rs
+++ b/crates/bh-workload/src/plan/overdue.rs
@@ -144,7 +144,7 @@
     };
     let ran_ms = now_ms.saturating_sub(at_ms);
     // When a run began that an earlier leader ordered, or whose order had no answer, is not known.
-    if run_state.was_unsure {
+    if run_state.was_unconfirmed {
         return false;
     }
     if run_state.percent == 0 || ran_ms < learnt_ms * SLOW_AFTER_PERCENT / 100 {
--- a/crates/bh-workload/src/plan/planner.rs
+++ b/crates/bh-workload/src/plan/planner.rs
@@ -106,7 +106,7 @@
             .view(&end.worker)
             .and_then(|target| target.runs.get(&end.run));
         // When a run began that an earlier leader ordered, or whose order had no answer, is not known.
-        let Some(run_state) = run_state.filter(|run_state| !run_state.was_unsure) else {
+        let Some(run_state) = run_state.filter(|run_state| !run_state.was_unconfirmed) else {
             return;
         };
         let StartPhase::Confirmed { at_ms } = run_state.start else {
