--- a/crates/bh-control/src/core/upkeep.rs
+++ b/crates/bh-control/src/core/upkeep.rs
@@ -27,13 +27,13 @@
     };
     let workload = core.group.machine.read();
     let times = (now_ms, core.wall_ms());
-    let steps = leadership
+    let actions = leadership
         .wave_scheduler
-        .steps(times, &workload, &leadership.dispatcher);
+        .actions(times, &workload, &leadership.dispatcher);
     let emptied = leadership.wave_scheduler.emptied_workers(&workload);
     leadership.dispatcher.set_emptied(emptied);
-    for step in steps {
-        match step {
+    for action in actions {
+        match action {
             UpkeepAction::Record(command) => {
                 monoio::spawn(record(core.clone(), command));
             }
--- a/crates/bh-workload/src/dispatch/dispatcher.rs
+++ b/crates/bh-workload/src/dispatch/dispatcher.rs
@@ -65,8 +65,8 @@
 impl Dispatcher {
     /// Creates the dispatcher of a leader that was elected at `now_ms`, with its term as `token`.
     ///
-    /// A run found in the record may be running, may have ended, or may never have been ordered. So none is ordered again or taken to be
-    /// over until its worker has answered a probe or the worker's lease has certainly expired.
+    /// A run found in the record may be running, may have ended, or may never have been ordered. So no run is ordered again or recorded as
+    /// ended until its worker has answered a probe or the worker's lease has certainly expired.
     pub fn new(timing: Timing, token: u64, now_ms: u64, workload: &Workload) -> Self {
         let mut dispatcher = Self {
             timing,
@@ -264,7 +264,7 @@
         attempts
     }
 
-    /// Requests the end of a run that the record still wants.
+    /// Requests the end of a run that should go on according to the record.
     pub fn request_stop(&mut self, worker: &Incarnation, run: RunId) {
         let target = self.target_mut(worker);
         if let Some(run_state) = target.runs.get_mut(&run) {
--- a/crates/bh-workload/src/dispatch/restart.rs
+++ b/crates/bh-workload/src/dispatch/restart.rs
@@ -34,9 +34,9 @@
 
 /// Processes a report of a later incarnation of a worker; returns what must be recorded.
 ///
-/// The recorded incarnation and its runs have ended. However, a start order for one of these runs may have reached the later incarnation, or may still
-/// reach it. Such a run is over only once the later incarnation has confirmed a stop of it, which makes it refuse later start orders for the run, and
-/// no longer reports it as running.
+/// The recorded incarnation and its runs have ended. However, a start order for one of these runs may have reached the later incarnation,
+/// or may still reach it. Such a run has ended only once the later incarnation has confirmed a stop of it, which makes it refuse later
+/// start orders for the run, and no longer reports it as running.
 pub(super) fn note_restart(
     now_ms: u64,
     order: &Order,
--- a/crates/bh-workload/src/dispatch/run_state.rs
+++ b/crates/bh-workload/src/dispatch/run_state.rs
@@ -8,7 +8,7 @@
 pub enum StartPhase {
     /// This leader has not sent it, and no other leader can have sent it.
     Unsent,
-    /// It is on its way.
+    /// It is in flight.
     InFlight,
     /// Unconfirmed: it may have been carried out, or may still be. It is sent again from `retry_ms` on.
     Unsure {
@@ -27,7 +27,7 @@
 pub enum StopPhase {
     /// None was sent.
     None,
-    /// It is on its way.
+    /// It is in flight.
     InFlight,
     /// It had no answer or was refused, and is sent again from `retry_ms` on.
     Retry {
@@ -57,7 +57,7 @@
     pub was_repeated: bool,
     /// When a send of the start order was refused although an earlier one may have been carried out, on the leader's clock in milliseconds.
     pub start_refused_ms: Option<u64>,
-    /// Whether the leader wants the run to end although the record still wants it.
+    /// Whether the leader wants the run to end although it should go on according to the record.
     pub stop_requested: bool,
     /// Whether its end is being recorded.
     pub recording_end: bool,
--- a/crates/bh-workload/src/dispatch/target.rs
+++ b/crates/bh-workload/src/dispatch/target.rs
@@ -104,7 +104,7 @@
 }
 
 impl Target {
-    /// The initial state of a worker that has not been heard yet.
+    /// The initial state of a worker without any contact so far.
     pub fn new(worker: &Incarnation) -> Self {
         Self {
             reports_start_time: worker.started_ms.is_some(),
@@ -151,7 +151,8 @@
             return;
         }
         self.silent_since_ms = Some(now_ms);
-        // It is unknown whether the previous leader heard the worker lately. It may have been silent for long, and have lost capacity.
+        // It is unknown whether the previous leader received heartbeats lately. The worker may have been silent for long and have lost
+        // capacity.
         if self.last_heartbeat_ms.is_none() {
             self.info_ms = None;
         }
--- a/crates/bh-workload/src/dispatch/worker_reconciler.rs
+++ b/crates/bh-workload/src/dispatch/worker_reconciler.rs
@@ -1,4 +1,4 @@
-//! Compares what the record wants of one worker with what the worker reported, and derives the orders to send.
+//! Compares the recorded runs of one worker with its reports, and derives the orders to send.
 
 use super::BrokenGangs;
 use super::Order;
@@ -147,9 +147,9 @@
         }
     }
 
-    /// Ends gangs that are over on this worker although it does not answer; otherwise their callers would wait until its lease expires.
-    /// Only runs that the worker had confirmed count, or a run that must have been the one that broke the gang: a start order of any other
-    /// run may still be in flight and start the run after the gang has started again elsewhere.
+    /// Ends gangs whose runs on this worker must have ended although it does not answer; otherwise their callers would wait until its lease
+    /// expires. Only runs that the worker had confirmed count, or a run that must have been the one that broke the gang: a start order of
+    /// any other run may still be in flight and start the run after the gang has started again elsewhere.
     fn end_broken_gangs(&mut self, target: &mut Target) {
         let mut gangs: BTreeMap<(StepId, u32), Vec<RunId>> = BTreeMap::new();
         for run in self.worker.runs.keys() {
--- a/crates/bh-workload/src/state/crashes.rs
+++ b/crates/bh-workload/src/state/crashes.rs
@@ -10,8 +10,8 @@
 use super::Workload;
 use crate::job::TaskId;
 
-/// Crashes under one task after which its job is given up, no matter what ran beside it. Customers accept three. A lower number would also
-/// give up tasks that ran beside tasks that crash their workers.
+/// Crashes under one task after which its job is given up, no matter what ran beside it. Users accept three. A lower number would also give
+/// up tasks that ran beside tasks that crash their workers.
 const MAX_CRASHES: u32 = 3;
 /// Crashes just after the start of a task after which its job is given up, if the task was alone on the last worker. Nothing else can have
 /// crashed that worker, and a second worker hardly crashes by chance just as the same task starts.
--- a/crates/bh-workload/src/state/worker.rs
+++ b/crates/bh-workload/src/state/worker.rs
@@ -96,7 +96,7 @@
         u64::try_from(count).unwrap_or(u64::MAX)
     }
 
-    /// Resources that recorded runs take beyond the capacity of the worker, which may have shrunk since they started.
+    /// Resources that recorded runs take beyond the capacity of the worker, which may have decreased since they started.
     pub fn excess(&self) -> Needs {
         let mut excess = Needs::default();
         for needs in self.runs.values() {
--- a/crates/bh-workload/src/upkeep/wave_scheduler.rs
+++ b/crates/bh-workload/src/upkeep/wave_scheduler.rs
@@ -24,7 +24,7 @@
 /// Delay after an order that was not carried out or had no answer, in milliseconds. Several attempts fit into the time of one upkeep.
 const ORDER_RETRY_MS: u64 = 700;
 
-/// An action that the caller of [`WaveScheduler::steps`] must carry out.
+/// An action that the caller of [`WaveScheduler::actions`] must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum UpkeepAction {
     /// Record a command. Actions that depend on it follow once it is committed.
@@ -91,19 +91,19 @@
     }
 
     /// The actions to carry out at `now_ms` on the leader's clock and `wall_ms` since 1970.
-    pub fn steps(
+    pub fn actions(
         &mut self,
         (now_ms, wall_ms): (u64, u64),
         workload: &Workload,
         dispatcher: &Dispatcher,
     ) -> Vec<UpkeepAction> {
-        let mut steps = Vec::new();
+        let mut actions = Vec::new();
         for (id, wave) in workload.waves().filter(|(_, wave)| !wave.has_ended()) {
             self.choose_vms((now_ms, wall_ms), (id, wave), workload);
-            self.follow_orders(now_ms, (id, wave), workload, &mut steps);
+            self.follow_orders(now_ms, (id, wave), workload, &mut actions);
         }
-        self.empty_vms(now_ms, workload, dispatcher, &mut steps);
-        steps
+        self.empty_vms(now_ms, workload, dispatcher, &mut actions);
+        actions
     }
 
     /// Chooses VMs to be emptied, as many as may be down at the same time. VMs with the least work come first.
@@ -147,7 +147,7 @@
         now_ms: u64,
         workload: &Workload,
         dispatcher: &Dispatcher,
-        steps: &mut Vec<UpkeepAction>,
+        actions: &mut Vec<UpkeepAction>,
     ) {
         self.emptying.retain(|vm, emptying| {
             let wave = workload.wave(emptying.wave);
@@ -158,12 +158,12 @@
             let worker = workload.worker_on(vm);
             match worker.filter(|worker| !worker.runs.is_empty()) {
                 Some(worker) if now_ms >= emptying.stop_at_ms => {
-                    steps.extend(stop_actions(worker, dispatcher, &mut services));
+                    actions.extend(stop_actions(worker, dispatcher, &mut services));
                 }
                 Some(_) => {}
                 None if now_ms >= self.no_orders_until_ms && self.recording.insert(vm.clone()) => {
                     let worker = worker.map(|worker| worker.info.id.clone());
-                    steps.push(UpkeepAction::Record(Command::Upkeep {
+                    actions.push(UpkeepAction::Record(Command::Upkeep {
                         wave: emptying.wave,
                         vm: vm.clone(),
                         upkeep: VmUpkeep::Ordered { worker },
@@ -180,7 +180,7 @@
         now_ms: u64,
         (id, wave): (u64, &Wave),
         workload: &Workload,
-        steps: &mut Vec<UpkeepAction>,
+        actions: &mut Vec<UpkeepAction>,
     ) {
         for (vm, upkeep) in &wave.vms {
             let VmUpkeep::Ordered { worker } = upkeep else {
@@ -193,7 +193,7 @@
                 let is_back = current_worker.is_some() && current_worker != worker.as_ref();
                 let upkeep_has_ended = now_ms >= at_ms + self.upkeep_ms;
                 if upkeep_has_ended && is_back && self.recording.insert(vm.clone()) {
-                    steps.push(UpkeepAction::Record(ended_command(id, vm)));
+                    actions.push(UpkeepAction::Record(ended_command(id, vm)));
                 }
                 continue;
             }
@@ -204,7 +204,7 @@
             };
             if due {
                 self.orders.insert(key, OrderPhase::InFlight);
-                steps.push(UpkeepAction::Order(UpkeepOrder {
+                actions.push(UpkeepAction::Order(UpkeepOrder {
                     wave: id,
                     vm: vm.clone(),
                     worker: worker.clone(),
--- a/crates/bh-workload/tests/upkeep.rs
+++ b/crates/bh-workload/tests/upkeep.rs
@@ -93,8 +93,8 @@
         UpkeepAnswer::Done
     }
 
-    fn carry_out(&mut self, step: UpkeepAction) {
-        match step {
+    fn carry_out(&mut self, action: UpkeepAction) {
+        match action {
             UpkeepAction::Record(command) => {
                 if let Command::Upkeep { vm, .. } = &command {
                     self.wave_scheduler.note_recorded(vm);
@@ -139,13 +139,13 @@
         }
         self.site.take_events();
         let times = (now_ms, self.site.wall_ms());
-        let steps = self
-            .wave_scheduler
-            .steps(times, &self.site.workload, &self.site.dispatcher);
+        let actions =
+            self.wave_scheduler
+                .actions(times, &self.site.workload, &self.site.dispatcher);
         let emptied = self.wave_scheduler.emptied_workers(&self.site.workload);
         self.site.dispatcher.set_emptied(emptied);
-        for step in steps {
-            self.carry_out(step);
+        for action in actions {
+            self.carry_out(action);
         }
         self.site.heartbeats();
         self.site.plan_and_start();
@@ -208,11 +208,12 @@
     for _ in 0..60 {
         fleet.site.advance(TURN_MS);
         let times = (fleet.site.now_ms, fleet.site.wall_ms());
-        for step in fleet
-            .wave_scheduler
-            .steps(times, &fleet.site.workload, &fleet.site.dispatcher)
+        for action in
+            fleet
+                .wave_scheduler
+                .actions(times, &fleet.site.workload, &fleet.site.dispatcher)
         {
-            if let UpkeepAction::Order(order) = &step {
+            if let UpkeepAction::Order(order) = &action {
                 let now_ms = fleet.site.now_ms;
                 let command =
                     fleet
@@ -220,7 +221,7 @@
                         .note_answer(now_ms, order, UpkeepAnswer::NotPart);
                 fleet.site.workload.apply(command.unwrap());
             } else {
-                fleet.carry_out(step);
+                fleet.carry_out(action);
             }
         }
     }
