--- a/crates/bh-workload/src/dispatch/dispatcher.rs
+++ b/crates/bh-workload/src/dispatch/dispatcher.rs
@@ -89,7 +89,7 @@
             // failure that another leader would have counted.
             target.presumed_lost = worker.unheard.clone();
             target.lease_expiry_ms =
-                now_ms + LEADER_OVERLAP_MS + timing.lapse_after_ms(timing.lease_ms);
+                now_ms + LEADER_OVERLAP_MS + timing.lease_expiry_after_ms(timing.lease_ms);
             for run in worker.runs.keys() {
                 let start = StartPhase::Unsure {
                     retry_ms: now_ms + RETRY_MS,
--- a/crates/bh-workload/src/dispatch/target.rs
+++ b/crates/bh-workload/src/dispatch/target.rs
@@ -281,7 +281,7 @@
         self.granted_until_ms = self.granted_until_ms.max(until_ms);
         self.lease_expiry_ms = self
             .lease_expiry_ms
-            .max(now_ms + timing.lapse_after_ms(age_ms));
+            .max(now_ms + timing.lease_expiry_after_ms(age_ms));
         Some(self.granted_until_ms)
     }
 
--- a/crates/bh-workload/src/dispatch/timing.rs
+++ b/crates/bh-workload/src/dispatch/timing.rs
@@ -49,7 +49,7 @@
 
     /// Longest time after a grant for which a run under the lease may go on, given that the worker's clock was read `age_ms` ago. The
     /// worker's clock may be up to two percent slow, so the leader's estimate of it since the last reading may be too high by that share.
-    pub fn lapse_after_ms(&self, age_ms: u64) -> u64 {
+    pub fn lease_expiry_after_ms(&self, age_ms: u64) -> u64 {
         const SLOW_CLOCK_PERCENT: u64 = 2;
         /// Rounding of the two clocks to whole milliseconds.
         const ROUNDING_MS: u64 = 20;
--- a/crates/bh-workload/tests/standing_tasks.rs
+++ b/crates/bh-workload/tests/standing_tasks.rs
@@ -349,7 +349,7 @@
     scene.run_for(1_000);
     let at_work = scene.at_work(job);
     scene.lose(&at_work[0].0, job, Manner::BehindLostCarriers);
-    let lapse_ms = TIMING.lapse_after_ms(0);
+    let lapse_ms = TIMING.lease_expiry_after_ms(0);
     let stands_ms = scene.stands_ms(job);
     assert!(
         stands_ms <= lapse_ms + STANDS_MS,
@@ -365,7 +365,7 @@
     scene.run_for(1_000);
     let at_work = scene.at_work(job);
     scene.lose(&at_work[0].0, job, Manner::BehindLostCarriers);
-    let lapse_ms = TIMING.lapse_after_ms(0);
+    let lapse_ms = TIMING.lease_expiry_after_ms(0);
     let stands_ms = scene.stands_ms(job);
     assert!(
         stands_ms <= lapse_ms + STANDS_MS,
