--- a/crates/bh-workload/src/dispatch/dispatcher.rs
+++ b/crates/bh-workload/src/dispatch/dispatcher.rs
@@ -170,7 +170,7 @@
     /// Notes that a worker that is leaving reported at `heard_ms` that it runs for at least another `leaves_in_ms`.
     pub fn note_leaving(&mut self, heard_ms: u64, worker: &Incarnation, leaves_in_ms: u64) {
         if let Some(target) = self.targets.get_mut(worker) {
-            target.leaves_ms = Some(heard_ms + leaves_in_ms);
+            target.runs_until_ms = Some(heard_ms + leaves_in_ms);
         }
     }
 
--- a/crates/bh-workload/src/dispatch/target.rs
+++ b/crates/bh-workload/src/dispatch/target.rs
@@ -43,7 +43,7 @@
     /// Until when it is slow after its start, as it last reported, on the leader's clock in milliseconds.
     pub cold_until_ms: u64,
     /// Until when it certainly runs while it is leaving, as it last reported, on the leader's clock in milliseconds.
-    pub leaves_ms: Option<u64>,
+    pub runs_until_ms: Option<u64>,
     /// Whether it announced that it ends now. Its runs go on until it does, for seconds if it gets no acknowledgement.
     pub announced_end: bool,
     /// Since when orders to it have had no answer, on the leader's clock in milliseconds; `None` if it answers.
--- a/crates/bh-workload/src/plan/leaving.rs
+++ b/crates/bh-workload/src/plan/leaving.rs
@@ -54,7 +54,7 @@
             return Vec::new();
         };
         // A worker that does not answer cannot be told to stop anything.
-        let Some(leaves_ms) = target.leaves_ms.filter(|_| !target.is_silent()) else {
+        let Some(runs_until_ms) = target.runs_until_ms.filter(|_| !target.is_silent()) else {
             return Vec::new();
         };
         let is_cut_short = |run: &RunId| {
@@ -62,7 +62,7 @@
                 .runs
                 .get(run)
                 .filter(|run_state| !run_state.stop_requested);
-            run_state.is_some_and(|run_state| self.is_cut_short(*run, run_state, leaves_ms))
+            run_state.is_some_and(|run_state| self.is_cut_short(*run, run_state, runs_until_ms))
         };
         let runs = worker.runs.keys().copied();
         runs.filter(is_cut_short)
@@ -70,7 +70,7 @@
             .collect()
     }
 
-    fn is_cut_short(&self, run: RunId, run_state: &RunState, leaves_ms: u64) -> bool {
+    fn is_cut_short(&self, run: RunId, run_state: &RunState, runs_until_ms: u64) -> bool {
         let Some(job) = self.workload.job(run.task.step.job) else {
             return false;
         };
@@ -83,13 +83,13 @@
         }
         let queue = &job.queue.name;
         let usual_ms = self.runtimes.expected_ms(queue, run.task.step, spec);
-        if ends_ms(self.now_ms, run_state, usual_ms) <= leaves_ms {
+        if ends_ms(self.now_ms, run_state, usual_ms) <= runs_until_ms {
             return false;
         }
         let timing = self.dispatcher.timing();
         let anew_ms = self.wall_ms + timing.stop_timeout_ms + usual_ms;
         let lost_ms =
-            self.wall_ms + leaves_ms.saturating_sub(self.now_ms) + timing.lease_ms + usual_ms;
+            self.wall_ms + runs_until_ms.saturating_sub(self.now_ms) + timing.lease_ms + usual_ms;
         let queue = self.workload.queue_of(job);
         let objective_ms = objective_ms(run.task.step.job, job, queue, self.runtimes);
         let ready_ms = job
