--- a/crates/bh-control/src/core/answer_call.rs
+++ b/crates/bh-control/src/core/answer_call.rs
@@ -112,7 +112,9 @@
             leadership.dispatcher.check_incarnations(worker, &workload);
             return Answer::Done;
         };
-        let gone = leadership.dispatcher.note_left(now_ms, &worker, &workload);
+        let gone = leadership
+            .dispatcher
+            .note_announced_end(now_ms, &worker, &workload);
         (worker, gone)
     };
     if let Some(gone) = gone {
--- a/crates/bh-workload/src/dispatch/dispatcher.rs
+++ b/crates/bh-workload/src/dispatch/dispatcher.rs
@@ -177,7 +177,7 @@
     /// Notes that a worker announced that it ends now. Returns what must be recorded if the worker has certainly ended. Otherwise the
     /// worker is probed until nothing listens at its address or its lease has expired: the announcement does not tell when its runs end,
     /// and tasks that are started elsewhere too early would run twice.
-    pub fn note_left(
+    pub fn note_announced_end(
         &mut self,
         now_ms: u64,
         worker: &Incarnation,
--- a/crates/bh-workload/tests/leaving_workers.rs
+++ b/crates/bh-workload/tests/leaving_workers.rs
@@ -129,7 +129,7 @@
 
 fn leave(site: &mut Site, worker: &Incarnation) -> Option<Command> {
     site.dispatcher
-        .note_left(site.now_ms, worker, &site.workload)
+        .note_announced_end(site.now_ms, worker, &site.workload)
 }
 
 /// Nothing listens at a worker's address any more when its word comes that it ends: it is gone at once.
