--- a/crates/bh-workload/src/dispatch/crash.rs
+++ b/crates/bh-workload/src/dispatch/crash.rs
@@ -65,8 +65,8 @@
             && matches!(self.start, StartPhase::Confirmed { at_ms } if at_ms >= since_ms)
     }
 
-    /// Whether the start order of an unconfirmed run is taken to have been sent after the worker crashed: another incarnation answered at `now_ms`, sooner
-    /// than the worker could have restarted.
+    /// Whether the start order of an unconfirmed run counts as sent after the crash of the worker: another incarnation answered at
+    /// `now_ms`, sooner than the worker could have restarted.
     fn was_sent_after_crash(&self, now_ms: u64, attempt: u32) -> bool {
         !self.is_confirmed()
             && attempt <= MAX_UNSUSPECTED_ATTEMPTS
--- a/crates/bh-workload/src/dispatch/worker_reconciler.rs
+++ b/crates/bh-workload/src/dispatch/worker_reconciler.rs
@@ -433,12 +433,12 @@
         if only_starts_in_flight && !target.must_be_probed() && !has_other_incarnation {
             return;
         }
-        let has_unsure_start = target
+        let has_unconfirmed_start = target
             .runs
             .values()
             .any(|run_state| matches!(run_state.start, StartPhase::Unsure { .. }));
         let answer_at_once = target.runs.is_empty()
-            || has_unsure_start
+            || has_unconfirmed_start
             || target.is_silent()
             || target.carrier_lost
             || !target.is_verified();
