--- a/crates/bh-workload/src/dispatch/target.rs
+++ b/crates/bh-workload/src/dispatch/target.rs
@@ -37,7 +37,7 @@
     pub clock: Option<ClockReading>,
     /// When its last heartbeat arrived, on the leader's clock in milliseconds.
     pub last_heartbeat_ms: Option<u64>,
-    /// When the record last held the worker's current particulars, on the leader's clock in milliseconds: at its last heartbeat, or at the
+    /// When the record last held the worker's current details, on the leader's clock in milliseconds: at its last heartbeat, or at the
     /// election if the previous leader had received one.
     pub info_ms: Option<u64>,
     /// Until when it is slow after its start, as it last reported, on the leader's clock in milliseconds.
@@ -184,7 +184,7 @@
         self.clock.is_some() && !self.is_silent() && !self.carrier_lost
     }
 
-    /// Whether its recorded particulars are recent enough to give it work.
+    /// Whether its recorded details are recent enough to give it work.
     pub fn is_current(&self, now_ms: u64, timing: &Timing) -> bool {
         self.info_ms
             .is_some_and(|info_ms| now_ms <= info_ms + timing.current_ms())
--- a/crates/bh-workload/src/state/command.rs
+++ b/crates/bh-workload/src/state/command.rs
@@ -31,7 +31,7 @@
     Cancel {
         /// The job.
         place: Place,
-        /// When the leader took the call, in milliseconds since 1970.
+        /// When the leader received the call, in milliseconds since 1970.
         now_ms: u64,
     },
     /// Workers were added or changed, are leaving, or are gone.
@@ -56,7 +56,7 @@
     StartWave {
         /// What is asked for.
         spec: WaveSpec,
-        /// When the leader took the call, in milliseconds since 1970.
+        /// When the leader received the call, in milliseconds since 1970.
         now_ms: u64,
     },
     /// The upkeep of a VM of a wave has progressed. The order to the VM is sent only after this is committed: otherwise, after a change of
@@ -73,7 +73,7 @@
     Evacuate {
         /// The data centre.
         data_centre: Arc<str>,
-        /// When the leader took the call, in milliseconds since 1970.
+        /// When the leader received the call, in milliseconds since 1970.
         now_ms: u64,
     },
     /// An operator ends the evacuation of a data centre.
@@ -139,7 +139,7 @@
 /// A change of a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum WorkerChange {
-    /// A new worker, or new particulars of a known worker, which replace the old ones.
+    /// A new worker, or new details of a known worker, which replace the old ones.
     Known(WorkerInfo),
     /// It gets no new work.
     Draining(Incarnation),
--- a/crates/bh-workload/src/state/crashes.rs
+++ b/crates/bh-workload/src/state/crashes.rs
@@ -18,9 +18,9 @@
 const MAX_CRASHES_AT_START: u32 = 2;
 /// All certain and possible crashes under a task after which its job is given up, if the task was alone on the last worker.
 const MAX_ALL_CRASHES_ALONE: u32 = 3;
-/// All certain and possible crashes under a task after which its job is given up if it was not alone on the last worker. A task that
-/// crashes its workers before they answer has only possible crashes, so these need a limit. The limit leaves a sound task more margin for
-/// start orders that failed than a single start after the third crash would need.
+/// All certain and possible crashes under a task after which its job is given up in any case. A task that crashes its workers before they
+/// answer has only possible crashes, so these need a limit. The limit leaves a sound task more margin for start orders that failed than a
+/// single start after the third crash would need.
 const MAX_ALL_CRASHES: u32 = 4;
 
 impl Task {
--- a/crates/bh-workload/src/state/worker.rs
+++ b/crates/bh-workload/src/state/worker.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Particulars of a worker, as it reports them. Only its capacity may change during its life.
+/// Details of a worker, as it reports them. Only its capacity may change during its life.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerInfo {
     /// Worker id and start time.
@@ -36,7 +36,7 @@
 }
 
 impl WorkerInfo {
-    /// Whether two heartbeats report the same particulars, regardless of their sequence numbers.
+    /// Whether two heartbeats report the same details, regardless of their sequence numbers.
     pub fn equals_ignoring_sequence(&self, other: &WorkerInfo) -> bool {
         let renumbered = WorkerInfo {
             sequence: self.sequence,
@@ -57,7 +57,7 @@
 /// A worker incarnation and its recorded runs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Worker {
-    /// Its particulars.
+    /// Its details.
     pub info: WorkerInfo,
     /// Arrival number: workers are numbered in the order in which they were recorded. If two are recorded on one VM, the later one runs
     /// there.
--- a/crates/bh-workload/src/state/workload.rs
+++ b/crates/bh-workload/src/state/workload.rs
@@ -96,10 +96,8 @@
 
     /// Finds the queue of a call and checks the key of the caller.
     ///
-    ///
     /// # Errors
     ///
-    ///
     /// [`Refusal::NoRules`], [`Refusal::NoQueue`], [`Refusal::NoKey`].
     pub fn find<'a>(&'a self, place: &'a Place) -> Result<ResolvedCall<'a>, Refusal> {
         let rules = self.rules.as_ref().ok_or(Refusal::NoRules)?;
@@ -122,10 +120,8 @@
 
     /// The job that a call names, if its caller may access it.
     ///
-    ///
     /// # Errors
     ///
-    ///
     /// [`Refusal::NoJob`], and those of [`Workload::find`].
     pub fn find_job(&self, place: &Place) -> Result<(JobId, &Job), Refusal> {
         let found = self.find(place)?;
