--- a/crates/bh-control/src/core/answer_call.rs
+++ b/crates/bh-control/src/core/answer_call.rs
@@ -84,7 +84,7 @@
             Err(answer) => answer,
             Ok(()) => match core.group.machine.read().wave(id) {
                 Some(wave) => Answer::Wave {
-                    is_over: wave.is_over(),
+                    is_over: wave.has_ended(),
                 },
                 None => Answer::Refused(Refusal::NoWave),
             },
@@ -114,7 +114,9 @@
             leadership.dispatcher.check_incarnations(worker, &workload);
             return Answer::Done;
         };
-        let gone = leadership.dispatcher.note_left(now_ms, &worker, &workload);
+        let gone = leadership
+            .dispatcher
+            .note_announced_end(now_ms, &worker, &workload);
         (worker, gone)
     };
     if let Some(gone) = gone {
--- a/crates/bh-control/src/core/heartbeats.rs
+++ b/crates/bh-control/src/core/heartbeats.rs
@@ -100,7 +100,7 @@
         ..heartbeat.info.clone()
     };
     let is_changed = known.is_none_or(|worker| {
-        info.sequence >= worker.info.sequence && !worker.info.says_the_same(&info)
+        info.sequence >= worker.info.sequence && !worker.info.equals_ignoring_sequence(&info)
     });
     if is_changed {
         changes.push(WorkerChange::Known(info));
--- a/crates/bh-control/src/core/leader_loop.rs
+++ b/crates/bh-control/src/core/leader_loop.rs
@@ -18,7 +18,7 @@
 use bh_workload::plan::Planner;
 use bh_workload::state::Command;
 use bh_workload::state::Workload;
-use bh_workload::upkeep::Keeper;
+use bh_workload::upkeep::WaveScheduler;
 use local_sync::mpsc::unbounded;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -73,7 +73,7 @@
         if led_term.is_some() {
             step_down(core, "another leads, or no majority answers");
         }
-        core.group.machine.with_local(Workload::take_news);
+        core.group.machine.with_local(Workload::take_events);
         return;
     }
     if led_term != Some(status.term) {
@@ -115,12 +115,12 @@
         return;
     }
     let now_ms = core.clock.now_ms();
-    core.group.machine.with_local(Workload::take_news);
+    core.group.machine.with_local(Workload::take_events);
     let workload = core.group.machine.read();
     let gap_ms = leaderless_ms(core, now_ms, &workload);
     let mut dispatcher = Dispatcher::new(core.config.timing(), term, now_ms, &workload);
     if gap_ms > MAX_TRUSTED_GAP_MS {
-        dispatcher = dispatcher.with_old_record();
+        dispatcher = dispatcher.with_outdated_worker_info();
     }
     core.undelivered_heartbeats
         .borrow_mut()
@@ -131,7 +131,7 @@
     let broken = workload.active_jobs().map(|(id, job)| job.broken_gangs(id));
     let gangs_broken: usize = broken.sum();
     drop(workload);
-    let keeper = Keeper::new(
+    let wave_scheduler = WaveScheduler::new(
         core.config.name.clone(),
         term,
         now_ms,
@@ -139,7 +139,7 @@
     );
     *core.leadership.borrow_mut() = Some(Leadership {
         term,
-        keeper,
+        wave_scheduler,
         dispatcher,
         planner: Planner::new(),
         starts_record: StartsRecord::new(),
@@ -206,7 +206,7 @@
     for late in overdue {
         core.metrics.count("runs_overdue", 1);
         log::info!(run = late.run.to_string(), worker = late.worker.to_string(), why:? = late.why; "run begun anew elsewhere");
-        leadership.dispatcher.give_up(&late.worker, late.run);
+        leadership.dispatcher.request_stop(&late.worker, late.run);
         // A worker on which a run makes no progress is likely to do the same to the next run.
         if late.why == Overdue::Still && !late.gang {
             leadership.dispatcher.set_aside(now_ms, &late.worker);
--- a/crates/bh-control/src/core/leadership.rs
+++ b/crates/bh-control/src/core/leadership.rs
@@ -6,7 +6,7 @@
 use bh_protocol::Incarnation;
 use bh_workload::dispatch::Dispatcher;
 use bh_workload::plan::Planner;
-use bh_workload::upkeep::Keeper;
+use bh_workload::upkeep::WaveScheduler;
 use std::collections::BTreeMap;
 
 /// State that only the leader has. It is dropped when the core stops leading.
@@ -14,7 +14,7 @@
     /// Its term.
     pub term: u64,
     /// Schedules maintenance of VMs.
-    pub keeper: Keeper,
+    pub wave_scheduler: WaveScheduler,
     /// Sends orders to workers and tracks what they run.
     pub dispatcher: Dispatcher,
     /// Plans starts and stops of runs.
--- a/crates/bh-control/src/core/orders.rs
+++ b/crates/bh-control/src/core/orders.rs
@@ -27,15 +27,17 @@
 
 /// Sends the orders that are due, and records the ends that are certain without an answer.
 pub(super) fn send_due_orders(core: &Rc<CoreNode>, now_ms: u64) {
-    let news = core.group.machine.with_local(Workload::take_news);
+    let record_events = core.group.machine.with_local(Workload::take_events);
     let mut held = core.leadership.borrow_mut();
     let Some(leadership) = held.as_mut() else {
         return;
     };
     let workload = core.group.machine.read();
-    leadership.plan_due |= news.plan;
-    log_job_ends(core, leadership, &workload, &news.ended_jobs);
-    leadership.dispatcher.note_news(now_ms, &news, &workload);
+    leadership.plan_due |= record_events.plan;
+    log_job_ends(core, leadership, &workload, &record_events.ended_jobs);
+    leadership
+        .dispatcher
+        .note_events(now_ms, &record_events, &workload);
     let all = now_ms >= leadership.last_sweep_ms + SWEEP_INTERVAL_MS;
     if all {
         leadership.last_sweep_ms = now_ms;
@@ -70,7 +72,7 @@
                 note_repeated(&core, &order, response.status());
             }
             // A probe waits for a run to end; its duration says nothing about the worker.
-            if !matches!(order.body, OrderBody::Look { .. }) {
+            if !matches!(order.body, OrderBody::Probe { .. }) {
                 let took_ms = core.clock.now_ms().saturating_sub(began_ms);
                 core.metrics.time_ms("order", took_ms);
             }
@@ -159,7 +161,7 @@
             .note_ends(now_ms, ends, &workload, &leadership.dispatcher);
     }
     let listed_to = match order.body {
-        OrderBody::Look { .. } => leadership.dispatcher.recording_to(&order.to.worker),
+        OrderBody::Probe { .. } => leadership.dispatcher.recording_to(&order.to.worker),
         _ => None,
     };
     let origin = Origin {
--- a/crates/bh-control/src/core/run_ends.rs
+++ b/crates/bh-control/src/core/run_ends.rs
@@ -48,7 +48,7 @@
         return Detection::NeverSent;
     }
     let target = dispatcher.view(&end.worker);
-    let was_presumed_lost = target.is_some_and(|target| target.unsaid.contains(&end.run));
+    let was_presumed_lost = target.is_some_and(|target| target.presumed_lost.contains(&end.run));
     if end.kind == EndKind::Lost && was_presumed_lost {
         Detection::BrokenGang
     } else {
@@ -62,7 +62,7 @@
         Answer::OtherIncarnation => Detection::OtherIncarnation,
         Answer::Restarted { .. } => Detection::Restarted,
         Answer::Denied { .. } => Detection::Refused,
-        _ if matches!(order.body, OrderBody::Look { .. }) && end.kind != EndKind::NotStarted => {
+        _ if matches!(order.body, OrderBody::Probe { .. }) && end.kind != EndKind::NotStarted => {
             Detection::Listed
         }
         _ => Detection::NotListed,
--- a/crates/bh-control/src/core/undelivered_heartbeats.rs
+++ b/crates/bh-control/src/core/undelivered_heartbeats.rs
@@ -37,7 +37,7 @@
     pub fn replay(&mut self, dispatcher: &mut Dispatcher, workload: &Workload) {
         for (id, (received_ms, heartbeat)) in std::mem::take(&mut self.by_worker) {
             let matches_record = workload.worker(&id).is_some_and(|worker| {
-                worker.info.says_the_same(&heartbeat.info)
+                worker.info.equals_ignoring_sequence(&heartbeat.info)
                     && worker.draining == heartbeat.draining
                     && worker.info.sequence <= heartbeat.sequence
             });
--- a/crates/bh-control/src/core/upkeep.rs
+++ b/crates/bh-control/src/core/upkeep.rs
@@ -7,7 +7,7 @@
 use super::worker_calls::Answered;
 use super::worker_calls::Unanswered;
 use bh_workload::state::Command;
-use bh_workload::upkeep::Step;
+use bh_workload::upkeep::UpkeepAction;
 use bh_workload::upkeep::UpkeepAnswer;
 use bh_workload::upkeep::UpkeepOrder;
 use std::net::SocketAddr;
@@ -27,21 +27,21 @@
     };
     let workload = core.group.machine.read();
     let times = (now_ms, core.wall_ms());
-    let steps = leadership
-        .keeper
-        .steps(times, &workload, &leadership.dispatcher);
-    let emptied = leadership.keeper.emptied_workers(&workload);
+    let actions = leadership
+        .wave_scheduler
+        .actions(times, &workload, &leadership.dispatcher);
+    let emptied = leadership.wave_scheduler.emptied_workers(&workload);
     leadership.dispatcher.set_emptied(emptied);
-    for step in steps {
-        match step {
-            Step::Record(command) => {
+    for action in actions {
+        match action {
+            UpkeepAction::Record(command) => {
                 monoio::spawn(record(core.clone(), command));
             }
-            Step::Stop(worker, run) => {
+            UpkeepAction::Stop(worker, run) => {
                 log::info!(run = run.to_string(), worker = worker.to_string(); "stopped for the upkeep of its VM");
-                leadership.dispatcher.give_up(&worker, run);
+                leadership.dispatcher.request_stop(&worker, run);
             }
-            Step::Order(order) => {
+            UpkeepAction::Order(order) => {
                 monoio::spawn(send(core.clone(), address, order));
             }
         }
@@ -60,7 +60,7 @@
         log::warn!("not recorded: {failure}");
     }
     if let (Some(vm), Some(leadership)) = (vm, core.leadership.borrow_mut().as_mut()) {
-        leadership.keeper.note_recorded(&vm);
+        leadership.wave_scheduler.note_recorded(&vm);
     }
     core.wake();
 }
@@ -82,7 +82,11 @@
         .borrow_mut()
         .as_mut()
         .filter(|leadership| leadership.term == order.token)
-        .and_then(|leadership| leadership.keeper.note_answer(now_ms, &order, answer));
+        .and_then(|leadership| {
+            leadership
+                .wave_scheduler
+                .note_answer(now_ms, &order, answer)
+        });
     if let Some(command) = command {
         log_departures(&core, order.token, &command, Detection::Upkeep);
         record(core, command).await;
--- a/crates/bh-control/tests/undelivered_heartbeats.rs
+++ b/crates/bh-control/tests/undelivered_heartbeats.rs
@@ -61,7 +61,8 @@
     undelivered.note(received_ms, &heartbeat("taken", 8), &heard);
 
     let timing = Timing::DEFAULT;
-    let mut dispatcher = Dispatcher::new(timing, 2, ELECTED_MS, &workload).with_old_record();
+    let mut dispatcher =
+        Dispatcher::new(timing, 2, ELECTED_MS, &workload).with_outdated_worker_info();
     undelivered.replay(&mut dispatcher, &workload);
     let is_current = |id: &str| {
         let target = dispatcher.view(&Incarnation::parse(id).unwrap());
--- a/crates/bh-workload/src/plan/room.rs
+++ b/crates/bh-workload/src/plan/room.rs
@@ -4,9 +4,9 @@
 use super::Unit;
 use super::Unusable;
 use crate::dispatch::Dispatcher;
-use crate::dispatch::RunWatch;
+use crate::dispatch::RunState;
 use crate::dispatch::Target;
-use crate::dispatch::apart_ms;
+use crate::dispatch::isolation_ms;
 use crate::job::Needs;
 use crate::job::StepId;
 use crate::state::Task;
@@ -33,11 +33,11 @@
             suspect: false,
         };
         for run in worker.runs.keys() {
-            let watch = target.and_then(|target| target.runs.get(run));
-            let at_work_ms = watch.map_or(0, RunWatch::at_work_ms);
+            let run_state = target.and_then(|target| target.runs.get(run));
+            let run_time_ms = run_state.map_or(0, RunState::run_time_ms);
             let crashes = workload.task(run.task).map_or(0, Task::all_crashes);
-            begun.any |= watch.is_none_or(RunWatch::has_just_begun);
-            begun.suspect |= at_work_ms < apart_ms(crashes);
+            begun.any |= run_state.is_none_or(RunState::has_just_started);
+            begun.suspect |= run_time_ms < isolation_ms(crashes);
         }
         begun
     }
@@ -93,12 +93,12 @@
 fn are_many_aside(workload: &Workload, dispatcher: &Dispatcher, now_ms: u64) -> bool {
     /// Share of the workers that may be at fault at a time, in percent.
     const AT_FAULT_PERCENT: usize = 34;
-    dispatcher.count_aside(now_ms) * 100 > workload.worker_count() * AT_FAULT_PERCENT
+    dispatcher.count_set_aside(now_ms) * 100 > workload.worker_count() * AT_FAULT_PERCENT
 }
 
 /// Why the worker behind `target` can't be given work, as far as its answers tell.
 fn not_ready(target: &Target, dispatcher: &Dispatcher, now_ms: u64) -> Option<Unusable> {
-    if target.is_failing() || target.carrier_lost {
+    if target.is_silent() || target.carrier_lost {
         Some(Unusable::Silent)
     } else if !target.answers() {
         Some(Unusable::Unheard)
@@ -161,7 +161,7 @@
             promised: Needs::default(),
             held: Needs::default(),
             runs,
-            fill_percent: view.map_or(100, |target| target.filling.percent()),
+            fill_percent: view.map_or(100, |target| target.fill_pace.percent()),
             kept: false,
             just_begun: begun.any,
             cold: view.is_some_and(|target| now_ms < target.cold_until_ms),
--- a/crates/bh-workload/src/upkeep/mod.rs
+++ b/crates/bh-workload/src/upkeep/mod.rs
@@ -1,11 +1,11 @@
-//! Waves of upkeep: which VM is emptied and serviced when.
+//! Upkeep waves: decides which VM is emptied and serviced next, and when.
 
 mod emptying;
-mod keeper;
 mod order;
+mod wave_scheduler;
 
 pub use emptying::Emptying;
-pub use keeper::Keeper;
-pub use keeper::Step;
 pub use order::UpkeepAnswer;
 pub use order::UpkeepOrder;
+pub use wave_scheduler::UpkeepAction;
+pub use wave_scheduler::WaveScheduler;
--- a/crates/bh-workload/tests/acknowledged_ends.rs
+++ b/crates/bh-workload/tests/acknowledged_ends.rs
@@ -17,7 +17,7 @@
 const NUMBER: u64 = 1;
 
 fn is_look(order: &Order) -> bool {
-    matches!(order.body, OrderBody::Look { .. })
+    matches!(order.body, OrderBody::Probe { .. })
 }
 
 fn take(orders: &mut Vec<Order>, wanted: impl Fn(&Order) -> bool) -> Order {
@@ -28,7 +28,7 @@
 /// Up to which end the worker is told that all are recorded, if it is told now.
 fn told(site: &mut Site) -> Option<u64> {
     site.orders().iter().find_map(|order| match order.body {
-        OrderBody::Look { recorded_to, .. } => Some(recorded_to),
+        OrderBody::Probe { recorded_to, .. } => Some(recorded_to),
         _ => None,
     })
 }
@@ -79,14 +79,14 @@
     site.workload.apply(first);
     site.dispatcher
         .note_recorded(&worker, None, RecordOutcome::Recorded);
-    site.take_news();
+    site.take_events();
     site.advance(100);
     assert_eq!(told(&mut site), None, "its end is not recorded yet");
 
     site.workload.apply(second);
     site.dispatcher
         .note_recorded(&worker, listed_to, RecordOutcome::Recorded);
-    site.take_news();
+    site.take_events();
     site.advance(100);
     assert_eq!(told(&mut site), Some(NUMBER));
 }
--- a/crates/bh-workload/tests/evacuation.rs
+++ b/crates/bh-workload/tests/evacuation.rs
@@ -101,7 +101,7 @@
     site.evacuate(FAR);
     let reply = site.workload.apply(Command::Starts(plan.starts));
     assert!(matches!(reply, Reply::Started(refused) if refused.len() == 2));
-    site.take_news();
+    site.take_events();
     assert!(
         site.open_runs()
             .iter()
@@ -166,7 +166,7 @@
         site.advance(200);
         for order in site.orders() {
             match order.body {
-                OrderBody::Look { lease_until_ms, .. } => {
+                OrderBody::Probe { lease_until_ms, .. } => {
                     assert!(lease_until_ms.is_some());
                     renewed.insert(order.to.worker.clone());
                 }
@@ -226,7 +226,7 @@
                 let listed_to = site.dispatcher.recording_to(&order.to.worker);
                 site.dispatcher
                     .note_recorded(&order.to.worker, listed_to, RecordOutcome::Recorded);
-                site.take_news();
+                site.take_events();
             }
         }
     }
@@ -255,7 +255,7 @@
         site.advance(RETRY_MS);
         for order in site.orders() {
             let repeated = matches!(order.body, OrderBody::Start { .. });
-            let looks = matches!(order.body, OrderBody::Look { .. });
+            let looks = matches!(order.body, OrderBody::Probe { .. });
             assert!(looks || repeated && !site.is_far(&order.to.worker));
             let answer = site.looked(&order.to.worker, &[]);
             site.dispatcher
--- a/crates/bh-workload/tests/fuzz_orders.rs
+++ b/crates/bh-workload/tests/fuzz_orders.rs
@@ -355,7 +355,7 @@
 
     /// Tasks whose ends as done this order acknowledges.
     fn done_noted_by(&mut self, index: usize, order: &OrderBody) -> Vec<TaskId> {
-        let OrderBody::Look { recorded_to, .. } = order else {
+        let OrderBody::Probe { recorded_to, .. } = order else {
             return Vec::new();
         };
         self.workers[index].pass(self.site.now_ms);
@@ -709,7 +709,7 @@
         let bytes = machine.snapshot().unwrap();
         machine.restore(&bytes).unwrap();
         self.site.workload = machine.read().clone();
-        self.site.workload.take_news();
+        self.site.workload.take_events();
         self.site.dispatcher = Dispatcher::new(
             Timing::DEFAULT,
             self.term,
@@ -832,7 +832,7 @@
         if now_ms.is_multiple_of(1_500) {
             self.heartbeats();
         }
-        self.site.take_news();
+        self.site.take_events();
         let (orders, ends) =
             self.site
                 .dispatcher
@@ -845,7 +845,7 @@
         }
         let plan = self.site.plan();
         for (worker, run) in &plan.evictions {
-            self.site.dispatcher.give_up(worker, *run);
+            self.site.dispatcher.request_stop(worker, *run);
         }
         if !plan.starts.is_empty() {
             self.site.workload.apply(Command::Starts(plan.starts));
--- a/crates/bh-workload/tests/shrinking_workers.rs
+++ b/crates/bh-workload/tests/shrinking_workers.rs
@@ -22,8 +22,8 @@
                 started.push(*run);
                 Answer::Lost
             }
-            OrderBody::Look { .. } if deaf => Answer::Lost,
-            OrderBody::Look { .. } => site.looked(&order.to.worker, lost),
+            OrderBody::Probe { .. } if deaf => Answer::Lost,
+            OrderBody::Probe { .. } => site.looked(&order.to.worker, lost),
             OrderBody::Stop { .. } | OrderBody::Pace { .. } => site.done(),
         };
         site.dispatcher
@@ -140,8 +140,8 @@
 fn after_a_time_without_a_leader_workers_are_heard_first() {
     let mut site = Site::new(2, 2);
     site.now_ms += 10_000;
-    site.dispatcher =
-        Dispatcher::new(Timing::DEFAULT, 2, site.now_ms, &site.workload).with_old_record();
+    site.dispatcher = Dispatcher::new(Timing::DEFAULT, 2, site.now_ms, &site.workload)
+        .with_outdated_worker_info();
     site.submit(0, "other", vec![step(2, 8)]);
     site.report();
     assert!(site.plan().starts.is_empty());
