--- a/crates/bh-workload/src/plan/availability.rs
+++ b/crates/bh-workload/src/plan/availability.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 
 /// Progress that a task of a service reports once it is wholly at work, in percent.
-const AT_WORK_PERCENT: u64 = 100;
+const READY_PERCENT: u64 = 100;
 
 /// Which tasks of services may be stopped without more of them missing than their callers bear.
 pub struct Availability<'a> {
@@ -19,7 +19,7 @@
     dispatcher: &'a Dispatcher,
     stopping: &'a [(Incarnation, RunId)],
     /// Tasks that may still be stopped, by step.
-    left: BTreeMap<StepId, u64>,
+    remaining: BTreeMap<StepId, u64>,
 }
 
 impl<'a> Availability<'a> {
@@ -33,7 +33,7 @@
             workload,
             dispatcher,
             stopping,
-            left: BTreeMap::new(),
+            remaining: BTreeMap::new(),
         }
     }
 
@@ -45,32 +45,32 @@
         let Some(most) = spec.and_then(|spec| spec.most_unavailable) else {
             return true;
         };
-        if !self.is_at_work(run) {
+        if !self.is_available(run) {
             return false;
         }
-        let left = match self.left.get(&step) {
+        let left = match self.remaining.get(&step) {
             Some(left) => *left,
-            None => u64::from(most).saturating_sub(self.missing(step, spec)),
+            None => u64::from(most).saturating_sub(self.unavailable(step, spec)),
         };
-        self.left.insert(step, left.saturating_sub(1));
+        self.remaining.insert(step, left.saturating_sub(1));
         left > 0
     }
 
     /// Tasks of a step that are not at work.
-    fn missing(&self, step: StepId, spec: Option<&StepSpec>) -> u64 {
+    fn unavailable(&self, step: StepId, spec: Option<&StepSpec>) -> u64 {
         let at_work = self
             .workload
             .workers()
             .flat_map(|worker| worker.runs.keys())
-            .filter(|run| run.task.step == step && self.is_at_work(**run))
+            .filter(|run| run.task.step == step && self.is_available(**run))
             .count();
         let all = spec.map_or(0, |spec| u64::from(spec.count));
         all.saturating_sub(u64::try_from(at_work).unwrap_or(u64::MAX))
     }
 
-    fn is_at_work(&self, run: RunId) -> bool {
+    fn is_available(&self, run: RunId) -> bool {
         let at_work = |watch: &RunWatch| {
-            watch.percent >= AT_WORK_PERCENT
+            watch.percent >= READY_PERCENT
                 && !watch.give_up
                 && matches!(watch.start, StartPhase::Confirmed { .. })
         };
--- a/crates/bh-workload/src/plan/collect.rs
+++ b/crates/bh-workload/src/plan/collect.rs
@@ -18,27 +18,27 @@
 use std::sync::Arc;
 
 /// Share of a job's value that does not grow with its work; the users value a job at 0.3 of its kind's mean whatever its size.
-const FIXED_VALUE: f64 = 0.3;
+const FIXED_VALUE_SHARE: f64 = 0.3;
 /// Value of a job that can only be late, against one on time; the users credit between a fifth and a third.
 const LATE_VALUE: f64 = 0.25;
 /// Value of a job that is later than callers credit; above nothing, so that it is still done.
-const HOPELESS_VALUE: f64 = 0.01;
+const EXPIRED_VALUE: f64 = 0.01;
 /// Slack factor below which a job is placed where runs are fastest; the others leave that room to it. Below two, a place that is half as
 /// fast again uses up half of what there is to spare.
-const TIGHT_SLACK: f64 = 2.0;
+const TIGHT_SLACK_FACTOR: f64 = 2.0;
 /// Slack, in percent of its run time, below which a gang may use room that is kept for urgent work. What is kept is the emptiest rack, and that is
 /// the only place for a large gang: it would wait until no urgent work comes any more, and be late. Small tasks find room elsewhere. One run
 /// time is about what other gangs take to leave a rack.
 const LAST_CHANCE_PERCENT: u64 = 100;
 /// Times the objective after which a late job earns nothing.
-const LATE_FACTOR: u64 = 3;
+const MAX_LATE_FACTOR: u64 = 3;
 
 /// What is known of one job when its steps are collected.
 struct Context<'a> {
     id: JobId,
     job: &'a Job,
     queue: &'a Arc<Queue>,
-    entitled: bool,
+    guaranteed: bool,
     mean_work: f64,
 }
 
@@ -52,7 +52,7 @@
 }
 
 /// Work of a whole occurrence of a job, in thousandths of core-milliseconds.
-pub fn work(id: JobId, job: &Job, runtimes: &Runtimes) -> f64 {
+pub fn job_work(id: JobId, job: &Job, runtimes: &Runtimes) -> f64 {
     let step_work = |(index, spec): (usize, &StepSpec)| {
         let expected_ms = runtimes.expected_ms(&job.queue.name, step_at(id, 0, index), spec);
         // Precise to one part in 2^53, far finer than the estimates.
@@ -65,7 +65,7 @@
 }
 
 /// Expected time of the longest chain of steps, in milliseconds.
-pub fn chain_ms(id: JobId, job: &Job, runtimes: &Runtimes) -> u64 {
+pub fn critical_path_ms(id: JobId, job: &Job, runtimes: &Runtimes) -> u64 {
     let mut until: Vec<u64> = Vec::with_capacity(job.spec.steps.len());
     for (index, spec) in job.spec.steps.iter().enumerate() {
         let before = spec
@@ -81,7 +81,7 @@
 
 /// Time within which a job is on time from its acceptance, or from the time that an occurrence is due, in milliseconds.
 pub fn objective_ms(id: JobId, job: &Job, queue: &Queue, runtimes: &Runtimes) -> u64 {
-    scaled(chain_ms(id, job, runtimes), queue.slack_factor) + queue.target_latency_ms
+    scaled(critical_path_ms(id, job, runtimes), queue.slack_factor) + queue.target_latency_ms
 }
 
 /// All units that may begin at `wall_ms`, best first; `entitled` are the jobs that guarantees cover, and runs away from their rack take
@@ -89,7 +89,7 @@
 pub fn collect(
     workload: &Workload,
     runtimes: &Runtimes,
-    entitled: &BTreeSet<JobId>,
+    guaranteed: &BTreeSet<JobId>,
     (wall_ms, remote_percent): (u64, u64),
 ) -> Vec<Unit> {
     let mean_work = mean_work(workload, runtimes);
@@ -100,7 +100,7 @@
             id,
             job,
             queue,
-            entitled: entitled.contains(&id),
+            guaranteed: guaranteed.contains(&id),
             mean_work: mean_work.get(&queue.name).copied().unwrap_or(1.0),
         };
         collect_job(&context, runtimes, (wall_ms, remote_percent), &mut units);
@@ -113,7 +113,7 @@
     let mut sums: BTreeMap<Arc<str>, (f64, f64)> = BTreeMap::new();
     for (id, job) in workload.active_jobs() {
         let (sum, count) = sums.entry(job.queue.name.clone()).or_default();
-        *sum += work(id, job, runtimes);
+        *sum += job_work(id, job, runtimes);
         *count += 1.0;
     }
     sums.into_iter()
@@ -128,7 +128,7 @@
     units: &mut Vec<Unit>,
 ) {
     let Context { id, job, queue, .. } = context;
-    let own_work = work(*id, job, runtimes);
+    let own_work = job_work(*id, job, runtimes);
     let slack_ms = objective_ms(*id, job, queue, runtimes);
     for occurrence in 0..job.spec.occurrences() {
         let due_ms = job.spec.due_ms(occurrence);
@@ -150,9 +150,9 @@
             let on_time = value >= 1.0;
             let waits_ms = expected_ms * LAST_CHANCE_PERCENT / 100;
             let late_soon = wall_ms + expected_ms + waits_ms > ready_ms + slack_ms;
-            let size = (1.0 - FIXED_VALUE) + FIXED_VALUE * context.mean_work / own_work;
+            let size = (1.0 - FIXED_VALUE_SHARE) + FIXED_VALUE_SHARE * context.mean_work / own_work;
             let rank = f64::from(queue.priority + 1);
-            let (indices, attempts) = waiting(progress, spec);
+            let (indices, attempts) = waiting_tasks(progress, spec);
             if indices.is_empty() {
                 continue;
             }
@@ -160,7 +160,7 @@
                 step,
                 attempts,
                 crashes: crashes(progress, &indices),
-                apart: false,
+                isolated: false,
                 indices,
                 spec: spec.clone(),
                 pool: queue.pool.clone(),
@@ -168,16 +168,16 @@
                 advised: queue.advised,
                 permitted: None,
                 priority: queue.priority,
-                entitled: context.entitled,
+                guaranteed: context.guaranteed,
                 ready_ms,
                 due_ms: ready_ms + slack_ms,
                 expected_ms,
-                spread_ms: expected_ms * remote_percent / 100,
-                takes_any: false,
+                expected_spread_ms: expected_ms * remote_percent / 100,
+                relaxed: false,
                 last_chance: spec.gang && on_time && late_soon,
                 on_time,
-                tight: queue.slack_factor < TIGHT_SLACK,
-                density: value * size / (rank * rank),
+                tight_deadline: queue.slack_factor < TIGHT_SLACK_FACTOR,
+                value_density: value * size / (rank * rank),
             });
         }
     }
@@ -196,10 +196,10 @@
 pub(super) fn lateness_value(end_ms: u64, ready_ms: u64, slack_ms: u64) -> f64 {
     if end_ms <= ready_ms + slack_ms {
         1.0
-    } else if end_ms <= ready_ms + slack_ms * LATE_FACTOR {
+    } else if end_ms <= ready_ms + slack_ms * MAX_LATE_FACTOR {
         LATE_VALUE
     } else {
-        HOPELESS_VALUE
+        EXPIRED_VALUE
     }
 }
 
@@ -212,7 +212,7 @@
 }
 
 /// Tasks that wait, and the numbers of their next runs. Tasks under which a worker has crashed go first and by themselves, a gang always whole.
-fn waiting(progress: &Step, spec: &StepSpec) -> (Vec<u32>, Vec<u32>) {
+fn waiting_tasks(progress: &Step, spec: &StepSpec) -> (Vec<u32>, Vec<u32>) {
     if spec.gang {
         if !progress.gang_waits() {
             return (Vec::new(), Vec::new());
@@ -237,10 +237,14 @@
 /// for the room it takes, then what could have begun first.
 fn sort(units: &mut [Unit]) {
     let order = |a: &Unit, b: &Unit| {
-        b.entitled
-            .cmp(&a.entitled)
+        b.guaranteed
+            .cmp(&a.guaranteed)
             .then(b.spec.long_running.cmp(&a.spec.long_running))
-            .then(b.density.partial_cmp(&a.density).unwrap_or(Ordering::Equal))
+            .then(
+                b.value_density
+                    .partial_cmp(&a.value_density)
+                    .unwrap_or(Ordering::Equal),
+            )
             .then(a.ready_ms.cmp(&b.ready_ms))
             .then(a.step.cmp(&b.step))
     };
--- a/crates/bh-workload/src/plan/explain.rs
+++ b/crates/bh-workload/src/plan/explain.rs
@@ -4,9 +4,9 @@
 use super::Unit;
 use super::Wait;
 use super::collect;
-use super::entitled_jobs;
-use super::outlook::Outlook;
+use super::guaranteed_jobs;
 use super::planner::is_uncertain;
+use super::wait_explainer::WaitExplainer;
 use crate::dispatch::Dispatcher;
 use crate::dispatch::RunPhase;
 use crate::job::JobId;
@@ -107,15 +107,15 @@
     ) -> Option<JobReport> {
         let job = workload.job(id)?;
         let queue = workload.queue_of(job);
-        let entitled = entitled_jobs(workload);
+        let guaranteed = guaranteed_jobs(workload);
         let units = collect::collect(
             workload,
             &self.runtimes,
-            &entitled,
+            &guaranteed,
             (wall_ms, dispatcher.timing().remote_percent),
         );
         let unheard = dispatcher.unheard_attempts(now_ms);
-        let outlook = Outlook::new(self, (now_ms, wall_ms), workload, dispatcher);
+        let explainer = WaitExplainer::new(self, (now_ms, wall_ms), workload, dispatcher);
         let mut steps = Vec::new();
         for occurrence in 0..job.spec.occurrences() {
             for (spec, position) in job.spec.steps.iter().zip(0..) {
@@ -136,7 +136,7 @@
                     Some(Wait::EarlierSteps { steps })
                 } else if let Some(unit) = &unit {
                     let uncertain = is_uncertain(step, &unheard, workload);
-                    Some(wait_of_unit(unit, uncertain, &outlook))
+                    Some(wait_of_unit(unit, uncertain, &explainer))
                 } else {
                     job.is_broken_gang(step).then_some(Wait::EarlierRuns)
                 };
@@ -149,7 +149,7 @@
             queue: queue.name.clone(),
             priority: queue.priority,
             customer: job.customer.clone(),
-            is_guaranteed: entitled.contains(&id),
+            is_guaranteed: guaranteed.contains(&id),
             state: job.state(),
             given_up: job.given_up,
             accepted_ms: job.accepted_ms,
@@ -159,11 +159,11 @@
 }
 
 /// Why a unit waits; `uncertain` gangs are left out of the plan.
-pub(super) fn wait_of_unit(unit: &Unit, uncertain: bool, outlook: &Outlook) -> Wait {
+pub(super) fn wait_of_unit(unit: &Unit, uncertain: bool, explainer: &WaitExplainer) -> Wait {
     if uncertain {
         Wait::UncertainFailures
     } else {
-        outlook.wait(unit)
+        explainer.wait(unit)
     }
 }
 
--- a/crates/bh-workload/src/plan/entitled.rs
+++ b/crates/bh-workload/src/plan/guaranteed.rs
@@ -15,7 +15,7 @@
 }
 
 /// Jobs of priority 0 that fit into their customers' guarantees, the earliest accepted first.
-pub fn entitled_jobs(workload: &Workload) -> BTreeSet<JobId> {
+pub fn guaranteed_jobs(workload: &Workload) -> BTreeSet<JobId> {
     let Some(rules) = &workload.rules else {
         return BTreeSet::new();
     };
@@ -26,15 +26,15 @@
         .collect();
     jobs.sort();
     let mut left: BTreeMap<&Arc<str>, u64> = BTreeMap::new();
-    let mut entitled = BTreeSet::new();
+    let mut guaranteed = BTreeSet::new();
     for (_, id, customer, width) in jobs {
         let left = left
             .entry(customer)
             .or_insert_with(|| rules.guaranteed(customer));
         if width <= *left {
             *left -= width;
-            entitled.insert(id);
+            guaranteed.insert(id);
         }
     }
-    entitled
+    guaranteed
 }
--- a/crates/bh-workload/src/plan/keep_room.rs
+++ b/crates/bh-workload/src/plan/hold_for_gang.rs
@@ -14,18 +14,19 @@
     /// Keeps the workers that are free soonest for a gang that does not fit yet: nobody after it in the order gets them. Without that
     /// small tasks would take every place that becomes free, and a gang that needs several at once would never begin. A gang that
     /// wants one rack has them kept in the rack that is free soonest. None is kept on workers to `avoid`, where the gang would not begin.
-    pub fn keep_room(&mut self, unit: &Unit, avoid: &BTreeSet<Incarnation>) {
-        let able = if place::wants_rack(unit) {
-            place::able_racks(unit, &self.rooms)
+    pub fn hold_for_gang(&mut self, unit: &Unit, avoid: &BTreeSet<Incarnation>) {
+        let large_racks = if place::prefers_one_rack(unit) {
+            place::large_enough_racks(unit, &self.rooms)
         } else {
             BTreeSet::new()
         };
-        let one_rack = !able.is_empty();
+        let one_rack = !large_racks.is_empty();
         let mut racks: BTreeMap<Arc<str>, Vec<(u64, usize)>> = BTreeMap::new();
         for at in 0..self.rooms.len() {
             let room = &self.rooms[at];
-            let fit = room.admits(unit) && (!one_rack || able.contains(&room.rack));
-            if !fit || avoid.contains(&room.worker) {
+            let is_candidate =
+                room.accepts(unit) && (!one_rack || large_racks.contains(&room.rack));
+            if !is_candidate || avoid.contains(&room.worker) {
                 continue;
             }
             let rack = if one_rack {
@@ -33,53 +34,53 @@
             } else {
                 Arc::from("")
             };
-            let ends = self.ends_to_come(at);
+            let ends = self.cached_ends(at);
             racks
                 .entry(rack)
                 .or_default()
-                .extend(self.places_to_come(unit, at, &ends));
+                .extend(self.future_places(unit, at, &ends));
         }
-        let soonest = racks
+        let earliest = racks
             .into_values()
-            .filter_map(|places| soonest_free(places, unit.count()))
+            .filter_map(|places| earliest_places(places, unit.count()))
             .min_by_key(|(free_ms, _)| *free_ms);
-        for at in soonest.map(|(_, rooms)| rooms).unwrap_or_default() {
-            self.rooms[at].held.add(&unit.needs);
+        for at in earliest.map(|(_, rooms)| rooms).unwrap_or_default() {
+            self.rooms[at].held_for_gangs.add(&unit.needs);
         }
     }
 
     /// When each place for a task of `unit` on a worker is expected to be free, on the leader's clock in milliseconds.
-    fn places_to_come(&self, unit: &Unit, at: usize, ends: &[(u64, Needs)]) -> Vec<(u64, usize)> {
+    fn future_places(&self, unit: &Unit, at: usize, ends: &[(u64, Needs)]) -> Vec<(u64, usize)> {
         let room = &self.rooms[at];
-        let most = room.most(unit);
+        let most = room.max_tasks(unit);
         let mut places: Vec<(u64, usize)> = Vec::new();
         let mut gained = Needs::default();
-        let mut note = |free_ms: u64, gained: &Needs| {
-            let count = unit.needs.times_in(&room.open_with(gained), most);
+        let mut add_places = |free_ms: u64, gained: &Needs| {
+            let count = unit.needs.times_in(&room.available_after(gained), most);
             while u64::try_from(places.len()).is_ok_and(|known| known < count) {
                 places.push((free_ms, at));
             }
         };
-        note(self.now_ms, &gained);
+        add_places(self.now_ms, &gained);
         for (end_ms, needs) in ends {
             gained.add(needs);
-            note(*end_ms, &gained);
+            add_places(*end_ms, &gained);
         }
         places
     }
 
     /// When each run of the worker at `at` is expected to end, the first one first, and what it takes. Looked up once for a pass.
-    fn ends_to_come(&mut self, at: usize) -> Rc<[(u64, Needs)]> {
-        if let Some(ends) = self.ends.get(&at) {
+    fn cached_ends(&mut self, at: usize) -> Rc<[(u64, Needs)]> {
+        if let Some(ends) = self.run_ends.get(&at) {
             return ends.clone();
         }
-        let ends: Rc<[(u64, Needs)]> = self.ends_of(&self.rooms[at].worker).into();
-        self.ends.insert(at, ends.clone());
+        let ends: Rc<[(u64, Needs)]> = self.expected_ends(&self.rooms[at].worker).into();
+        self.run_ends.insert(at, ends.clone());
         ends
     }
 
     /// Services are left out: they go on until they are cancelled.
-    fn ends_of(&self, worker: &Incarnation) -> Vec<(u64, Needs)> {
+    fn expected_ends(&self, worker: &Incarnation) -> Vec<(u64, Needs)> {
         let (Some(recorded), Some(target)) =
             (self.workload.worker(worker), self.dispatcher.view(worker))
         else {
@@ -107,7 +108,7 @@
 }
 
 /// The `count` places that are free first, and when they all are.
-fn soonest_free(mut places: Vec<(u64, usize)>, count: u64) -> Option<(u64, Vec<usize>)> {
+fn earliest_places(mut places: Vec<(u64, usize)>, count: u64) -> Option<(u64, Vec<usize>)> {
     let count = usize::try_from(count).ok()?;
     places.sort_unstable();
     let last = places.get(count.checked_sub(1)?)?.0;
--- a/crates/bh-workload/src/plan/last_pass.rs
+++ b/crates/bh-workload/src/plan/last_pass.rs
@@ -14,15 +14,15 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct LastPass {
     /// Steps that it looked at.
-    pub looked_at: BTreeSet<StepId>,
+    pub considered: BTreeSet<StepId>,
     /// Steps of which it planned starts.
     pub started: BTreeSet<StepId>,
     /// What it promised to work that does not begin yet, or kept for gangs, by worker.
-    pub promised: BTreeMap<Incarnation, Needs>,
+    pub reserved: BTreeMap<Incarnation, Needs>,
     /// Steps to which it promised that, the first in its order.
-    pub promised_to: Vec<StepId>,
+    pub reserved_for: Vec<StepId>,
     /// Workers that it kept for work of priority 0.
-    pub kept: BTreeSet<Incarnation>,
+    pub urgent_only: BTreeSet<Incarnation>,
 }
 
 impl LastPass {
@@ -34,26 +34,26 @@
         waits: impl Fn(StepId) -> bool,
     ) -> Self {
         /// Steps that are remembered, at most.
-        const MOST_STEPS: usize = 4;
-        let promised = rooms.iter().map(|room| {
-            let mut promised = room.promised;
-            promised.add(&room.held);
-            (room.worker.clone(), promised)
+        const MAX_REPORTED_STEPS: usize = 4;
+        let reserved = rooms.iter().map(|room| {
+            let mut reserved = room.reserved;
+            reserved.add(&room.held_for_gangs);
+            (room.worker.clone(), reserved)
         });
-        let kept = rooms.iter().filter(|room| room.kept);
+        let urgent_only = rooms.iter().filter(|room| room.urgent_only);
         Self {
-            looked_at: collect::steps(units),
+            considered: collect::steps(units),
             started: starts.iter().map(|start| start.run.task.step).collect(),
-            promised_to: units
+            reserved_for: units
                 .iter()
                 .map(|unit| unit.step)
                 .filter(|step| waits(*step))
-                .take(MOST_STEPS)
+                .take(MAX_REPORTED_STEPS)
                 .collect(),
-            promised: promised
-                .filter(|(_, promised)| *promised != Needs::default())
+            reserved: reserved
+                .filter(|(_, reserved)| *reserved != Needs::default())
                 .collect(),
-            kept: kept.map(|room| room.worker.clone()).collect(),
+            urgent_only: urgent_only.map(|room| room.worker.clone()).collect(),
         }
     }
 }
--- a/crates/bh-workload/src/plan/leaving.rs
+++ b/crates/bh-workload/src/plan/leaving.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeSet;
 
 /// Progress from which a run's pace is known well enough, in percent: it is reported in whole ones.
-const KNOWN_PERCENT: u64 = 10;
+const MIN_PACE_PERCENT: u64 = 10;
 
 /// Runs of gangs on workers that leave before the gang can be done, with their workers, where that decides whether the callers are served in time.
 ///
@@ -27,7 +27,7 @@
     runtimes: &Runtimes,
 ) -> BTreeSet<(Incarnation, RunId)> {
     let leaving = workload.workers().filter(|worker| worker.draining);
-    let look = Look {
+    let context = Context {
         now_ms,
         wall_ms,
         workload,
@@ -35,12 +35,12 @@
         runtimes,
     };
     leaving
-        .flat_map(|worker| look.cut_short_on(worker))
+        .flat_map(|worker| context.cut_short_on(worker))
         .collect()
 }
 
 /// What is known at one time.
-struct Look<'a> {
+struct Context<'a> {
     now_ms: u64,
     wall_ms: u64,
     workload: &'a Workload,
@@ -48,7 +48,7 @@
     runtimes: &'a Runtimes,
 }
 
-impl Look<'_> {
+impl Context<'_> {
     fn cut_short_on(&self, worker: &Worker) -> Vec<(Incarnation, RunId)> {
         let Some(target) = self.dispatcher.view(&worker.info.id) else {
             return Vec::new();
@@ -80,12 +80,12 @@
         }
         let queue = &job.queue.name;
         let usual_ms = self.runtimes.expected_ms(queue, run.task.step, spec);
-        if ends_ms(self.now_ms, watch, usual_ms) <= leaves_ms {
+        if expected_end_ms(self.now_ms, watch, usual_ms) <= leaves_ms {
             return false;
         }
         let timing = self.dispatcher.timing();
-        let anew_ms = self.wall_ms + timing.stop_timeout_ms + usual_ms;
-        let lost_ms =
+        let restarted_end_ms = self.wall_ms + timing.stop_timeout_ms + usual_ms;
+        let lost_end_ms =
             self.wall_ms + leaves_ms.saturating_sub(self.now_ms) + timing.lease_ms + usual_ms;
         let queue = self.workload.queue_of(job);
         let objective_ms = objective_ms(run.task.step.job, job, queue, self.runtimes);
@@ -94,17 +94,17 @@
             .due_ms(run.task.step.occurrence)
             .unwrap_or(job.accepted_ms);
         let value = |end_ms| lateness_value(end_ms, ready_ms, objective_ms);
-        value(anew_ms) > value(lost_ms)
+        value(restarted_end_ms) > value(lost_end_ms)
     }
 }
 
 /// When a run is expected to end, on the leader's clock in milliseconds: at its pace so far, once that is known, else by the usual time of its kind.
-fn ends_ms(now_ms: u64, watch: &RunWatch, usual_ms: u64) -> u64 {
+fn expected_end_ms(now_ms: u64, watch: &RunWatch, usual_ms: u64) -> u64 {
     let began_ms = match watch.start {
         StartPhase::Confirmed { at_ms } => at_ms,
         _ => now_ms,
     };
-    if watch.percent >= KNOWN_PERCENT && !watch.was_unsure {
+    if watch.percent >= MIN_PACE_PERCENT && !watch.was_unsure {
         let reported_ms = watch.progress_ms.saturating_sub(began_ms);
         return began_ms + reported_ms * 100 / watch.percent;
     }
--- a/crates/bh-workload/src/plan/overdue.rs
+++ b/crates/bh-workload/src/plan/overdue.rs
@@ -12,9 +12,9 @@
 
 /// Time without any progress after which a run is taken to stand still, in milliseconds, for short runs: workers are looked at every
 /// two seconds, and a lost look shall not cost a run.
-const STILL_MS: u64 = 2_600;
+const STALL_TIMEOUT_MS: u64 = 2_600;
 /// Share of the expected time that is added to that, in percent, because progress is reported in whole percents.
-const STILL_PERCENT: u64 = 5;
+const STALL_TIMEOUT_PERCENT: u64 = 5;
 /// Times the expected time after which a run is looked at for slowness, in percent.
 const SLOW_AFTER_PERCENT: u64 = 200;
 /// Times the expected time that a run must still have before it, at its pace so far, to be begun anew elsewhere, in percent. Below that it is
@@ -81,7 +81,7 @@
                 .then(|| runtimes.learnt_ms(&job.queue.name, run.task.step, spec))
                 .flatten()
                 .map(|learnt_ms| learnt_ms * slowdown / 100);
-            let why = if stands_still(target.reported_ms, watch, expected_ms) {
+            let why = if has_stalled(target.reported_ms, watch, expected_ms) {
                 Overdue::Still
             } else if learnt_ms.is_some_and(|learnt_ms| is_slow(now_ms, watch, learnt_ms)) {
                 Overdue::Slow
@@ -130,12 +130,12 @@
 }
 
 /// Whether the worker reported twice, some time apart, that nothing had been done meanwhile. Time without a report proves nothing.
-fn stands_still(reported_ms: u64, watch: &RunWatch, expected_ms: u64) -> bool {
+fn has_stalled(reported_ms: u64, watch: &RunWatch, expected_ms: u64) -> bool {
     let StartPhase::Confirmed { at_ms } = watch.start else {
         return false;
     };
-    let still_ms = reported_ms.saturating_sub(watch.progress_ms.max(at_ms));
-    watch.percent < 100 && still_ms > STILL_MS + expected_ms * STILL_PERCENT / 100
+    let stalled_ms = reported_ms.saturating_sub(watch.progress_ms.max(at_ms));
+    watch.percent < 100 && stalled_ms > STALL_TIMEOUT_MS + expected_ms * STALL_TIMEOUT_PERCENT / 100
 }
 
 fn is_slow(now_ms: u64, watch: &RunWatch, learnt_ms: u64) -> bool {
--- a/crates/bh-workload/src/plan/pass.rs
+++ b/crates/bh-workload/src/plan/pass.rs
@@ -7,11 +7,11 @@
 use super::Speeds;
 use super::Unclaimed;
 use super::Unit;
-use super::borrowers::Borrowers;
-use super::claim::Claim;
+use super::failed_searches::FailedSearches;
 use super::place;
-use super::place::Unplaced;
-use super::tried::Tried;
+use super::place::PlacementFailure;
+use super::preemption_candidates::PreemptionCandidates;
+use super::reservation::Reservation;
 use crate::dispatch::Dispatcher;
 use crate::job::JobId;
 use crate::job::Needs;
@@ -33,18 +33,18 @@
     pub(super) dispatcher: &'a Dispatcher,
     pub(super) runtimes: &'a Runtimes,
     /// Jobs that guarantees cover.
-    pub(super) entitled: &'a BTreeSet<JobId>,
+    pub(super) guaranteed: &'a BTreeSet<JobId>,
     /// Workers as this pass sees them.
     pub rooms: Vec<Room>,
     pub(super) index: BTreeMap<Incarnation, usize>,
     /// Recorded runs, once somebody asks for room that they take.
-    pub(super) borrowers: Option<Borrowers>,
+    pub(super) preemption_candidates: Option<PreemptionCandidates>,
     /// When runs of each worker are expected to end, once somebody asks.
-    pub(super) ends: BTreeMap<usize, Rc<[(u64, Needs)]>>,
+    pub(super) run_ends: BTreeMap<usize, Rc<[(u64, Needs)]>>,
     /// What finds no free room; told apart by whether it may use kept room.
-    pub(super) unplaceable: Tried<bool>,
+    pub(super) failed_placements: FailedSearches<bool>,
     /// What finds no room even if all were stopped that give way to it; told apart by guarantee, service and priority.
-    pub(super) unclaimable: Tried<(bool, bool, u32)>,
+    pub(super) failed_preemptions: FailedSearches<(bool, bool, u32)>,
     /// What was decided so far.
     pub plan: Plan,
 }
@@ -56,9 +56,9 @@
         workload: &'a Workload,
         dispatcher: &'a Dispatcher,
         (runtimes, speeds): (&'a Runtimes, &Speeds),
-        entitled: &'a BTreeSet<JobId>,
+        guaranteed: &'a BTreeSet<JobId>,
     ) -> Self {
-        let rooms = Room::of_all(workload, dispatcher, speeds, now_ms);
+        let rooms = Room::for_all_workers(workload, dispatcher, speeds, now_ms);
         let index = rooms
             .iter()
             .enumerate()
@@ -70,32 +70,32 @@
             workload,
             dispatcher,
             runtimes,
-            entitled,
+            guaranteed,
             rooms,
             index,
-            borrowers: None,
-            ends: BTreeMap::new(),
-            unplaceable: Tried::new(),
-            unclaimable: Tried::new(),
+            preemption_candidates: None,
+            run_ends: BTreeMap::new(),
+            failed_placements: FailedSearches::new(),
+            failed_preemptions: FailedSearches::new(),
             plan: Plan::default(),
         }
     }
 
     /// Drops claims that have become pointless.
-    pub fn drop_claims(
+    pub fn drop_stale_reservations(
         &mut self,
-        claims: &mut BTreeMap<StepId, Claim>,
+        reservations: &mut BTreeMap<StepId, Reservation>,
         waiting: &BTreeSet<StepId>,
     ) {
         let (now_ms, rooms, index) = (self.now_ms, &self.rooms, &self.index);
         let usable = |worker: &Incarnation| index.get(worker).is_some_and(|at| rooms[*at].usable);
         let unclaimed = &mut self.plan.unclaimed;
-        claims.retain(|step, claim| {
+        reservations.retain(|step, reservation| {
             let why = if !waiting.contains(step) {
                 Unclaimed::NotWaiting
-            } else if now_ms >= claim.until_ms {
+            } else if now_ms >= reservation.until_ms {
                 Unclaimed::TooSlow
-            } else if !claim.places.iter().all(|(worker, _)| usable(worker)) {
+            } else if !reservation.places.iter().all(|(worker, _)| usable(worker)) {
                 Unclaimed::WorkerUnusable
             } else {
                 return true;
@@ -106,15 +106,19 @@
     }
 
     /// Takes the claimed room away from everybody else.
-    pub fn hold_claims(&mut self, claims: &BTreeMap<StepId, Claim>, units: &[Unit]) {
+    pub fn apply_reservations(
+        &mut self,
+        reservations: &BTreeMap<StepId, Reservation>,
+        units: &[Unit],
+    ) {
         for unit in units {
-            let Some(claim) = claims.get(&unit.step) else {
+            let Some(reservation) = reservations.get(&unit.step) else {
                 continue;
             };
-            for (worker, count) in &claim.places {
+            for (worker, count) in &reservation.places {
                 if let Some(at) = self.index.get(worker) {
                     for _ in 0..*count {
-                        self.rooms[*at].promised.add(&unit.needs);
+                        self.rooms[*at].reserved.add(&unit.needs);
                     }
                 }
             }
@@ -122,8 +126,8 @@
     }
 
     /// The claimed places, once all of them are free.
-    pub fn placement_of(&self, claim: &Claim, unit: &Unit) -> Option<Placement> {
-        claim
+    pub fn reserved_placement(&self, reservation: &Reservation, unit: &Unit) -> Option<Placement> {
+        reservation
             .places
             .iter()
             .map(|(worker, count)| {
@@ -135,7 +139,7 @@
     }
 
     /// Asks the unit's adviser about more workers when those it allows have not enough room.
-    pub fn ask(&mut self, unit: &Unit) {
+    pub fn ask_adviser(&mut self, unit: &Unit) {
         let Some(advice) = &unit.advised else {
             return;
         };
@@ -152,7 +156,7 @@
         let mut candidates: Vec<(u64, &Room)> = self
             .rooms
             .iter()
-            .filter(|room| room.admits(&anywhere))
+            .filter(|room| room.accepts(&anywhere))
             .map(|room| (places(&anywhere, room), room))
             .collect();
         candidates.sort_by_key(|(places, _)| std::cmp::Reverse(*places));
@@ -166,15 +170,15 @@
 
     /// Finds workers for a whole gang; `None` when it shall wait.
     pub fn place_gang(&mut self, unit: &Unit, avoid: &BTreeSet<Incarnation>) -> Option<Placement> {
-        let class = unit.may_use_kept();
-        if self.unplaceable.covers(&class, unit, unit.count()) {
+        let class = unit.may_use_headroom();
+        if self.failed_placements.rules_out(&class, unit, unit.count()) {
             return None;
         }
         match place::place_gang(unit, &self.rooms, avoid, self.wall_ms) {
             Ok(placement) => Some(placement),
             Err(why) => {
-                if why == Unplaced::NoRoom && avoid.is_empty() {
-                    self.unplaceable.note(class, unit, unit.count());
+                if why == PlacementFailure::NoRoom && avoid.is_empty() {
+                    self.failed_placements.record(class, unit, unit.count());
                 }
                 None
             }
@@ -182,13 +186,13 @@
     }
 
     /// Finds workers for a unit that has stood still for long, whatever they are kept for; those that it avoids only where no others are left.
-    pub fn place_anywhere(
+    pub fn place_relaxed(
         &mut self,
         unit: &Unit,
         avoid: &BTreeSet<Incarnation>,
     ) -> Option<Placement> {
         let unit = Unit {
-            takes_any: true,
+            relaxed: true,
             ..unit.clone()
         };
         let none = BTreeSet::new();
@@ -205,24 +209,24 @@
     pub fn place_tasks(&mut self, unit: &Unit, avoid: &BTreeSet<Incarnation>) -> Placement {
         /// What did not even find this many places.
         const ONE: u64 = 1;
-        let class = unit.may_use_kept();
-        if self.unplaceable.covers(&class, unit, ONE) {
+        let class = unit.may_use_headroom();
+        if self.failed_placements.rules_out(&class, unit, ONE) {
             return Placement::new();
         }
         let placement = place::place_tasks(unit, &self.rooms, avoid, self.wall_ms);
         // One that has a rack of its own may only have waited for that.
         let no_room = placement.is_empty() && unit.spec.near_rack.is_none();
         if no_room && avoid.is_empty() {
-            self.unplaceable.note(class, unit, ONE);
+            self.failed_placements.record(class, unit, ONE);
         }
         placement
     }
 
     /// Starts a unit in room that was promised to it.
-    pub fn start_promised(&mut self, unit: &Unit, placement: &Placement) {
+    pub fn start_reserved(&mut self, unit: &Unit, placement: &Placement) {
         for (at, count) in placement {
             for _ in 0..*count {
-                self.rooms[*at].promised.subtract(&unit.needs);
+                self.rooms[*at].reserved.subtract(&unit.needs);
             }
         }
         self.start(unit, placement);
@@ -232,9 +236,9 @@
     pub fn start(&mut self, unit: &Unit, placement: &Placement) {
         let mut tasks = unit.indices.iter().zip(&unit.attempts);
         for (at, count) in placement {
-            self.rooms[*at].just_begun = true;
+            self.rooms[*at].has_recent_start = true;
             self.rooms[*at].usable &= !unit.is_suspect();
-            self.rooms[*at].aside &= !unit.is_suspect();
+            self.rooms[*at].set_aside &= !unit.is_suspect();
             for _ in 0..*count {
                 self.rooms[*at].free.subtract(&unit.needs);
                 let Some((index, attempt)) = tasks.next() else {
--- a/crates/bh-workload/src/plan/planner.rs
+++ b/crates/bh-workload/src/plan/planner.rs
@@ -7,15 +7,15 @@
 use super::Runtimes;
 use super::Speeds;
 use super::Unit;
-use super::claim::Claim;
 use super::collect;
-use super::entitled_jobs;
+use super::guaranteed_jobs;
 use super::last_pass::LastPass;
 use super::leaving;
 use super::overdue::overdue;
 use super::pass::Pass;
-use super::reserve::Reserve;
-use super::standing_since::StandingSince;
+use super::reservation::Reservation;
+use super::stall_tracker::StallTracker;
+use super::urgent_headroom::UrgentHeadroom;
 use crate::dispatch::Dispatcher;
 use crate::dispatch::StartPhase;
 use crate::job::JobId;
@@ -33,30 +33,30 @@
 /// Gangs that do not fit yet and have room kept for them at a time, at least; in a larger fleet one for each rack. One would let the next large gang
 /// starve behind it; many in a small fleet would leave much of it idle. Few in a large fleet let those starve that want most of a rack: room comes
 /// free in some rack all the time, and smaller work takes it.
-const FEWEST_KEPT_GANGS: usize = 8;
+const MIN_HELD_GANGS: usize = 8;
 
 /// How long work under which a worker has crashed waits for workers on which nothing has just begun, in milliseconds. Reports come every
 /// second or two, so that one is found within this time unless something begins everywhere all the time; and a service that misses a task
 /// must not wait for longer.
-const APART_PATIENCE_MS: u64 = 2_000;
+const MAX_ISOLATION_WAIT_MS: u64 = 2_000;
 
 /// The leader's plan. What it has learnt is lost with the leadership and learnt again.
 #[derive(Clone, Debug, Default)]
 pub struct Planner {
     pub(super) runtimes: Runtimes,
     pub(super) speeds: Speeds,
-    reserve: Reserve,
-    pub(super) claims: BTreeMap<StepId, Claim>,
+    headroom: UrgentHeadroom,
+    pub(super) reservations: BTreeMap<StepId, Reservation>,
     /// Workers on which a task failed; it tries others first.
     pub(super) failed_on: BTreeMap<TaskId, BTreeSet<Incarnation>>,
     /// Tasks that were begun anew because they were slow. One that is as slow elsewhere takes that long, and begun anew each time it would
     /// never end.
-    was_slow: BTreeSet<TaskId>,
+    restarted_slow: BTreeSet<TaskId>,
     /// Since when work under which a worker has crashed waits, on the leader's clock in milliseconds.
-    apart_since_ms: BTreeMap<StepId, u64>,
+    isolated_since_ms: BTreeMap<StepId, u64>,
     /// What the last pass left behind, to explain why work waits.
     pub(super) last_pass: LastPass,
-    standing_since: StandingSince,
+    stall_tracker: StallTracker,
 }
 
 impl Planner {
@@ -83,15 +83,21 @@
                 }
                 EndKind::Done => {
                     self.failed_on.remove(&end.run.task);
-                    self.was_slow.remove(&end.run.task);
-                    self.note_done(now_ms, end, workload, dispatcher);
+                    self.restarted_slow.remove(&end.run.task);
+                    self.learn_from_done(now_ms, end, workload, dispatcher);
                 }
                 _ => {}
             }
         }
     }
 
-    fn note_done(&mut self, now_ms: u64, end: &End, workload: &Workload, dispatcher: &Dispatcher) {
+    fn learn_from_done(
+        &mut self,
+        now_ms: u64,
+        end: &End,
+        workload: &Workload,
+        dispatcher: &Dispatcher,
+    ) {
         let step = end.run.task.step;
         let Some(job) = workload.job(step.job) else {
             return;
@@ -129,14 +135,14 @@
         }
         let took_ms = now_ms.saturating_sub(at_ms);
         let expected_ms = self.runtimes.expected_ms(&job.queue.name, step, spec);
-        let alone = (!spec.gang).then_some(&end.worker);
-        self.speeds.note(
+        let single_worker = (!spec.gang).then_some(&end.worker);
+        self.speeds.record(
             &worker.info.data_centre,
-            alone,
+            single_worker,
             now_ms,
             (took_ms, expected_ms),
         );
-        self.runtimes.note(&job.queue.name, step, spec, took_ms);
+        self.runtimes.record(&job.queue.name, step, spec, took_ms);
     }
 
     /// Runs to begin anew elsewhere. The workers they are on are not tried again for the same tasks.
@@ -147,12 +153,14 @@
         dispatcher: &Dispatcher,
     ) -> Vec<OverdueRun> {
         let mut overdue = overdue(now_ms, workload, dispatcher, &self.runtimes);
-        overdue.retain(|late| late.why == Overdue::Still || self.was_slow.insert(late.run.task));
-        for late in &overdue {
+        overdue.retain(|overdue_run| {
+            overdue_run.why == Overdue::Still || self.restarted_slow.insert(overdue_run.run.task)
+        });
+        for overdue_run in &overdue {
             self.failed_on
-                .entry(late.run.task)
+                .entry(overdue_run.run.task)
                 .or_default()
-                .insert(late.worker.clone());
+                .insert(overdue_run.worker.clone());
         }
         overdue
     }
@@ -175,9 +183,9 @@
     }
 
     /// Whether the next plan at `now_ms` would keep a unit apart.
-    pub(super) fn keeps_apart(&self, now_ms: u64, unit: &Unit) -> bool {
-        let since_ms = self.apart_since_ms.get(&unit.step).copied();
-        unit.is_suspect() && is_patient(now_ms, since_ms.unwrap_or(now_ms))
+    pub(super) fn isolates(&self, now_ms: u64, unit: &Unit) -> bool {
+        let since_ms = self.isolated_since_ms.get(&unit.step).copied();
+        unit.is_suspect() && is_isolation_pending(now_ms, since_ms.unwrap_or(now_ms))
     }
 
     /// What shall happen at `now_ms` of the leader's clock and `wall_ms` since 1970.
@@ -191,89 +199,90 @@
         let Self {
             runtimes,
             speeds,
-            reserve,
-            claims,
+            headroom,
+            reservations,
             failed_on,
-            was_slow: _,
-            apart_since_ms,
+            restarted_slow: _,
+            isolated_since_ms,
             last_pass,
-            standing_since,
+            stall_tracker,
         } = self;
-        let entitled = entitled_jobs(workload);
+        let guaranteed = guaranteed_jobs(workload);
         let mut units = collect::collect(
             workload,
             runtimes,
-            &entitled,
+            &guaranteed,
             (wall_ms, dispatcher.timing().remote_percent),
         );
-        hold_uncertain_gangs(now_ms, &mut units, workload, dispatcher);
+        drop_uncertain_gangs(now_ms, &mut units, workload, dispatcher);
         let permissions = &dispatcher.permissions;
         for unit in units.iter_mut().filter(|unit| unit.advised.is_some()) {
             unit.permitted = Some(permissions.permitted(unit.step, now_ms));
         }
         let waiting = collect::steps(&units);
-        keep_apart(now_ms, &mut units, apart_since_ms);
+        isolate_suspects(now_ms, &mut units, isolated_since_ms);
         let mut pass = Pass::new(
             (now_ms, wall_ms),
             workload,
             dispatcher,
             (runtimes, speeds),
-            &entitled,
+            &guaranteed,
         );
-        pass.drop_claims(claims, &waiting);
-        pass.hold_claims(claims, &units);
-        reserve.expect(dispatcher.elected_ms(), workload, &pass.rooms);
-        reserve.note(now_ms, &units);
+        pass.drop_stale_reservations(reservations, &waiting);
+        pass.apply_reservations(reservations, &units);
+        headroom.assume_arrivals(dispatcher.elected_ms(), workload, &pass.rooms);
+        headroom.record_arrivals(now_ms, &units);
         let stop_ms = dispatcher.timing().stop_timeout_ms;
-        reserve.keep((now_ms, stop_ms), &mut pass.rooms);
-        let mut kept = 0;
-        let mut kept_for = BTreeSet::new();
+        headroom.mark_rooms((now_ms, stop_ms), &mut pass.rooms);
+        let mut held_gangs = 0;
+        let mut held_for = BTreeSet::new();
         let racks: BTreeSet<&Arc<str>> = pass.rooms.iter().map(|room| &room.rack).collect();
-        let most_kept = racks.len().max(FEWEST_KEPT_GANGS);
+        let max_held_gangs = racks.len().max(MIN_HELD_GANGS);
         for unit in &units {
-            if let Some(claim) = claims.get(&unit.step) {
-                if let Some(placement) = pass.placement_of(claim, unit) {
-                    pass.start_promised(unit, &placement);
-                    claims.remove(&unit.step);
+            if let Some(reservation) = reservations.get(&unit.step) {
+                if let Some(placement) = pass.reserved_placement(reservation, unit) {
+                    pass.start_reserved(unit, &placement);
+                    reservations.remove(&unit.step);
                 }
                 continue;
             }
-            pass.ask(unit);
-            let avoid = avoided(failed_on, unit, &pass.rooms);
-            let stood_long = standing_since.is_long(now_ms, unit.step);
+            pass.ask_adviser(unit);
+            let avoid = avoided_workers(failed_on, unit, &pass.rooms);
+            let stalled_long = stall_tracker.is_stalled_long(now_ms, unit.step);
             if unit.spec.gang {
                 let placement = pass.place_gang(unit, &avoid);
-                let anywhere = || pass.place_anywhere(unit, &avoid);
-                if let Some(placement) = placement.or_else(|| stood_long.then(anywhere).flatten()) {
+                let anywhere = || pass.place_relaxed(unit, &avoid);
+                if let Some(placement) = placement.or_else(|| stalled_long.then(anywhere).flatten())
+                {
                     pass.start(unit, &placement);
-                } else if pass.claim(claims, unit) {
+                } else if pass.try_preempt(reservations, unit) {
                     continue;
-                } else if kept < most_kept {
-                    kept += 1;
-                    kept_for.insert(unit.step);
-                    pass.keep_room(unit, &avoid);
+                } else if held_gangs < max_held_gangs {
+                    held_gangs += 1;
+                    held_for.insert(unit.step);
+                    pass.hold_for_gang(unit, &avoid);
                 }
                 continue;
             }
             let mut placement = pass.place_tasks(unit, &avoid);
-            if placement.is_empty() && stood_long {
+            if placement.is_empty() && stalled_long {
                 // The others may go on waiting for what suits them, but those of a service are missed one by one.
-                let least = if unit.spec.long_running {
+                let subset = if unit.spec.long_running {
                     unit.clone()
                 } else {
                     unit.first_task()
                 };
-                placement = pass.place_anywhere(&least, &avoid).unwrap_or_default();
+                placement = pass.place_relaxed(&subset, &avoid).unwrap_or_default();
             }
             let placed = placement.iter().map(|(_, count)| count).sum();
             pass.start(unit, &placement);
             if placed < unit.count() {
-                pass.claim(claims, &unit.without_first(placed));
+                pass.try_preempt(reservations, &unit.without_first(placed));
             }
         }
-        let waits = |step| kept_for.contains(&step) || claims.contains_key(&step);
+        let waits = |step| held_for.contains(&step) || reservations.contains_key(&step);
         *last_pass = LastPass::new(&units, &pass.rooms, &pass.plan.starts, waits);
-        standing_since.note(
+        stall_tracker.record(
             now_ms,
             (&units, &last_pass.started),
             &pass.rooms,
@@ -284,28 +293,28 @@
 }
 
 /// Whether work under which a worker has crashed, and that has waited since `since_ms`, still waits for workers on which nothing has just begun.
-fn is_patient(now_ms: u64, since_ms: u64) -> bool {
-    now_ms < since_ms + APART_PATIENCE_MS
+fn is_isolation_pending(now_ms: u64, since_ms: u64) -> bool {
+    now_ms < since_ms + MAX_ISOLATION_WAIT_MS
 }
 
 /// Notes which units wait for workers of their own.
-fn keep_apart(now_ms: u64, units: &mut [Unit], since_ms: &mut BTreeMap<StepId, u64>) {
+fn isolate_suspects(now_ms: u64, units: &mut [Unit], since_ms: &mut BTreeMap<StepId, u64>) {
     let before = std::mem::take(since_ms);
     for unit in units.iter_mut().filter(|unit| unit.is_suspect()) {
         let since = before.get(&unit.step).copied().unwrap_or(now_ms);
         since_ms.insert(unit.step, since);
-        unit.apart = is_patient(now_ms, since);
+        unit.isolated = is_isolation_pending(now_ms, since);
     }
 }
 
 /// Workers that a unit's tasks failed on, unless those left that may run it could not hold it if they were empty.
-pub(super) fn avoided(
+pub(super) fn avoided_workers(
     failed_on: &BTreeMap<TaskId, BTreeSet<Incarnation>>,
     unit: &Unit,
     rooms: &[Room],
 ) -> BTreeSet<Incarnation> {
     let mut avoid = BTreeSet::new();
-    if unit.takes_any {
+    if unit.relaxed {
         return avoid;
     }
     for index in &unit.indices {
@@ -322,12 +331,12 @@
     }
     let others = rooms
         .iter()
-        .filter(|room| room.admits(unit) && !avoid.contains(&room.worker));
+        .filter(|room| room.accepts(unit) && !avoid.contains(&room.worker));
     let places: u64 = others
-        .map(|room| unit.needs.times_in(&room.capacity, room.most(unit)))
+        .map(|room| unit.needs.times_in(&room.capacity, room.max_tasks(unit)))
         .fold(0, u64::saturating_add);
-    let least = if unit.spec.gang { unit.count() } else { 1 };
-    if places >= least {
+    let min_places = if unit.spec.gang { unit.count() } else { 1 };
+    if places >= min_places {
         avoid
     } else {
         BTreeSet::new()
@@ -336,7 +345,7 @@
 
 /// Leaves out gangs that would be begun after their last allowed failure if every attempt that is over unheard turns out to have failed. They wait until
 /// the workers say so, or their leases have run out.
-fn hold_uncertain_gangs(
+fn drop_uncertain_gangs(
     now_ms: u64,
     units: &mut Vec<Unit>,
     workload: &Workload,
--- a/crates/bh-workload/src/plan/make_room.rs
+++ b/crates/bh-workload/src/plan/preempt.rs
@@ -1,15 +1,15 @@
 //! Makes room by stopping others.
 
-use super::Borrower;
+use super::PreemptionCandidate;
 use super::Unit;
 use super::availability::Availability;
-use super::borrowers::Borrowers;
-use super::claim::Claim;
-use super::evict;
-use super::evict::Reclaim;
-use super::evict::Unmade;
 use super::pass::Pass;
 use super::place;
+use super::preemption;
+use super::preemption::Preemption;
+use super::preemption::PreemptionFailure;
+use super::preemption_candidates::PreemptionCandidates;
+use super::reservation::Reservation;
 use crate::job::RunId;
 use crate::job::StepId;
 use crate::state::Worker;
@@ -19,111 +19,124 @@
 /// Work that may be thrown away for work of priority 0, as a multiple of its own. Such a job is worth some ten times as much for the
 /// room it takes as the work it displaces, and is late within a second or two; four leaves a margin for what the displaced jobs lose
 /// beside their work.
-const LOSS_FOR_WORK: u64 = 4;
+const MAX_LOSS_FACTOR: u64 = 4;
 /// Time beyond the longest stop after which room that was reclaimed but has not become free is chosen anew, in milliseconds.
-const CLAIM_SLACK_MS: u64 = 1_500;
+const RESERVATION_GRACE_MS: u64 = 1_500;
 
 impl Pass<'_> {
     /// Makes room for `unit` if it may displace others; returns whether it does.
-    pub fn claim(&mut self, claims: &mut BTreeMap<StepId, Claim>, unit: &Unit) -> bool {
-        let Some(claim) = self.reclaim(unit) else {
+    pub fn try_preempt(
+        &mut self,
+        reservations: &mut BTreeMap<StepId, Reservation>,
+        unit: &Unit,
+    ) -> bool {
+        let Some(reservation) = self.preempt(unit) else {
             return false;
         };
-        self.plan.claimed.push((unit.step, claim.places.len()));
-        claims.insert(unit.step, claim);
+        self.plan
+            .claimed
+            .push((unit.step, reservation.places.len()));
+        reservations.insert(unit.step, reservation);
         true
     }
 
     /// Makes room for work that a guarantee covers, for a service that misses a task, or for work that comes first of all and is worth
     /// more than what is lost for it.
-    fn reclaim(&mut self, unit: &Unit) -> Option<Claim> {
+    fn preempt(&mut self, unit: &Unit) -> Option<Reservation> {
         // Sound work is not stopped for what may crash the worker.
-        let first = unit.priority == 0 && unit.on_time && !unit.is_suspect();
-        if !unit.entitled && !unit.spec.long_running && !first {
+        let is_urgent = unit.priority == 0 && unit.on_time && !unit.is_suspect();
+        if !unit.guaranteed && !unit.spec.long_running && !is_urgent {
             return None;
         }
-        let class = (unit.entitled, unit.spec.long_running, unit.priority);
-        if self.unclaimable.covers(&class, unit, unit.count()) {
+        let class = (unit.guaranteed, unit.spec.long_running, unit.priority);
+        if self
+            .failed_preemptions
+            .rules_out(&class, unit, unit.count())
+        {
             return None;
         }
-        let all = match self.borrowers.take() {
-            Some(borrowers) => borrowers,
-            None => Borrowers::new(self.all_borrowers()),
+        let all = match self.preemption_candidates.take() {
+            Some(candidates) => candidates,
+            None => PreemptionCandidates::new(self.collect_candidates()),
         };
         let made = self.make_room(unit, &all.runs);
-        self.borrowers = Some(all);
-        let reclaim = match made {
-            Ok(reclaim) => reclaim,
-            Err(Unmade::NoRoom) => {
-                self.unclaimable.note(class, unit, unit.count());
+        self.preemption_candidates = Some(all);
+        let preemption_plan = match made {
+            Ok(preemption_plan) => preemption_plan,
+            Err(PreemptionFailure::NoRoom) => {
+                self.failed_preemptions.record(class, unit, unit.count());
                 return None;
             }
-            Err(Unmade::NoRack) => return None,
+            Err(PreemptionFailure::NoRack) => return None,
         };
-        let weighs_loss = !unit.entitled && !unit.spec.long_running;
-        if weighs_loss && reclaim.loss > unit.work() * LOSS_FOR_WORK {
+        let weighs_loss = !unit.guaranteed && !unit.spec.long_running;
+        if weighs_loss && preemption_plan.loss > unit.work() * MAX_LOSS_FACTOR {
             return None;
         }
-        self.stop(&reclaim.evictions);
+        self.stop(&preemption_plan.evictions);
         // What is stopped may leave more room than was claimed.
-        self.unclaimable.clear();
-        for (at, count) in &reclaim.placement {
+        self.failed_preemptions.clear();
+        for (at, count) in &preemption_plan.placement {
             for _ in 0..*count {
-                self.rooms[*at].promised.add(&unit.needs);
+                self.rooms[*at].reserved.add(&unit.needs);
             }
         }
-        let places = reclaim
+        let places = preemption_plan
             .placement
             .iter()
             .map(|(at, count)| (self.rooms[*at].worker.clone(), *count))
             .collect();
-        Some(Claim {
+        Some(Reservation {
             places,
-            until_ms: self.now_ms + self.dispatcher.timing().stop_timeout_ms + CLAIM_SLACK_MS,
+            until_ms: self.now_ms + self.dispatcher.timing().stop_timeout_ms + RESERVATION_GRACE_MS,
         })
     }
 
     /// Room for `unit` among what is open and what the runs in `all` take that give way to it.
-    fn make_room(&self, unit: &Unit, all: &[Borrower]) -> Result<Reclaim, Unmade> {
+    fn make_room(
+        &self,
+        unit: &Unit,
+        all: &[PreemptionCandidate],
+    ) -> Result<Preemption, PreemptionFailure> {
         let mut services = Availability::new(self.workload, self.dispatcher, &self.plan.evictions);
-        let mut may_stop = |borrower: &&Borrower| {
-            borrower.stopping
-                || borrower.gives_way(unit)
-                    && (!borrower.limited || services.may_miss(borrower.run))
+        let mut may_stop = |candidate: &&PreemptionCandidate| {
+            candidate.stopping
+                || candidate.yields_to(unit)
+                    && (!candidate.has_disruption_limit || services.may_miss(candidate.run))
         };
-        let borrowers: Vec<&Borrower> = all.iter().filter(&mut may_stop).collect();
+        let candidates: Vec<&PreemptionCandidate> = all.iter().filter(&mut may_stop).collect();
         let waits =
-            place::wants_rack(unit) && place::waits_for_rack(unit, &self.rooms, self.wall_ms);
-        evict::reclaim(unit, &self.rooms, &borrowers, self.workload, waits)
+            place::prefers_one_rack(unit) && place::waits_for_rack(unit, &self.rooms, self.wall_ms);
+        preemption::plan_preemption(unit, &self.rooms, &candidates, self.workload, waits)
     }
 
     fn stop(&mut self, runs: &BTreeSet<RunId>) {
-        let Some(borrowers) = self.borrowers.as_mut() else {
+        let Some(candidates) = self.preemption_candidates.as_mut() else {
             return;
         };
         for run in runs {
-            let Some(borrower) = borrowers.of(*run).filter(|run| !run.stopping) else {
+            let Some(candidate) = candidates.get_mut(*run).filter(|run| !run.stopping) else {
                 continue;
             };
-            borrower.stopping = true;
-            borrower.loss = 0;
-            let worker = self.rooms[borrower.room].worker.clone();
-            self.plan.evictions.push((worker, borrower.run));
+            candidate.stopping = true;
+            candidate.loss = 0;
+            let worker = self.rooms[candidate.room].worker.clone();
+            self.plan.evictions.push((worker, candidate.run));
         }
     }
 
     /// All recorded runs. Looked up once for a pass: each unit that asks for room would look up every run of the fleet again.
-    fn all_borrowers(&self) -> Vec<Borrower> {
+    fn collect_candidates(&self) -> Vec<PreemptionCandidate> {
         let workers = self.workload.workers().filter_map(|worker| {
             let room = self.index.get(&worker.info.id)?;
             Some((worker, *room))
         });
         workers
-            .flat_map(|(worker, room)| self.borrowers_on(worker, room))
+            .flat_map(|(worker, room)| self.candidates_on(worker, room))
             .collect()
     }
 
-    fn borrowers_on(&self, worker: &Worker, room: usize) -> Vec<Borrower> {
+    fn candidates_on(&self, worker: &Worker, room: usize) -> Vec<PreemptionCandidate> {
         let target = self.dispatcher.view(&worker.info.id);
         let runs = worker.runs.iter().map(|(run, needs)| {
             let watch = target.and_then(|target| target.runs.get(run));
@@ -131,7 +144,7 @@
             let ran_ms = watch.map_or(0, |watch| self.now_ms.saturating_sub(watch.since_ms));
             let priority = self.priority_of(*run);
             let spec = self.workload.step_spec(run.task.step);
-            Borrower {
+            PreemptionCandidate {
                 run: *run,
                 room,
                 needs: *needs,
@@ -141,9 +154,9 @@
                     self.loss(*run, ran_ms, priority)
                 },
                 stopping,
-                entitled: self.entitled.contains(&run.task.step.job),
-                serves: spec.is_some_and(|spec| spec.long_running),
-                limited: spec.is_some_and(|spec| spec.most_unavailable.is_some()),
+                guaranteed: self.guaranteed.contains(&run.task.step.job),
+                is_service: spec.is_some_and(|spec| spec.long_running),
+                has_disruption_limit: spec.is_some_and(|spec| spec.most_unavailable.is_some()),
                 priority,
             }
         });
@@ -168,14 +181,14 @@
             ran_ms
         };
         let members = if spec.gang { u64::from(spec.count) } else { 1 };
-        spec.needs.weight() * lost_ms.max(1) * members * worth(priority)
+        spec.needs.weight() * lost_ms.max(1) * members * room_value(priority)
     }
 }
 
 /// What room is worth to a queue of this rank, as a multiple of the least: it falls with the square of the rank, as the values of the
 /// users' kinds of work do against the room they take.
-fn worth(priority: u32) -> u64 {
-    const FIRST: u64 = 9;
+fn room_value(priority: u32) -> u64 {
+    const HIGHEST: u64 = 9;
     let rank = u64::from(priority).saturating_add(1);
-    (FIRST / (rank * rank)).max(1)
+    (HIGHEST / (rank * rank)).max(1)
 }
--- a/crates/bh-workload/src/plan/evict.rs
+++ b/crates/bh-workload/src/plan/preemption.rs
@@ -15,7 +15,7 @@
 
 /// A recorded run, for whom it may be stopped, and what that would cost.
 #[derive(Clone, Debug)]
-pub struct Borrower {
+pub struct PreemptionCandidate {
     /// The run.
     pub run: RunId,
     /// Position of its worker among the rooms.
@@ -27,29 +27,29 @@
     /// Whether it is being stopped already.
     pub stopping: bool,
     /// Whether a guarantee covers it.
-    pub entitled: bool,
+    pub guaranteed: bool,
     /// Whether it serves callers of its own for as long as it lasts.
-    pub serves: bool,
+    pub is_service: bool,
     /// Whether only so many of its step may be missing at a time.
-    pub limited: bool,
+    pub has_disruption_limit: bool,
     /// Rank of its queue.
     pub priority: u32,
 }
 
-impl Borrower {
+impl PreemptionCandidate {
     /// Whether the run gives way to `unit`.
-    pub fn gives_way(&self, unit: &Unit) -> bool {
-        if self.entitled {
+    pub fn yields_to(&self, unit: &Unit) -> bool {
+        if self.guaranteed {
             return false;
         }
         let outranked = unit.spec.long_running || self.priority > unit.priority;
-        unit.entitled || !self.serves && outranked
+        unit.guaranteed || !self.is_service && outranked
     }
 }
 
 /// Room made by stopping borrowers.
 #[derive(Clone, Debug, Default)]
-pub struct Reclaim {
+pub struct Preemption {
     /// Where the unit goes.
     pub placement: Placement,
     /// Runs to stop.
@@ -60,7 +60,7 @@
 
 /// Why no room can be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unmade {
+pub enum PreemptionFailure {
     /// There is too little even if all borrowers are stopped.
     NoRoom,
     /// There is too little in any one rack that suits.
@@ -69,39 +69,39 @@
 
 /// Chooses workers for the whole unit as if all borrowers could be stopped, those first where least work is lost. With `waits` a unit
 /// that wants one rack is not spread over several.
-pub fn reclaim(
+pub fn plan_preemption(
     unit: &Unit,
     rooms: &[Room],
-    borrowers: &[&Borrower],
+    candidates: &[&PreemptionCandidate],
     workload: &Workload,
     waits: bool,
-) -> Result<Reclaim, Unmade> {
-    let by_room = by_room(rooms.len(), borrowers);
+) -> Result<Preemption, PreemptionFailure> {
+    let by_room = by_room(rooms.len(), candidates);
     let mut offers: Vec<Offer> = Vec::new();
     for (index, room) in rooms.iter().enumerate() {
-        if !room.admits(unit) {
+        if !room.accepts(unit) {
             continue;
         }
         offers.extend(offer(unit, index, room, &by_room[index]));
     }
     if offers.iter().map(|offer| offer.places).sum::<u64>() < unit.count() {
-        return Err(Unmade::NoRoom);
+        return Err(PreemptionFailure::NoRoom);
     }
-    let able = if place::wants_rack(unit) {
-        place::able_racks(unit, rooms)
+    let large_racks = if place::prefers_one_rack(unit) {
+        place::large_enough_racks(unit, rooms)
     } else {
         BTreeSet::new()
     };
-    let near = in_one_rack(unit, &offers, rooms, &able);
+    let in_rack = cheapest_in_one_rack(unit, &offers, rooms, &large_racks);
     // Spread over racks the unit is so slow that it is late; that is for later, when its bound to begin comes near.
-    if near.is_none() && !able.is_empty() && waits {
-        return Err(Unmade::NoRack);
+    if in_rack.is_none() && !large_racks.is_empty() && waits {
+        return Err(PreemptionFailure::NoRack);
     }
-    let chosen = near
-        .or_else(|| choose(unit, &offers))
-        .ok_or(Unmade::NoRoom)?;
+    let chosen = in_rack
+        .or_else(|| cheapest(unit, &offers))
+        .ok_or(PreemptionFailure::NoRoom)?;
     let evictions = evictions(unit, &chosen.0, rooms, &by_room, workload);
-    Ok(Reclaim {
+    Ok(Preemption {
         placement: chosen.0,
         evictions,
         loss: chosen.1,
@@ -109,22 +109,22 @@
 }
 
 /// The cheapest choice within one of the racks in `able`.
-fn in_one_rack(
+fn cheapest_in_one_rack(
     unit: &Unit,
     offers: &[Offer],
     rooms: &[Room],
-    able: &BTreeSet<Arc<str>>,
+    large_racks: &BTreeSet<Arc<str>>,
 ) -> Option<(Placement, u64)> {
     let mut racks: BTreeMap<&Arc<str>, Vec<Offer>> = BTreeMap::new();
     for offer in offers {
         let rack = &rooms[offer.room].rack;
-        if able.contains(rack) {
+        if large_racks.contains(rack) {
             racks.entry(rack).or_default().push(offer.clone());
         }
     }
     racks
         .values()
-        .filter_map(|offers| choose(unit, offers))
+        .filter_map(|offers| cheapest(unit, offers))
         .min_by_key(|chosen| chosen.1)
 }
 
@@ -132,46 +132,59 @@
 #[derive(Clone, Debug)]
 struct Offer {
     room: usize,
-    pace_percent: u64,
+    runtime_percent: u64,
     places: u64,
     loss: u64,
 }
 
 /// The borrowers of each of `rooms` rooms, those first that are cheapest to stop.
-fn by_room<'a>(rooms: usize, borrowers: &[&'a Borrower]) -> Vec<Vec<&'a Borrower>> {
-    let mut by_room: Vec<Vec<&Borrower>> = vec![Vec::new(); rooms];
-    for borrower in borrowers {
-        by_room[borrower.room].push(borrower);
+fn by_room<'a>(
+    rooms: usize,
+    candidates: &[&'a PreemptionCandidate],
+) -> Vec<Vec<&'a PreemptionCandidate>> {
+    let mut by_room: Vec<Vec<&PreemptionCandidate>> = vec![Vec::new(); rooms];
+    for candidate in candidates {
+        by_room[candidate.room].push(candidate);
     }
     for list in &mut by_room {
-        list.sort_by_key(|borrower| (!borrower.stopping, borrower.loss));
+        list.sort_by_key(|candidate| (!candidate.stopping, candidate.loss));
     }
     by_room
 }
 
-fn offer(unit: &Unit, index: usize, room: &Room, borrowers: &[&Borrower]) -> Option<Offer> {
-    let most = room.most(unit);
+fn offer(
+    unit: &Unit,
+    index: usize,
+    room: &Room,
+    candidates: &[&PreemptionCandidate],
+) -> Option<Offer> {
+    let most = room.max_tasks(unit);
     let mut gained = Needs::default();
-    let (mut places, mut loss) = (unit.needs.times_in(&room.open(), most), 0);
-    for borrower in borrowers {
+    let (mut places, mut loss) = (unit.needs.times_in(&room.available(), most), 0);
+    for candidate in candidates {
         if places >= most {
             break;
         }
-        gained.add(&borrower.needs);
-        loss += borrower.loss;
-        places = unit.needs.times_in(&room.open_with(&gained), most);
+        gained.add(&candidate.needs);
+        loss += candidate.loss;
+        places = unit.needs.times_in(&room.available_after(&gained), most);
     }
     (places > 0).then_some(Offer {
         room: index,
-        pace_percent: room.pace_percent,
+        runtime_percent: room.runtime_percent,
         places,
         loss,
     })
 }
 
-fn choose(unit: &Unit, offers: &[Offer]) -> Option<(Placement, u64)> {
+fn cheapest(unit: &Unit, offers: &[Offer]) -> Option<(Placement, u64)> {
     let mut offers: Vec<&Offer> = offers.iter().collect();
-    offers.sort_by_key(|offer| (offer.loss * offer.pace_percent / offer.places, offer.room));
+    offers.sort_by_key(|offer| {
+        (
+            offer.loss * offer.runtime_percent / offer.places,
+            offer.room,
+        )
+    });
     let (mut left, mut loss) = (unit.count(), 0);
     let mut placement = Vec::new();
     for offer in offers {
@@ -180,7 +193,7 @@
         }
         let take = offer.places.min(left);
         placement.push((offer.room, take));
-        loss += offer.loss * offer.pace_percent / 100;
+        loss += offer.loss * offer.runtime_percent / 100;
         left -= take;
     }
     (left == 0).then_some((placement, loss))
@@ -190,37 +203,37 @@
     unit: &Unit,
     placement: &Placement,
     rooms: &[Room],
-    by_room: &[Vec<&Borrower>],
+    by_room: &[Vec<&PreemptionCandidate>],
     workload: &Workload,
 ) -> BTreeSet<RunId> {
     let mut stopped: BTreeSet<RunId> = BTreeSet::new();
     for (index, count) in placement {
         let own = &by_room[*index];
         let mut gained = Needs::default();
-        for borrower in own {
-            if borrower.stopping || stopped.contains(&borrower.run) {
-                gained.add(&borrower.needs);
+        for candidate in own {
+            if candidate.stopping || stopped.contains(&candidate.run) {
+                gained.add(&candidate.needs);
             }
         }
-        for borrower in own {
+        for candidate in own {
             let places = unit
                 .needs
-                .times_in(&rooms[*index].open_with(&gained), *count);
+                .times_in(&rooms[*index].available_after(&gained), *count);
             if places >= *count {
                 break;
             }
-            if borrower.stopping || stopped.contains(&borrower.run) {
+            if candidate.stopping || stopped.contains(&candidate.run) {
                 continue;
             }
-            gained.add(&borrower.needs);
-            stopped.extend(together(borrower.run, workload));
+            gained.add(&candidate.needs);
+            stopped.extend(with_gang(candidate.run, workload));
         }
     }
     stopped
 }
 
 /// A run and the members of its gang: stopping one ends them all, so all their room is gained.
-fn together(run: RunId, workload: &Workload) -> Vec<RunId> {
+fn with_gang(run: RunId, workload: &Workload) -> Vec<RunId> {
     let gang = workload
         .step_spec(run.task.step)
         .is_some_and(|spec| spec.gang);
--- a/crates/bh-workload/src/plan/claim.rs
+++ b/crates/bh-workload/src/plan/reservation.rs
@@ -4,7 +4,7 @@
 
 /// Room that is being made for a unit.
 #[derive(Clone, Debug)]
-pub(super) struct Claim {
+pub(super) struct Reservation {
     /// Workers and number of tasks.
     pub places: Vec<(Incarnation, u64)>,
     /// When the claim lapses, on the leader's clock in milliseconds.
--- a/crates/bh-workload/src/plan/room.rs
+++ b/crates/bh-workload/src/plan/room.rs
@@ -18,17 +18,17 @@
 use std::sync::Arc;
 
 /// What has just begun on a worker.
-struct Begun {
+struct RecentStarts {
     /// Whether anything has.
     any: bool,
     /// Whether a task has under which a worker crashed before: nothing else may begin there until it was seen at work.
     suspect: bool,
 }
 
-impl Begun {
+impl RecentStarts {
     /// What has just begun on `worker`, of which `target` is known.
     fn new(worker: &Worker, target: Option<&Target>, workload: &Workload) -> Self {
-        let mut begun = Self {
+        let mut recent = Self {
             any: false,
             suspect: false,
         };
@@ -36,10 +36,10 @@
             let watch = target.and_then(|target| target.runs.get(run));
             let at_work_ms = watch.map_or(0, RunWatch::at_work_ms);
             let crashes = workload.task(run.task).map_or(0, Task::all_crashes);
-            begun.any |= watch.is_none_or(RunWatch::has_just_begun);
-            begun.suspect |= at_work_ms < apart_ms(crashes);
+            recent.any |= watch.is_none_or(RunWatch::has_just_begun);
+            recent.suspect |= at_work_ms < apart_ms(crashes);
         }
-        begun
+        recent
     }
 }
 
@@ -65,19 +65,19 @@
     /// What recorded runs take beyond what it has, since it has shrunk.
     pub excess: Needs,
     /// What is promised to work that waits for it, free already or not.
-    pub promised: Needs,
+    pub reserved: Needs,
     /// What is kept for gangs that do not fit yet, free already or not.
-    pub held: Needs,
+    pub held_for_gangs: Needs,
     /// Recorded runs by step.
     pub runs: BTreeMap<StepId, u64>,
     /// Times as long as in the fastest data centre that runs take here, in percent.
-    pub pace_percent: u64,
+    pub runtime_percent: u64,
     /// Speed at which tasks that only use idle processors work here, in percent.
     pub fill_percent: u64,
     /// Whether only work of priority 0 may use it, and gangs that are late unless they begin soon.
-    pub kept: bool,
+    pub urgent_only: bool,
     /// Whether something has just begun there, which may yet crash the worker.
-    pub just_begun: bool,
+    pub has_recent_start: bool,
     /// Whether it is slow since it has just started.
     pub cold: bool,
     /// Whether it may be given work now.
@@ -85,19 +85,19 @@
     /// Why it may not, before the pass.
     pub unusable: Option<Unusable>,
     /// Whether it could be, but is left to itself since it fails what it is given, or is slow.
-    pub aside: bool,
+    pub set_aside: bool,
 }
 
 /// Whether so many workers are set aside that what they were given is the likelier cause. Left out, they stand idle for half a minute and more
 /// while work waits.
-fn are_many_aside(workload: &Workload, dispatcher: &Dispatcher, now_ms: u64) -> bool {
+fn too_many_set_aside(workload: &Workload, dispatcher: &Dispatcher, now_ms: u64) -> bool {
     /// Share of the workers that may be at fault at a time, in percent.
-    const AT_FAULT_PERCENT: usize = 34;
-    dispatcher.count_aside(now_ms) * 100 > workload.worker_count() * AT_FAULT_PERCENT
+    const MAX_SET_ASIDE_PERCENT: usize = 34;
+    dispatcher.count_aside(now_ms) * 100 > workload.worker_count() * MAX_SET_ASIDE_PERCENT
 }
 
 /// Why the worker behind `target` can't be given work, as far as its answers tell.
-fn not_ready(target: &Target, dispatcher: &Dispatcher, now_ms: u64) -> Option<Unusable> {
+fn not_ready_reason(target: &Target, dispatcher: &Dispatcher, now_ms: u64) -> Option<Unusable> {
     if target.is_failing() || target.carrier_lost {
         Some(Unusable::Silent)
     } else if !target.answers() {
@@ -118,10 +118,10 @@
         workload: &Workload,
         dispatcher: &Dispatcher,
         speeds: &Speeds,
-        (now_ms, none_aside): (u64, bool),
+        (now_ms, ignore_set_aside): (u64, bool),
     ) -> Self {
         let view = dispatcher.view(&worker.info.id);
-        let begun = Begun::new(worker, view, workload);
+        let recent = RecentStarts::new(worker, view, workload);
         let evacuated = workload.is_evacuated(&worker.info);
         let unusable = if worker.draining {
             Some(Unusable::Draining)
@@ -129,21 +129,22 @@
             Some(Unusable::Replaced)
         } else if evacuated {
             Some(Unusable::Evacuated)
-        } else if begun.suspect {
+        } else if recent.suspect {
             Some(Unusable::BesideSuspect)
         } else if dispatcher.is_emptied(&worker.info.id) {
             Some(Unusable::Emptied)
         } else if let Some(why) = view.map_or(Some(Unusable::Unheard), |target| {
-            not_ready(target, dispatcher, now_ms)
+            not_ready_reason(target, dispatcher, now_ms)
         }) {
             Some(why)
         } else if speeds.is_slow(&worker.info.id, now_ms) {
             Some(Unusable::Slow)
         } else {
-            let is_aside = |target: &Target| !none_aside && now_ms < target.set_aside_until_ms;
+            let is_aside =
+                |target: &Target| !ignore_set_aside && now_ms < target.set_aside_until_ms;
             view.is_some_and(is_aside).then_some(Unusable::SetAside)
         };
-        let aside = matches!(unusable, Some(Unusable::Slow | Unusable::SetAside));
+        let set_aside = matches!(unusable, Some(Unusable::Slow | Unusable::SetAside));
         let mut runs = BTreeMap::new();
         for run in worker.runs.keys() {
             *runs.entry(run.task.step).or_default() += 1;
@@ -158,28 +159,28 @@
             capacity: worker.info.capacity,
             free: worker.free(),
             excess: worker.excess(),
-            promised: Needs::default(),
-            held: Needs::default(),
+            reserved: Needs::default(),
+            held_for_gangs: Needs::default(),
             runs,
             fill_percent: view.map_or(100, |target| target.filling.percent()),
-            kept: false,
-            just_begun: begun.any,
+            urgent_only: false,
+            has_recent_start: recent.any,
             cold: view.is_some_and(|target| now_ms < target.cold_until_ms),
-            pace_percent: speeds.percent(&worker.info.data_centre),
+            runtime_percent: speeds.runtime_percent(&worker.info.data_centre),
             usable: unusable.is_none(),
             unusable,
-            aside,
+            set_aside,
         }
     }
 
     /// The rooms of all workers.
-    pub fn of_all(
+    pub fn for_all_workers(
         workload: &Workload,
         dispatcher: &Dispatcher,
         speeds: &Speeds,
         now_ms: u64,
     ) -> Vec<Room> {
-        let times = (now_ms, are_many_aside(workload, dispatcher, now_ms));
+        let times = (now_ms, too_many_set_aside(workload, dispatcher, now_ms));
         let workers = workload.workers();
         workers
             .map(|worker| Room::new(worker, workload, dispatcher, speeds, times))
@@ -193,16 +194,16 @@
 
     /// Whether it could be given work now, left to itself or not.
     pub fn is_reachable(&self) -> bool {
-        self.usable || self.aside
+        self.usable || self.set_aside
     }
 
     /// Whether tasks of a unit may be here at all, whatever room there is.
-    pub fn admits(&self, unit: &Unit) -> bool {
-        (self.usable || self.aside && unit.takes_any) && self.suits(unit)
+    pub fn accepts(&self, unit: &Unit) -> bool {
+        (self.usable || self.set_aside && unit.relaxed) && self.is_eligible(unit)
     }
 
     /// Whether tasks of a unit may be here once the worker can be given work.
-    pub fn suits(&self, unit: &Unit) -> bool {
+    pub fn is_eligible(&self, unit: &Unit) -> bool {
         self.pool == unit.pool
             && self.has_label(unit.spec.required_label.as_ref())
             && unit
@@ -212,36 +213,36 @@
     }
 
     /// What is free, and neither promised nor kept.
-    pub fn open(&self) -> Needs {
-        self.open_with(&Needs::default())
+    pub fn available(&self) -> Needs {
+        self.available_after(&Needs::default())
     }
 
     /// What would be open if runs that take `more` were gone as well. On a worker that has shrunk the first of them leave no room.
-    pub fn open_with(&self, more: &Needs) -> Needs {
+    pub fn available_after(&self, more: &Needs) -> Needs {
         let mut gained = *more;
         gained.subtract(&self.excess);
-        let mut open = self.free;
-        open.add(&gained);
-        open.subtract(&self.promised);
-        open.subtract(&self.held);
-        open
+        let mut available = self.free;
+        available.add(&gained);
+        available.subtract(&self.reserved);
+        available.subtract(&self.held_for_gangs);
+        available
     }
 
     /// What is open to a unit.
-    fn open_to(&self, unit: &Unit) -> Needs {
-        if !unit.takes_any {
-            return self.open();
+    fn available_to(&self, unit: &Unit) -> Needs {
+        if !unit.relaxed {
+            return self.available();
         }
-        let mut open = self.free;
-        open.subtract(&self.promised);
-        open
+        let mut available = self.free;
+        available.subtract(&self.reserved);
+        available
     }
 
     /// How many more of a unit's tasks may be on this worker, whatever room it has: those already there count.
-    pub fn most(&self, unit: &Unit) -> u64 {
+    pub fn max_tasks(&self, unit: &Unit) -> u64 {
         // Two on one worker that crashes would tell nothing of either.
         let suspect = unit.is_suspect() && !unit.spec.gang;
-        let at_once = if suspect || self.takes_one_by_one(unit) {
+        let at_once = if suspect || self.starts_one_at_a_time(unit) {
             1
         } else {
             unit.count()
@@ -255,17 +256,19 @@
 
     /// Whether tasks of a unit begin here one after the other. A worker that has just started and is filled at once is slow for all that it got, while
     /// others stand idle a moment later. A gang begins together or not at all, and what a guarantee covers must begin in time.
-    fn takes_one_by_one(&self, unit: &Unit) -> bool {
-        self.cold && !unit.spec.gang && !unit.entitled && !unit.takes_any
+    fn starts_one_at_a_time(&self, unit: &Unit) -> bool {
+        self.cold && !unit.spec.gang && !unit.guaranteed && !unit.relaxed
     }
 
     /// How many of a unit's tasks may be placed here now.
     pub fn places(&self, unit: &Unit, avoid: &BTreeSet<Incarnation>) -> u64 {
-        let kept = self.kept && !unit.may_use_kept();
-        let unclear = self.just_begun && (unit.apart || self.takes_one_by_one(unit));
-        if !self.admits(unit) || kept || unclear || avoid.contains(&self.worker) {
+        let excluded = self.urgent_only && !unit.may_use_headroom();
+        let too_recent =
+            self.has_recent_start && (unit.isolated || self.starts_one_at_a_time(unit));
+        if !self.accepts(unit) || excluded || too_recent || avoid.contains(&self.worker) {
             return 0;
         }
-        unit.needs.times_in(&self.open_to(unit), self.most(unit))
+        unit.needs
+            .times_in(&self.available_to(unit), self.max_tasks(unit))
     }
 }
--- a/crates/bh-workload/src/plan/runnable.rs
+++ b/crates/bh-workload/src/plan/runnable.rs
@@ -6,10 +6,10 @@
 use super::Unit;
 use super::Wait;
 use super::collect;
-use super::entitled_jobs;
 use super::explain::wait_of_unit;
-use super::outlook::Outlook;
+use super::guaranteed_jobs;
 use super::planner::is_uncertain;
+use super::wait_explainer::WaitExplainer;
 use crate::dispatch::Dispatcher;
 use crate::dispatch::RunPhase;
 use crate::job::JobId;
@@ -25,7 +25,7 @@
 use std::sync::Arc;
 
 /// Steps of which a survey tells why they wait, at most: the cost of one is that of a look at every worker.
-const MOST_STEPS: usize = 512;
+const MAX_SURVEYED_STEPS: usize = 512;
 
 /// Tasks of one step that wait for the same reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -56,7 +56,7 @@
 }
 
 /// A recorded run and how far it has come.
-struct Known<'a> {
+struct KnownRun<'a> {
     run: RunId,
     worker: &'a Incarnation,
     phase: RunPhase,
@@ -65,9 +65,9 @@
 
 /// Workers by what is known to run on them.
 struct Fleet<'a> {
-    runs: BTreeMap<StepId, Vec<Known<'a>>>,
+    runs: BTreeMap<StepId, Vec<KnownRun<'a>>>,
     /// Runs at work, by job.
-    at_work: BTreeMap<JobId, u64>,
+    running: BTreeMap<JobId, u64>,
     /// Workers that may stay, what they have free beside the runs that take room, and runs there by step.
     free: Vec<(&'a Worker, Needs)>,
     /// In use and in all, by pool.
@@ -78,7 +78,7 @@
     fn new(now_ms: u64, workload: &'a Workload, dispatcher: &Dispatcher) -> Self {
         let mut fleet = Self {
             runs: BTreeMap::new(),
-            at_work: BTreeMap::new(),
+            running: BTreeMap::new(),
             free: Vec::new(),
             pools: BTreeMap::new(),
         };
@@ -91,9 +91,9 @@
                     used.add(needs);
                 }
                 let step = run.task.step;
-                let at_work = fleet.at_work.entry(step.job).or_default();
-                *at_work += u64::from(phase == RunPhase::Running);
-                fleet.runs.entry(step).or_default().push(Known {
+                let running = fleet.running.entry(step.job).or_default();
+                *running += u64::from(phase == RunPhase::Running);
+                fleet.runs.entry(step).or_default().push(KnownRun {
                     run: *run,
                     worker: id,
                     phase,
@@ -123,9 +123,9 @@
         for (worker, free) in &self.free {
             let labels = &worker.info.labels;
             let label = spec.required_label.as_ref();
-            let suits =
+            let is_eligible =
                 worker.info.pool == *pool && label.is_none_or(|label| labels.contains(label));
-            if suits {
+            if is_eligible {
                 places += needs.times_in(free, spec.most_on_worker().min(enough));
             }
             if places >= enough {
@@ -134,7 +134,7 @@
         }
         let (in_use, capacity) = self.pools.get(pool).copied().unwrap_or_default();
         Standing {
-            runs: self.at_work.get(&job).copied().unwrap_or(0),
+            runs: self.running.get(&job).copied().unwrap_or(0),
             tasks,
             places,
             in_use,
@@ -160,34 +160,34 @@
         workload: &Workload,
         dispatcher: &Dispatcher,
     ) -> Survey {
-        let entitled = entitled_jobs(workload);
+        let guaranteed = guaranteed_jobs(workload);
         let mut units: BTreeMap<StepId, Unit> = BTreeMap::new();
         let remote_percent = dispatcher.timing().remote_percent;
         let times = (wall_ms, remote_percent);
-        for mut unit in collect::collect(workload, &self.runtimes, &entitled, times) {
+        for mut unit in collect::collect(workload, &self.runtimes, &guaranteed, times) {
             if unit.advised.is_some() {
                 unit.permitted = Some(dispatcher.permissions.permitted(unit.step, now_ms));
             }
             units.insert(unit.step, unit);
         }
         let unheard = dispatcher.unheard_attempts(now_ms);
-        let outlook = Outlook::new(self, (now_ms, wall_ms), workload, dispatcher);
+        let explainer = WaitExplainer::new(self, (now_ms, wall_ms), workload, dispatcher);
         let fleet = Fleet::new(now_ms, workload, dispatcher);
         let mut survey = Survey::default();
         for (id, job) in workload.active_jobs() {
             let pool = &workload.queue_of(job).pool;
             let results = results(job);
-            for (step, spec, ready_ms) in steps_in_turn(id, job, wall_ms) {
+            for (step, spec, ready_ms) in runnable_steps(id, job, wall_ms) {
                 let known = fleet.runs.get(&step).map_or(&[][..], Vec::as_slice);
                 if known.iter().any(|known| known.phase == RunPhase::Running) {
                     continue;
                 }
-                if survey.steps.len() >= MOST_STEPS {
+                if survey.steps.len() >= MAX_SURVEYED_STEPS {
                     survey.left_out += 1;
                     continue;
                 }
                 let unit = units.get(&step);
-                let mut note = |tasks: u64, wait: Wait, held_by: Option<Holder>| {
+                let mut report = |tasks: u64, wait: Wait, held_by: Option<Holder>| {
                     survey.steps.push(RunnableStep {
                         step,
                         tasks,
@@ -200,11 +200,15 @@
                 };
                 if let Some(unit) = unit {
                     let uncertain = is_uncertain(step, &unheard, workload);
-                    note(unit.count(), wait_of_unit(unit, uncertain, &outlook), None);
+                    report(
+                        unit.count(),
+                        wait_of_unit(unit, uncertain, &explainer),
+                        None,
+                    );
                 }
                 let Some(longest) = known.iter().min_by_key(|known| known.since_ms) else {
                     if unit.is_none() {
-                        note(u64::from(spec.count), Wait::Unexplained, None);
+                        report(u64::from(spec.count), Wait::Unexplained, None);
                     }
                     continue;
                 };
@@ -215,11 +219,11 @@
                     held_ms: now_ms.saturating_sub(longest.since_ms),
                 };
                 if job.is_broken_gang(step) {
-                    note(u64::from(spec.count), Wait::EarlierRuns, Some(holder));
+                    report(u64::from(spec.count), Wait::EarlierRuns, Some(holder));
                 } else {
                     let phase = longest.phase;
                     let tasks = u64::try_from(known.len()).unwrap_or(u64::MAX);
-                    note(tasks, Wait::Ordered { phase }, Some(holder));
+                    report(tasks, Wait::Ordered { phase }, Some(holder));
                 }
             }
         }
@@ -228,7 +232,7 @@
 }
 
 /// Steps of a job that are due, unblocked and not done, and since when they could have begun for all that is recorded, in milliseconds since 1970.
-fn steps_in_turn(
+fn runnable_steps(
     id: JobId,
     job: &Job,
     wall_ms: u64,
@@ -246,8 +250,8 @@
                 occurrence,
                 step: position,
             };
-            let in_turn = !job.step(step)?.is_done() && job.is_unblocked(step);
-            in_turn.then_some((step, spec, ready_ms))
+            let is_runnable = !job.step(step)?.is_done() && job.is_unblocked(step);
+            is_runnable.then_some((step, spec, ready_ms))
         })
     })
 }
--- a/crates/bh-workload/src/plan/runtimes.rs
+++ b/crates/bh-workload/src/plan/runtimes.rs
@@ -6,25 +6,25 @@
 use std::sync::Arc;
 
 /// Runs of a kind after which what was learnt is trusted more than what was declared. Fewer say little of a spread.
-const TRUSTED_RUNS: f64 = 4.0;
+const MIN_TRUSTED_RUNS: f64 = 4.0;
 /// Expected time of a task of which nothing was declared or learnt, in milliseconds.
-const UNKNOWN_MS: u64 = 5_000;
+const DEFAULT_RUNTIME_MS: u64 = 5_000;
 /// Steps remembered at a time; older ones are forgotten first.
-const REMEMBERED_STEPS: usize = 2_048;
+const MAX_STEPS: usize = 2_048;
 
 /// What tasks are told apart by: queue and image.
 type Kind = (Arc<str>, Option<Arc<str>>);
 
 /// Mean and spread of logarithms: run times vary by factors, not by amounts.
 #[derive(Clone, Copy, Debug, Default)]
-struct Spread {
+struct LogStats {
     count: f64,
     mean: f64,
     squares: f64,
 }
 
-impl Spread {
-    fn note(&mut self, value: f64) {
+impl LogStats {
+    fn record(&mut self, value: f64) {
         self.count += 1.0;
         let before = value - self.mean;
         self.mean += before / self.count;
@@ -38,11 +38,11 @@
 
 /// What was seen of one kind.
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
+struct KindStats {
     /// Logarithm of the time in milliseconds.
-    time: Spread,
+    time: LogStats,
     /// Logarithm of the time against the declared one.
-    ratio: Spread,
+    ratio: LogStats,
 }
 
 /// Learnt run times.
@@ -52,29 +52,29 @@
 /// time says most about the others.
 #[derive(Clone, Debug, Default)]
 pub struct Runtimes {
-    kinds: BTreeMap<Kind, Seen>,
+    kinds: BTreeMap<Kind, KindStats>,
     /// Sum of the times in milliseconds, and their number.
     steps: BTreeMap<StepId, (u64, u64)>,
 }
 
 impl Runtimes {
     /// Notes that a task of `queue` took `took_ms`.
-    pub fn note(&mut self, queue: &Arc<str>, step: StepId, spec: &StepSpec, took_ms: u64) {
-        if self.steps.len() >= REMEMBERED_STEPS {
+    pub fn record(&mut self, queue: &Arc<str>, step: StepId, spec: &StepSpec, took_ms: u64) {
+        if self.steps.len() >= MAX_STEPS {
             self.steps.pop_first();
         }
-        let seen = self.steps.entry(step).or_default();
-        seen.0 += took_ms;
-        seen.1 += 1;
+        let stats = self.steps.entry(step).or_default();
+        stats.0 += took_ms;
+        stats.1 += 1;
         let time = as_f64(took_ms.max(1)).ln();
         let kind = self.kind(queue, spec);
-        kind.time.note(time);
+        kind.time.record(time);
         if spec.declared_ms > 0 {
-            kind.ratio.note(time - as_f64(spec.declared_ms).ln());
+            kind.ratio.record(time - as_f64(spec.declared_ms).ln());
         }
     }
 
-    fn kind(&mut self, queue: &Arc<str>, spec: &StepSpec) -> &mut Seen {
+    fn kind(&mut self, queue: &Arc<str>, spec: &StepSpec) -> &mut KindStats {
         self.kinds
             .entry((queue.clone(), spec.image.clone()))
             .or_default()
@@ -85,7 +85,7 @@
         let declared_ms = if spec.declared_ms > 0 {
             spec.declared_ms
         } else {
-            UNKNOWN_MS
+            DEFAULT_RUNTIME_MS
         };
         self.learnt_ms(queue, step, spec).unwrap_or(declared_ms)
     }
@@ -95,17 +95,17 @@
         if let Some((sum_ms, count)) = self.steps.get(&step) {
             return Some((sum_ms / count).max(1));
         }
-        let seen = self
+        let stats = self
             .kinds
             .get(&(queue.clone(), spec.image.clone()))
-            .filter(|seen| seen.time.count >= TRUSTED_RUNS)?;
+            .filter(|stats| stats.time.count >= MIN_TRUSTED_RUNS)?;
         let by_ratio = spec.declared_ms > 0
-            && seen.ratio.count >= TRUSTED_RUNS
-            && seen.ratio.variance() < seen.time.variance();
+            && stats.ratio.count >= MIN_TRUSTED_RUNS
+            && stats.ratio.variance() < stats.time.variance();
         let learnt_ms = if by_ratio {
-            as_f64(spec.declared_ms) * seen.ratio.mean.exp()
+            as_f64(spec.declared_ms) * stats.ratio.mean.exp()
         } else {
-            seen.time.mean.exp()
+            stats.time.mean.exp()
         };
         #[expect(
             clippy::cast_possible_truncation,
--- a/crates/bh-workload/src/plan/standing_since.rs
+++ b/crates/bh-workload/src/plan/stall_tracker.rs
@@ -15,13 +15,13 @@
 
 /// Time beside ample room after which a unit begins wherever it may, in milliseconds. Callers bear a second more; recording and ordering its runs
 /// takes part of that.
-const PATIENCE_MS: u64 = 2_000;
+const STALL_PATIENCE_MS: u64 = 2_000;
 /// Time for which the room may be short in between, in milliseconds. Where much else waits, runs that end and begin take it and leave it all the time.
-const SHORT_MS: u64 = 1_000;
+const GAP_TOLERANCE_MS: u64 = 1_000;
 
 /// A wait beside ample room, on the leader's clock in milliseconds.
 #[derive(Clone, Copy, Debug)]
-struct Stretch {
+struct StallPeriod {
     since_ms: u64,
     /// When the room was last ample.
     ample_ms: u64,
@@ -29,41 +29,41 @@
 
 /// Waits beside ample room: of steps of jobs of which nothing runs, and of services, which miss each of their tasks.
 #[derive(Clone, Debug, Default)]
-pub(super) struct StandingSince {
-    stretches: BTreeMap<StepId, Stretch>,
+pub(super) struct StallTracker {
+    periods: BTreeMap<StepId, StallPeriod>,
 }
 
-impl StandingSince {
+impl StallTracker {
     /// Whether a step has waited so for too long.
-    pub fn is_long(&self, now_ms: u64, step: StepId) -> bool {
-        let stretch = self.stretches.get(&step);
-        stretch.is_some_and(|stretch| now_ms >= stretch.since_ms + PATIENCE_MS)
+    pub fn is_stalled_long(&self, now_ms: u64, step: StepId) -> bool {
+        let period = self.periods.get(&step);
+        period.is_some_and(|period| now_ms >= period.since_ms + STALL_PATIENCE_MS)
     }
 
     /// Notes which units wait beside ample room once a pass has decided what begins. Those in `begun` do not wait, but one whose start comes to nothing
     /// goes on with its wait.
-    pub fn note(
+    pub fn record(
         &mut self,
         now_ms: u64,
-        (units, begun): (&[Unit], &BTreeSet<StepId>),
+        (units, started): (&[Unit], &BTreeSet<StepId>),
         rooms: &[Room],
         (workload, dispatcher): (&Workload, &Dispatcher),
     ) {
-        self.stretches
-            .retain(|_, stretch| now_ms < stretch.ample_ms + SHORT_MS);
+        self.periods
+            .retain(|_, period| now_ms < period.ample_ms + GAP_TOLERANCE_MS);
         let pools = pools(rooms);
         let waiting = units
             .iter()
-            .filter(|unit| !begun.contains(&unit.step) && is_still(unit, rooms, &pools));
+            .filter(|unit| !started.contains(&unit.step) && is_stalled(unit, rooms, &pools));
         let mut running = None;
         for unit in waiting {
             let running = running.get_or_insert_with(|| running_jobs(workload, dispatcher));
             if unit.spec.long_running || !running.contains(&unit.step.job) {
-                let fresh = Stretch {
+                let new_period = StallPeriod {
                     since_ms: now_ms,
                     ample_ms: now_ms,
                 };
-                self.stretches.entry(unit.step).or_insert(fresh).ample_ms = now_ms;
+                self.periods.entry(unit.step).or_insert(new_period).ample_ms = now_ms;
             }
         }
     }
@@ -93,7 +93,7 @@
 }
 
 /// Whether a unit waits beside ample room, whoever that is kept for. Of tasks that need not begin together one is enough.
-fn is_still(unit: &Unit, rooms: &[Room], pools: &Pools) -> bool {
+fn is_stalled(unit: &Unit, rooms: &[Room], pools: &Pools) -> bool {
     let (in_use, capacity) = pools.get(&unit.pool).copied().unwrap_or_default();
     let mut standing = Standing {
         runs: 0,
@@ -111,11 +111,11 @@
         return false;
     }
     let wanted = standing.tasks.saturating_mul(Standing::TIMES_PLACES);
-    let able = rooms
+    let eligible = rooms
         .iter()
-        .filter(|room| room.is_reachable() && room.suits(unit));
+        .filter(|room| room.is_reachable() && room.is_eligible(unit));
     standing.places = 0;
-    for room in able {
+    for room in eligible {
         let most = unit.spec.most_on_worker().min(wanted);
         standing.places += unit.needs.times_in(&room.free, most);
         if standing.places >= wanted {
--- a/crates/bh-workload/src/plan/unit.rs
+++ b/crates/bh-workload/src/plan/unit.rs
@@ -22,7 +22,7 @@
     /// Workers that crashed under one of its tasks, of the task with most of them.
     pub crashes: u32,
     /// Whether it waits for workers on which nothing has just begun: should one of them crash, it tells whether the unit's tasks are the cause.
-    pub apart: bool,
+    pub isolated: bool,
     /// Pool that runs it.
     pub pool: Arc<str>,
     /// What each task takes.
@@ -34,7 +34,7 @@
     /// Rank of its queue; 0 comes first.
     pub priority: u32,
     /// Whether the customer's guarantee covers it.
-    pub entitled: bool,
+    pub guaranteed: bool,
     /// When it could have begun, in milliseconds since 1970.
     pub ready_ms: u64,
     /// Until when its job is on time, in milliseconds since 1970.
@@ -42,23 +42,23 @@
     /// Expected run time of a task in milliseconds.
     pub expected_ms: u64,
     /// The same when the unit is spread over racks though it wants one.
-    pub spread_ms: u64,
+    pub expected_spread_ms: u64,
     /// Whether the objective leaves little time beside the work itself.
-    pub tight: bool,
+    pub tight_deadline: bool,
     /// Whether it is a gang that is on time if it begins now, and hardly if it waits on.
     pub last_chance: bool,
     /// Whether the job can still be done within its objective, as far as is known.
     pub on_time: bool,
     /// Whether it has waited beside ample room for so long that it begins wherever it may.
-    pub takes_any: bool,
+    pub relaxed: bool,
     /// Value of the whole job against its work, larger first.
-    pub density: f64,
+    pub value_density: f64,
 }
 
 impl Unit {
     /// Whether it may use workers that are kept for work of priority 0.
-    pub fn may_use_kept(&self) -> bool {
-        self.priority == 0 || self.last_chance || self.takes_any
+    pub fn may_use_headroom(&self) -> bool {
+        self.priority == 0 || self.last_chance || self.relaxed
     }
 
     /// Whether a worker has crashed under one of its tasks, which may be the cause.
--- a/crates/bh-workload/src/plan/unusable.rs
+++ b/crates/bh-workload/src/plan/unusable.rs
@@ -31,7 +31,7 @@
 
 impl Unusable {
     /// Whether it ends once the worker is heard or time has passed, without the worker being replaced or anything ordered by operators.
-    pub fn may_pass(self) -> bool {
+    pub fn is_temporary(self) -> bool {
         match self {
             Unusable::Draining | Unusable::Replaced | Unusable::Evacuated => false,
             Unusable::BesideSuspect
--- a/crates/bh-workload/src/plan/reserve.rs
+++ b/crates/bh-workload/src/plan/urgent_headroom.rs
@@ -9,29 +9,29 @@
 use std::sync::Arc;
 
 /// Weight of the newest arrival in the mean.
-const NEWEST: f64 = 0.1;
+const NEWEST_WEIGHT: f64 = 0.1;
 /// Time whose arrivals the kept room holds beside that of stops, in milliseconds: about what it takes until room comes free by itself, half of a
 /// short run.
-const COVERED_MS: u64 = 1_200;
+const COVERED_ARRIVALS_MS: u64 = 1_200;
 /// Longest stops that are added to that. Urgent jobs have a second or two to begin; where stopping others for them takes most of that, room must be
 /// free before they come.
 const COVERED_STOPS: u64 = 2;
 /// Jobs that the kept room holds at least: two or three at once come by chance, however rarely they come.
-const FEWEST_KEPT: f64 = 3.0;
+const MIN_JOBS: f64 = 3.0;
 /// Jobs whose room is taken to make up [`EXPECTED_PERCENT`] before the first ones have come.
-const EXPECTED_JOBS: f64 = 5.0;
+const INITIAL_JOBS: f64 = 5.0;
 /// Time between them until then, in milliseconds; about what is seen on the users' sites.
-const EXPECTED_GAP_MS: f64 = 400.0;
+const INITIAL_GAP_MS: f64 = 400.0;
 /// Time without an arrival after which no room is kept, in milliseconds.
-const QUIET_MS: u64 = 15_000;
+const ARRIVAL_TIMEOUT_MS: u64 = 15_000;
 /// Largest share of a pool that is kept free, in percent.
-const MOST_PERCENT: u64 = 30;
+const MAX_POOL_PERCENT: u64 = 30;
 /// Share of a pool that is kept before the first arrival, in percent; about what two of the users' sites come to keep.
-const EXPECTED_PERCENT: u64 = 20;
+const INITIAL_POOL_PERCENT: u64 = 20;
 /// Times as many accelerators as are still wanted that a worker may have open to be kept for them.
-const MOST_FOR_WANTED: u64 = 2;
+const MAX_OVERSHOOT_FACTOR: u64 = 2;
 /// Jobs remembered at a time.
-const REMEMBERED: usize = 1_024;
+const MAX_SEEN_JOBS: usize = 1_024;
 
 /// Arrivals of work of priority 0 in one pool.
 #[derive(Clone, Debug, Default)]
@@ -47,24 +47,24 @@
 impl Arrivals {
     /// Mean jobs that the kept room shall hold where a stop takes `stop_ms` at most. It follows how often they come: a fixed number is too much
     /// when they are rare, and far too little in a burst or in a large pool.
-    fn jobs_kept(&self, stop_ms: u64) -> f64 {
+    fn target_jobs(&self, stop_ms: u64) -> f64 {
         #[expect(clippy::cast_precision_loss, reason = "far below 2^53")]
-        let covered_ms = (COVERED_MS + COVERED_STOPS * stop_ms) as f64;
-        (covered_ms / self.gap_ms.max(1.0)).max(FEWEST_KEPT)
+        let covered_ms = (COVERED_ARRIVALS_MS + COVERED_STOPS * stop_ms) as f64;
+        (covered_ms / self.gap_ms.max(1.0)).max(MIN_JOBS)
     }
 }
 
 /// What has come lately.
 #[derive(Clone, Debug, Default)]
-pub struct Reserve {
-    seen: BTreeSet<JobId>,
+pub struct UrgentHeadroom {
+    seen_jobs: BTreeSet<JobId>,
     pools: BTreeMap<Arc<str>, Arrivals>,
 }
 
-impl Reserve {
+impl UrgentHeadroom {
     /// Expects work of priority 0 in the pools that have a queue for it and where none has come yet: what fills a pool at the start
     /// would have to be stopped for the first such jobs.
-    pub fn expect(&mut self, elected_ms: u64, workload: &Workload, rooms: &[Room]) {
+    pub fn assume_arrivals(&mut self, elected_ms: u64, workload: &Workload, rooms: &[Room]) {
         let Some(rules) = &workload.rules else {
             return;
         };
@@ -79,11 +79,11 @@
                 .map(|room| room.capacity.accelerators)
                 .sum();
             #[expect(clippy::cast_precision_loss, reason = "far below 2^53")]
-            let expected = (total * EXPECTED_PERCENT / 100) as f64;
+            let expected = (total * INITIAL_POOL_PERCENT / 100) as f64;
             if total > 0 {
                 let arrivals = Arrivals {
-                    accelerators: expected / EXPECTED_JOBS,
-                    gap_ms: EXPECTED_GAP_MS,
+                    accelerators: expected / INITIAL_JOBS,
+                    gap_ms: INITIAL_GAP_MS,
                     last_ms: elected_ms,
                 };
                 self.pools.insert(queue.pool.clone(), arrivals);
@@ -92,30 +92,32 @@
     }
 
     /// Learns from the units that wait.
-    pub fn note(&mut self, now_ms: u64, units: &[Unit]) {
-        if self.seen.len() > REMEMBERED {
-            self.seen.clear();
+    pub fn record_arrivals(&mut self, now_ms: u64, units: &[Unit]) {
+        if self.seen_jobs.len() > MAX_SEEN_JOBS {
+            self.seen_jobs.clear();
         }
         for unit in units.iter().filter(|unit| unit.priority == 0) {
-            if !self.seen.insert(unit.step.job) {
+            if !self.seen_jobs.insert(unit.step.job) {
                 continue;
             }
             #[expect(clippy::cast_precision_loss, reason = "far below 2^53")]
             let accelerators = (unit.needs.accelerators * unit.count()) as f64;
             let arrivals = self.pools.entry(unit.pool.clone()).or_default();
-            arrivals.accelerators += (accelerators - arrivals.accelerators) * NEWEST;
+            arrivals.accelerators += (accelerators - arrivals.accelerators) * NEWEST_WEIGHT;
             #[expect(clippy::cast_precision_loss, reason = "far below 2^53")]
-            let gap_ms = now_ms.saturating_sub(arrivals.last_ms).min(QUIET_MS) as f64;
-            arrivals.gap_ms += (gap_ms - arrivals.gap_ms) * NEWEST;
+            let gap_ms = now_ms
+                .saturating_sub(arrivals.last_ms)
+                .min(ARRIVAL_TIMEOUT_MS) as f64;
+            arrivals.gap_ms += (gap_ms - arrivals.gap_ms) * NEWEST_WEIGHT;
             arrivals.last_ms = now_ms;
         }
     }
 
     /// Marks the rooms that only work of priority 0 may use: those with most free, in the rack that has most free. A stop takes `stop_ms` at
     /// most.
-    pub fn keep(&self, (now_ms, stop_ms): (u64, u64), rooms: &mut [Room]) {
+    pub fn mark_rooms(&self, (now_ms, stop_ms): (u64, u64), rooms: &mut [Room]) {
         for (pool, arrivals) in &self.pools {
-            if now_ms >= arrivals.last_ms + QUIET_MS {
+            if now_ms >= arrivals.last_ms + ARRIVAL_TIMEOUT_MS {
                 continue;
             }
             let own = |room: &&Room| room.usable && room.pool == *pool;
@@ -129,21 +131,21 @@
                 clippy::cast_sign_loss,
                 reason = "a small positive number"
             )]
-            let wanted = (arrivals.accelerators * arrivals.jobs_kept(stop_ms)) as u64;
-            let mut left = wanted.min(total * MOST_PERCENT / 100);
+            let wanted = (arrivals.accelerators * arrivals.target_jobs(stop_ms)) as u64;
+            let mut left = wanted.min(total * MAX_POOL_PERCENT / 100);
             let mut racks: BTreeMap<Arc<str>, u64> = BTreeMap::new();
             for room in rooms.iter().filter(own) {
-                *racks.entry(room.rack.clone()).or_default() += room.open().accelerators;
+                *racks.entry(room.rack.clone()).or_default() += room.available().accelerators;
             }
             let mut order: Vec<usize> = (0..rooms.len())
-                .filter(|at| own(&&rooms[*at]) && rooms[*at].open().accelerators > 0)
+                .filter(|at| own(&&rooms[*at]) && rooms[*at].available().accelerators > 0)
                 .collect();
             order.sort_by_key(|at| {
                 let room = &rooms[*at];
                 let rack = racks.get(&room.rack).copied().unwrap_or(0);
-                let open = room.open().accelerators;
+                let open = room.available().accelerators;
                 (
-                    room.pace_percent,
+                    room.runtime_percent,
                     std::cmp::Reverse(rack),
                     std::cmp::Reverse(open),
                     *at,
@@ -151,10 +153,10 @@
             });
             for at in order {
                 // A whole worker for much less than it has would take more from others than it gives: in a pool of few workers none is kept.
-                let open = rooms[at].open().accelerators;
-                if open <= left * MOST_FOR_WANTED {
+                let open = rooms[at].available().accelerators;
+                if open <= left * MAX_OVERSHOOT_FACTOR {
                     left = left.saturating_sub(open);
-                    rooms[at].kept = true;
+                    rooms[at].urgent_only = true;
                 }
             }
         }
--- a/crates/bh-workload/src/plan/outlook.rs
+++ b/crates/bh-workload/src/plan/wait_explainer.rs
@@ -6,8 +6,8 @@
 use super::Unusable;
 use super::Wait;
 use super::place;
-use super::place::Unplaced;
-use super::planner::avoided;
+use super::place::PlacementFailure;
+use super::planner::avoided_workers;
 use crate::dispatch::Dispatcher;
 use crate::state::Workload;
 use bh_protocol::Incarnation;
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 
 /// Workers as they are now, with what the last pass held back.
-pub(super) struct Outlook<'a> {
+pub(super) struct WaitExplainer<'a> {
     planner: &'a Planner,
     dispatcher: &'a Dispatcher,
     now_ms: u64,
@@ -24,11 +24,11 @@
     /// All of them.
     rooms: Vec<Room>,
     /// The same without what was promised to waiting work.
-    unpromised: Vec<Room>,
+    after_reservations: Vec<Room>,
     /// The same without those kept for work of priority 0.
-    open: Vec<Room>,
+    after_headroom: Vec<Room>,
     /// Those that can't be used for a while, as if they could.
-    unusable: Vec<Room>,
+    recoverable: Vec<Room>,
 }
 
 /// Places for tasks of `unit` in `rooms`.
@@ -37,11 +37,11 @@
 }
 
 /// Places without which nothing of a unit begins: a gang needs all of them, of other tasks some begin if there are any.
-fn least(unit: &Unit) -> u64 {
+fn min_places(unit: &Unit) -> u64 {
     if unit.spec.gang { unit.count() } else { 1 }
 }
 
-impl<'a> Outlook<'a> {
+impl<'a> WaitExplainer<'a> {
     /// The workers at a time of the leader's clock and of the wall clock, both in milliseconds.
     pub fn new(
         planner: &'a Planner,
@@ -49,18 +49,18 @@
         workload: &Workload,
         dispatcher: &'a Dispatcher,
     ) -> Self {
-        let rooms = Room::of_all(workload, dispatcher, &planner.speeds, now_ms);
+        let rooms = Room::for_all_workers(workload, dispatcher, &planner.speeds, now_ms);
         let last = &planner.last_pass;
-        let mut unpromised = rooms.clone();
-        for room in &mut unpromised {
-            room.promised = last.promised.get(&room.worker).copied().unwrap_or_default();
+        let mut after_reservations = rooms.clone();
+        for room in &mut after_reservations {
+            room.reserved = last.reserved.get(&room.worker).copied().unwrap_or_default();
         }
-        let mut open = unpromised.clone();
-        for room in &mut open {
-            room.kept = last.kept.contains(&room.worker);
+        let mut after_headroom = after_reservations.clone();
+        for room in &mut after_headroom {
+            room.urgent_only = last.urgent_only.contains(&room.worker);
         }
-        let may_pass = |room: &&Room| room.unusable.is_some_and(Unusable::may_pass);
-        let unusable = rooms.iter().filter(may_pass).map(|room| Room {
+        let is_temporary = |room: &&Room| room.unusable.is_some_and(Unusable::is_temporary);
+        let recoverable = rooms.iter().filter(is_temporary).map(|room| Room {
             usable: true,
             ..room.clone()
         });
@@ -69,22 +69,26 @@
             dispatcher,
             now_ms,
             wall_ms,
-            unusable: unusable.collect(),
-            unpromised,
-            open,
+            recoverable: recoverable.collect(),
+            after_reservations,
+            after_headroom,
             rooms,
         }
     }
 
     /// Why a unit is not placed.
     pub fn wait(&self, unit: &Unit) -> Wait {
-        if let Some(claim) = self.planner.claims.get(&unit.step) {
-            let workers = claim.places.len();
+        if let Some(reservation) = self.planner.reservations.get(&unit.step) {
+            let workers = reservation.places.len();
             return Wait::RoomIsMade { workers };
         }
-        let allowed: Vec<&Room> = self.rooms.iter().filter(|room| room.admits(unit)).collect();
+        let allowed: Vec<&Room> = self
+            .rooms
+            .iter()
+            .filter(|room| room.accepts(unit))
+            .collect();
         if allowed.is_empty() {
-            return self.no_worker(unit);
+            return self.no_worker_wait(unit);
         }
         if allowed.iter().all(|room| !unit.needs.fits(&room.capacity)) {
             return Wait::NoWorkerLargeEnough;
@@ -94,39 +98,39 @@
         let free = places(unit, &self.rooms, &none);
         if free < tasks {
             return self
-                .asks_adviser(unit)
-                .or_else(|| self.unusable(unit, free))
+                .adviser_wait(unit)
+                .or_else(|| self.unusable_wait(unit, free))
                 .unwrap_or(Wait::NoRoom {
                     tasks,
                     places: free,
                 });
         }
-        let apart = Unit {
-            apart: self.planner.keeps_apart(self.now_ms, unit),
+        let isolated = Unit {
+            isolated: self.planner.isolates(self.now_ms, unit),
             ..unit.clone()
         };
-        if places(&apart, &self.rooms, &none) < least(unit) {
+        if places(&isolated, &self.rooms, &none) < min_places(unit) {
             let crashes = unit.crashes;
             return Wait::Apart { crashes };
         }
-        self.held_back(&apart)
+        self.withheld_wait(&isolated)
     }
 
     /// Why a unit for which there are places enough is not placed.
-    fn held_back(&self, unit: &Unit) -> Wait {
+    fn withheld_wait(&self, unit: &Unit) -> Wait {
         let last = &self.planner.last_pass;
         if last.started.contains(&unit.step) {
             return Wait::StartRecording;
         }
-        let least = least(unit);
-        let avoid = avoided(&self.planner.failed_on, unit, &self.rooms);
-        if places(unit, &self.rooms, &avoid) < least {
+        let min_places = min_places(unit);
+        let avoid = avoided_workers(&self.planner.failed_on, unit, &self.rooms);
+        if places(unit, &self.rooms, &avoid) < min_places {
             let workers = avoid.len();
             return Wait::WorkersAvoided { workers };
         }
         let waits_for_rack = if unit.spec.gang {
             let placed = place::place_gang(unit, &self.rooms, &avoid, self.wall_ms);
-            placed.is_err_and(|why| why == Unplaced::Waits)
+            placed.is_err_and(|why| why == PlacementFailure::WaitForRack)
         } else {
             place::place_tasks(unit, &self.rooms, &avoid, self.wall_ms).is_empty()
         };
@@ -134,33 +138,33 @@
             return Wait::Rack;
         }
         // What was promised to the unit itself is told as wanting a rack, or as a claim.
-        let left = places(unit, &self.unpromised, &avoid);
-        if left < least {
-            let to = last.promised_to.iter().map(ToString::to_string).collect();
+        let left = places(unit, &self.after_reservations, &avoid);
+        if left < min_places {
+            let to = last.reserved_for.iter().map(ToString::to_string).collect();
             return Wait::RoomPromised { places: left, to };
         }
-        let left = places(unit, &self.open, &avoid);
-        if left < least {
+        let left = places(unit, &self.after_headroom, &avoid);
+        if left < min_places {
             return Wait::RoomKept { places: left };
         }
-        if !last.looked_at.contains(&unit.step) {
+        if !last.considered.contains(&unit.step) {
             return Wait::NotPlanned;
         }
         Wait::Placing
     }
 
     /// Why no worker admits a unit.
-    fn no_worker(&self, unit: &Unit) -> Wait {
-        let suits = |room: &&Room| room.suits(unit);
+    fn no_worker_wait(&self, unit: &Unit) -> Wait {
+        let is_eligible = |room: &&Room| room.is_eligible(unit);
         let evacuated = self.rooms.iter().filter(|room| room.evacuated);
         let data_centres: BTreeSet<Arc<str>> = evacuated
-            .filter(suits)
+            .filter(is_eligible)
             .map(|room| room.data_centre.clone())
             .collect();
-        if let Some(wait) = self.asks_adviser(unit) {
+        if let Some(wait) = self.adviser_wait(unit) {
             return wait;
         }
-        if let Some(wait) = self.unusable(unit, 0) {
+        if let Some(wait) = self.unusable_wait(unit, 0) {
             return wait;
         }
         if data_centres.is_empty() {
@@ -170,7 +174,7 @@
     }
 
     /// Whether the unit would have places on workers that its adviser was not asked about, or whose permission has run out.
-    fn asks_adviser(&self, unit: &Unit) -> Option<Wait> {
+    fn adviser_wait(&self, unit: &Unit) -> Option<Wait> {
         let advice = unit.advised.as_ref()?;
         let anywhere = Unit {
             permitted: None,
@@ -179,7 +183,7 @@
         if places(&anywhere, &self.rooms, &BTreeSet::new()) < unit.count() {
             return None;
         }
-        let candidates = self.rooms.iter().filter(|room| room.admits(&anywhere));
+        let candidates = self.rooms.iter().filter(|room| room.accepts(&anywhere));
         let candidates = candidates.map(|room| room.worker.clone());
         self.dispatcher
             .permissions
@@ -188,10 +192,10 @@
     }
 
     /// Whether the unit would have places enough if the workers that can't be used could be; `free` are those on the others.
-    fn unusable(&self, unit: &Unit, free: u64) -> Option<Wait> {
+    fn unusable_wait(&self, unit: &Unit, free: u64) -> Option<Wait> {
         let none = BTreeSet::new();
         let mut by_cause: BTreeMap<Unusable, u64> = BTreeMap::new();
-        for room in &self.unusable {
+        for room in &self.recoverable {
             if let Some(why) = room.unusable {
                 *by_cause.entry(why).or_default() += room.places(unit, &none);
             }
