--- a/crates/bh-workload/src/plan/room.rs
+++ b/crates/bh-workload/src/plan/room.rs
@@ -166,7 +166,7 @@
             urgent_only: false,
             has_recent_start: recent.any,
             cold: view.is_some_and(|target| now_ms < target.cold_until_ms),
-            runtime_percent: speeds.runtime_percent(&worker.info.data_centre),
+            runtime_percent: speeds.data_centre_percent(&worker.info.data_centre),
             usable: unusable.is_none(),
             unusable,
             set_aside,
--- a/crates/bh-workload/src/plan/speeds.rs
+++ b/crates/bh-workload/src/plan/speeds.rs
@@ -85,7 +85,7 @@
     }
 
     /// How many times as long as in the fastest data centre runs take in this one, in percent.
-    pub fn runtime_percent(&self, data_centre: &str) -> u64 {
+    pub fn data_centre_percent(&self, data_centre: &str) -> u64 {
         let fastest = self
             .data_centres
             .values()
