--- a/crates/bh-control/tests/carriers.rs
+++ b/crates/bh-control/tests/carriers.rs
@@ -9,7 +9,7 @@
 use bh_control::core::are_shared;
 use bh_control::core::carrier_of;
 use bh_protocol::Incarnation;
-use bh_workload::job::Needs;
+use bh_workload::job::Resources;
 use bh_workload::state::WorkerInfo;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -35,7 +35,7 @@
         data_centre: Arc::from(format!("dc{}", number % u16::from(DATA_CENTRES))),
         rack: Arc::from("rack"),
         labels: Vec::new(),
-        capacity: Needs::default(),
+        capacity: Resources::default(),
         sequence: 0,
     }
 }
--- a/crates/bh-control/tests/standstills.rs
+++ b/crates/bh-control/tests/standstills.rs
@@ -11,7 +11,7 @@
 use bh_protocol::Incarnation;
 use bh_workload::dispatch::RunPhase;
 use bh_workload::job::JobId;
-use bh_workload::job::Needs;
+use bh_workload::job::Resources;
 use bh_workload::job::StepId;
 use bh_workload::plan::Holder;
 use bh_workload::plan::RunnableStep;
@@ -46,10 +46,10 @@
             runs: 0,
             tasks: 2,
             places: 4,
-            in_use: Needs::default(),
-            capacity: Needs {
+            in_use: Resources::default(),
+            capacity: Resources {
                 cpu_millis: 8,
-                ..Needs::default()
+                ..Resources::default()
             },
         },
     }
--- a/crates/bh-control/tests/unheard.rs
+++ b/crates/bh-control/tests/unheard.rs
@@ -10,7 +10,7 @@
 use bh_protocol::Incarnation;
 use bh_workload::dispatch::Dispatcher;
 use bh_workload::dispatch::Timing;
-use bh_workload::job::Needs;
+use bh_workload::job::Resources;
 use bh_workload::state::Command;
 use bh_workload::state::WorkerChange;
 use bh_workload::state::WorkerInfo;
@@ -28,9 +28,9 @@
         data_centre: Arc::from("dc"),
         rack: Arc::from("rack"),
         labels: Vec::new(),
-        capacity: Needs {
+        capacity: Resources {
             accelerators,
-            ..Needs::default()
+            ..Resources::default()
         },
         sequence: 7,
     };
--- a/crates/bh-workload/benches/cost/main.rs
+++ b/crates/bh-workload/benches/cost/main.rs
@@ -15,7 +15,7 @@
 use bh_workload::dispatch::OrderBody;
 use bh_workload::dispatch::Report;
 use bh_workload::dispatch::Running;
-use bh_workload::job::Needs;
+use bh_workload::job::Resources;
 use bh_workload::job::StepSpec;
 use bh_workload::state::Workload;
 use std::time::Instant;
@@ -40,7 +40,7 @@
     ][kind];
     StepSpec {
         count,
-        needs: Needs {
+        needs: Resources {
             cpu_millis,
             memory_mb: 1_000,
             accelerators: accelerators + u64::from(number.is_multiple_of(5) && kind < 2),
--- a/crates/bh-workload/benches/days/load.rs
+++ b/crates/bh-workload/benches/days/load.rs
@@ -1,7 +1,7 @@
 //! Arrivals in the shapes of the two users' deployments.
 
 use bh_testkit::Random;
-use bh_workload::job::Needs;
+use bh_workload::job::Resources;
 use bh_workload::job::StepSpec;
 
 /// One kind of work.
@@ -37,7 +37,7 @@
     pub name: &'static str,
     pub workers: usize,
     pub per_rack: usize,
-    pub capacity: Needs,
+    pub capacity: Resources,
     /// Time that a stop takes.
     pub stop_ms: u64,
     /// Time that a task takes to go on from its checkpoint.
@@ -62,7 +62,7 @@
     name: "kaupluse",
     workers: 48,
     per_rack: 8,
-    capacity: Needs {
+    capacity: Resources {
         cpu_millis: 128_000,
         memory_mb: 512_000,
         accelerators: 8,
@@ -80,7 +80,7 @@
 pub const MANIZALES: Shape = Shape {
     name: "manizales",
     per_rack: 6,
-    capacity: Needs {
+    capacity: Resources {
         cpu_millis: 32_000,
         memory_mb: 128_000,
         accelerators: 8,
@@ -167,7 +167,7 @@
     let tasks = (-share(random).ln() * kind.mean_tasks).clamp(1.0, kind.most_tasks);
     StepSpec {
         count: tasks.round() as u32,
-        needs: Needs {
+        needs: Resources {
             cpu_millis: kind.cpu_millis,
             memory_mb: kind.memory_mb,
             accelerators: kind.accelerators[random.index(kind.accelerators.len())],
--- a/crates/bh-workload/benches/days/policy.rs
+++ b/crates/bh-workload/benches/days/policy.rs
@@ -66,7 +66,7 @@
             })
             .collect();
         jobs.sort_by_key(|(rank, step, job)| (*rank, job.accepted_ms, *step));
-        let mut free: BTreeMap<Incarnation, bh_workload::job::Needs> = workload
+        let mut free: BTreeMap<Incarnation, bh_workload::job::Resources> = workload
             .workers()
             .map(|worker| (worker.info.id.clone(), worker.free()))
             .collect();
@@ -91,7 +91,7 @@
 fn first_fit(
     step: StepId,
     job: &Job,
-    free: &mut BTreeMap<Incarnation, bh_workload::job::Needs>,
+    free: &mut BTreeMap<Incarnation, bh_workload::job::Resources>,
     starts: &mut Vec<Start>,
 ) {
     let (Some(progress), spec) = (job.step(step), &job.spec.steps[0]) else {
@@ -108,7 +108,8 @@
     let mut left = free.clone();
     let mut placed = Vec::new();
     for (task, index) in waiting {
-        let Some((worker, room)) = left.iter_mut().find(|(_, room)| spec.needs.fits(room)) else {
+        let Some((worker, room)) = left.iter_mut().find(|(_, room)| spec.needs.fits_in(room))
+        else {
             break;
         };
         room.subtract(&spec.needs);
--- a/crates/bh-workload/src/dispatch/worker_turn.rs
+++ b/crates/bh-workload/src/dispatch/worker_turn.rs
@@ -13,7 +13,7 @@
 use super::order::RETRY_MS;
 use super::pacing;
 use super::pacing::SHARED_LOOK_MS;
-use crate::job::Needs;
+use crate::job::Resources;
 use crate::job::RunId;
 use crate::job::StepId;
 use crate::state::End;
@@ -274,7 +274,7 @@
     /// killed.
     fn too_much(&self, target: &Target) -> BTreeSet<RunId> {
         let mut too_much = BTreeSet::new();
-        if self.worker.excess() == Needs::default() {
+        if self.worker.excess() == Resources::default() {
             return too_much;
         }
         let is_confirmed = |run: &RunId| target.runs.get(run).is_some_and(RunWatch::is_confirmed);
@@ -288,7 +288,7 @@
             if is_confirmed(run) {
                 continue;
             }
-            if needs.fits(&free) {
+            if needs.fits_in(&free) {
                 free.subtract(needs);
             } else {
                 too_much.insert(*run);
--- a/crates/bh-workload/src/job/mod.rs
+++ b/crates/bh-workload/src/job/mod.rs
@@ -2,7 +2,7 @@
 
 mod job_id;
 mod job_spec;
-mod needs;
+mod resources;
 mod step_spec;
 mod task_id;
 
@@ -12,8 +12,8 @@
 pub use job_spec::MAX_STEPS;
 pub use job_spec::MAX_TASKS;
 pub use job_spec::Schedule;
-pub use needs::CORES_PER_ACCELERATOR;
-pub use needs::Needs;
+pub use resources::CORES_PER_ACCELERATOR;
+pub use resources::Resources;
 pub use step_spec::StepSpec;
 pub use task_id::RunId;
 pub use task_id::StepId;
--- a/crates/bh-workload/src/job/needs.rs
+++ b/crates/bh-workload/src/job/resources.rs
@@ -5,7 +5,7 @@
 
 /// Processors, memory and accelerators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Needs {
+pub struct Resources {
     /// Thousandths of a processor core.
     pub cpu_millis: u64,
     /// Memory in MiB.
@@ -14,16 +14,16 @@
     pub accelerators: u64,
 }
 
-impl Needs {
+impl Resources {
     /// Whether all of this fits into `room`.
-    pub fn fits(&self, room: &Needs) -> bool {
+    pub fn fits_in(&self, room: &Resources) -> bool {
         self.cpu_millis <= room.cpu_millis
             && self.memory_mb <= room.memory_mb
             && self.accelerators <= room.accelerators
     }
 
     /// How many of this fit into `room` side by side, at most `most`.
-    pub fn times_in(&self, room: &Needs, most: u64) -> u64 {
+    pub fn count_in(&self, room: &Resources, most: u64) -> u64 {
         let times = |need: u64, have: u64| have.checked_div(need).unwrap_or(most);
         times(self.cpu_millis, room.cpu_millis)
             .min(times(self.memory_mb, room.memory_mb))
@@ -32,14 +32,14 @@
     }
 
     /// Takes `other` away, down to nothing.
-    pub fn subtract(&mut self, other: &Needs) {
+    pub fn subtract(&mut self, other: &Resources) {
         self.cpu_millis = self.cpu_millis.saturating_sub(other.cpu_millis);
         self.memory_mb = self.memory_mb.saturating_sub(other.memory_mb);
         self.accelerators = self.accelerators.saturating_sub(other.accelerators);
     }
 
     /// Adds `other`.
-    pub fn add(&mut self, other: &Needs) {
+    pub fn add(&mut self, other: &Resources) {
         self.cpu_millis += other.cpu_millis;
         self.memory_mb += other.memory_mb;
         self.accelerators += other.accelerators;
--- a/crates/bh-workload/src/job/step_spec.rs
+++ b/crates/bh-workload/src/job/step_spec.rs
@@ -1,6 +1,6 @@
 //! What a caller asks of one step.
 
-use super::Needs;
+use super::Resources;
 use serde::Deserialize;
 use serde::Serialize;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
     /// Number of tasks.
     pub count: u32,
     /// What each task takes.
-    pub needs: Needs,
+    pub needs: Resources,
     /// Declared run time of a task in milliseconds; 0 when not declared. Often far off.
     pub declared_ms: u64,
     /// Earlier steps that must be done first.
@@ -50,8 +50,8 @@
     }
 
     /// What a task takes of a worker's capacity: processors that others leave idle are not taken from anyone.
-    pub fn reserved(&self) -> Needs {
-        Needs {
+    pub fn reserved(&self) -> Resources {
+        Resources {
             cpu_millis: if self.fills_idle {
                 0
             } else {
--- a/crates/bh-workload/src/plan/failed_searches.rs
+++ b/crates/bh-workload/src/plan/failed_searches.rs
@@ -1,7 +1,7 @@
 //! What was looked for in vain during a pass.
 
 use super::Unit;
-use crate::job::Needs;
+use crate::job::Resources;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 
 /// An ask for room: so many tasks that need so much each.
 struct Request {
-    needs: Needs,
+    needs: Resources,
     count: u64,
 }
 
@@ -43,7 +43,7 @@
         self.requests.get(&class).is_some_and(|requests| {
             requests
                 .iter()
-                .any(|request| request.count <= count && request.needs.fits(&unit.needs))
+                .any(|request| request.count <= count && request.needs.fits_in(&unit.needs))
         })
     }
 
@@ -56,7 +56,7 @@
         }
         let needs = unit.needs;
         let requests = self.requests.entry(class_of(class, unit)).or_default();
-        requests.retain(|request| !(count <= request.count && needs.fits(&request.needs)));
+        requests.retain(|request| !(count <= request.count && needs.fits_in(&request.needs)));
         if requests.len() < MAX_REQUESTS {
             requests.push(Request { needs, count });
         }
--- a/crates/bh-workload/src/plan/hold_for_gang.rs
+++ b/crates/bh-workload/src/plan/hold_for_gang.rs
@@ -3,7 +3,7 @@
 use super::Unit;
 use super::pass::Pass;
 use super::place;
-use crate::job::Needs;
+use crate::job::Resources;
 use bh_protocol::Incarnation;
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -50,13 +50,18 @@
     }
 
     /// When each place for a task of `unit` on a worker is expected to be free, on the leader's clock in milliseconds.
-    fn future_places(&self, unit: &Unit, at: usize, ends: &[(u64, Needs)]) -> Vec<(u64, usize)> {
+    fn future_places(
+        &self,
+        unit: &Unit,
+        at: usize,
+        ends: &[(u64, Resources)],
+    ) -> Vec<(u64, usize)> {
         let room = &self.rooms[at];
         let most = room.max_tasks(unit);
         let mut places: Vec<(u64, usize)> = Vec::new();
-        let mut gained = Needs::default();
-        let mut add_places = |free_ms: u64, gained: &Needs| {
-            let count = unit.needs.times_in(&room.available_after(gained), most);
+        let mut gained = Resources::default();
+        let mut add_places = |free_ms: u64, gained: &Resources| {
+            let count = unit.needs.count_in(&room.available_after(gained), most);
             while u64::try_from(places.len()).is_ok_and(|known| known < count) {
                 places.push((free_ms, at));
             }
@@ -70,23 +75,23 @@
     }
 
     /// When each run of the worker at `at` is expected to end, the first one first, and what it takes. Looked up once for a pass.
-    fn cached_ends(&mut self, at: usize) -> Rc<[(u64, Needs)]> {
+    fn cached_ends(&mut self, at: usize) -> Rc<[(u64, Resources)]> {
         if let Some(ends) = self.run_ends.get(&at) {
             return ends.clone();
         }
-        let ends: Rc<[(u64, Needs)]> = self.expected_ends(&self.rooms[at].worker).into();
+        let ends: Rc<[(u64, Resources)]> = self.expected_ends(&self.rooms[at].worker).into();
         self.run_ends.insert(at, ends.clone());
         ends
     }
 
     /// Services are left out: they go on until they are cancelled.
-    fn expected_ends(&self, worker: &Incarnation) -> Vec<(u64, Needs)> {
+    fn expected_ends(&self, worker: &Incarnation) -> Vec<(u64, Resources)> {
         let (Some(recorded), Some(target)) =
             (self.workload.worker(worker), self.dispatcher.view(worker))
         else {
             return Vec::new();
         };
-        let mut ends: Vec<(u64, Needs)> = recorded
+        let mut ends: Vec<(u64, Resources)> = recorded
             .runs
             .iter()
             .filter_map(|(run, needs)| {
--- a/crates/bh-workload/src/plan/last_pass.rs
+++ b/crates/bh-workload/src/plan/last_pass.rs
@@ -3,7 +3,7 @@
 use super::Room;
 use super::Unit;
 use super::collect;
-use crate::job::Needs;
+use crate::job::Resources;
 use crate::job::StepId;
 use crate::state::Start;
 use bh_protocol::Incarnation;
@@ -18,7 +18,7 @@
     /// Steps of which it planned starts.
     pub started: BTreeSet<StepId>,
     /// What it promised to work that does not begin yet, or kept for gangs, by worker.
-    pub reserved: BTreeMap<Incarnation, Needs>,
+    pub reserved: BTreeMap<Incarnation, Resources>,
     /// Steps to which it promised that, the first in its order.
     pub reserved_for: Vec<StepId>,
     /// Workers that it kept for work of priority 0.
@@ -51,7 +51,7 @@
                 .take(MAX_REPORTED_STEPS)
                 .collect(),
             reserved: reserved
-                .filter(|(_, reserved)| *reserved != Needs::default())
+                .filter(|(_, reserved)| *reserved != Resources::default())
                 .collect(),
             urgent_only: urgent_only.map(|room| room.worker.clone()).collect(),
         }
--- a/crates/bh-workload/src/plan/pass.rs
+++ b/crates/bh-workload/src/plan/pass.rs
@@ -14,7 +14,7 @@
 use super::reservation::Reservation;
 use crate::dispatch::Dispatcher;
 use crate::job::JobId;
-use crate::job::Needs;
+use crate::job::Resources;
 use crate::job::RunId;
 use crate::job::StepId;
 use crate::job::TaskId;
@@ -40,7 +40,7 @@
     /// Recorded runs, once somebody asks for room that they take.
     pub(super) preemption_candidates: Option<PreemptionCandidates>,
     /// When runs of each worker are expected to end, once somebody asks.
-    pub(super) run_ends: BTreeMap<usize, Rc<[(u64, Needs)]>>,
+    pub(super) run_ends: BTreeMap<usize, Rc<[(u64, Resources)]>>,
     /// What finds no free room; told apart by whether it may use kept room.
     pub(super) failed_placements: FailedSearches<bool>,
     /// What finds no room even if all were stopped that give way to it; told apart by guarantee, service and priority.
@@ -132,7 +132,7 @@
             .iter()
             .map(|(worker, count)| {
                 let at = *self.index.get(worker)?;
-                let fits = unit.needs.times_in(&self.rooms[at].free, *count) >= *count;
+                let fits = unit.needs.count_in(&self.rooms[at].free, *count) >= *count;
                 fits.then_some((at, *count))
             })
             .collect()
--- a/crates/bh-workload/src/plan/place.rs
+++ b/crates/bh-workload/src/plan/place.rs
@@ -2,7 +2,7 @@
 
 use super::Room;
 use super::Unit;
-use crate::job::Needs;
+use crate::job::Resources;
 use bh_protocol::Incarnation;
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -121,7 +121,7 @@
         .filter(|room| room.accepts(unit) && is_preferred_rack(unit, &room.rack));
     for room in eligible {
         *capacity.entry(&room.rack).or_default() +=
-            unit.needs.times_in(&room.capacity, room.max_tasks(unit));
+            unit.needs.count_in(&room.capacity, room.max_tasks(unit));
     }
     let min_places = if unit.spec.gang { unit.count() } else { 1 };
     capacity
@@ -175,7 +175,7 @@
             free_accelerators: room.available().accelerators,
             rank: rank(unit, room),
             last_resort: room.cold || room.set_aside,
-            held_for_gangs: room.held_for_gangs != Needs::default(),
+            held_for_gangs: room.held_for_gangs != Resources::default(),
         })
         .filter(|candidate| candidate.places > 0)
         .collect();
--- a/crates/bh-workload/src/plan/planner.rs
+++ b/crates/bh-workload/src/plan/planner.rs
@@ -333,7 +333,7 @@
         .iter()
         .filter(|room| room.accepts(unit) && !avoid.contains(&room.worker));
     let places: u64 = others
-        .map(|room| unit.needs.times_in(&room.capacity, room.max_tasks(unit)))
+        .map(|room| unit.needs.count_in(&room.capacity, room.max_tasks(unit)))
         .fold(0, u64::saturating_add);
     let min_places = if unit.spec.gang { unit.count() } else { 1 };
     if places >= min_places {
--- a/crates/bh-workload/src/plan/preemption.rs
+++ b/crates/bh-workload/src/plan/preemption.rs
@@ -4,7 +4,7 @@
 use super::Room;
 use super::Unit;
 use super::place;
-use crate::job::Needs;
+use crate::job::Resources;
 use crate::job::RunId;
 use crate::job::TaskId;
 use crate::state::TaskState;
@@ -21,7 +21,7 @@
     /// Position of its worker among the rooms.
     pub room: usize,
     /// What it takes.
-    pub needs: Needs,
+    pub needs: Resources,
     /// Work lost if it is stopped, in thousandths of core-milliseconds; 0 when it is being stopped already.
     pub loss: u64,
     /// Whether it is being stopped already.
@@ -159,15 +159,15 @@
     candidates: &[&PreemptionCandidate],
 ) -> Option<Offer> {
     let most = room.max_tasks(unit);
-    let mut gained = Needs::default();
-    let (mut places, mut loss) = (unit.needs.times_in(&room.available(), most), 0);
+    let mut gained = Resources::default();
+    let (mut places, mut loss) = (unit.needs.count_in(&room.available(), most), 0);
     for candidate in candidates {
         if places >= most {
             break;
         }
         gained.add(&candidate.needs);
         loss += candidate.loss;
-        places = unit.needs.times_in(&room.available_after(&gained), most);
+        places = unit.needs.count_in(&room.available_after(&gained), most);
     }
     (places > 0).then_some(Offer {
         room: index,
@@ -209,7 +209,7 @@
     let mut stopped: BTreeSet<RunId> = BTreeSet::new();
     for (index, count) in placement {
         let own = &by_room[*index];
-        let mut gained = Needs::default();
+        let mut gained = Resources::default();
         for candidate in own {
             if candidate.stopping || stopped.contains(&candidate.run) {
                 gained.add(&candidate.needs);
@@ -218,7 +218,7 @@
         for candidate in own {
             let places = unit
                 .needs
-                .times_in(&rooms[*index].available_after(&gained), *count);
+                .count_in(&rooms[*index].available_after(&gained), *count);
             if places >= *count {
                 break;
             }
--- a/crates/bh-workload/src/plan/room.rs
+++ b/crates/bh-workload/src/plan/room.rs
@@ -7,7 +7,7 @@
 use crate::dispatch::RunWatch;
 use crate::dispatch::Target;
 use crate::dispatch::apart_ms;
-use crate::job::Needs;
+use crate::job::Resources;
 use crate::job::StepId;
 use crate::state::Task;
 use crate::state::Worker;
@@ -59,15 +59,15 @@
     /// Its labels.
     pub labels: Vec<Arc<str>>,
     /// What it has in all.
-    pub capacity: Needs,
+    pub capacity: Resources,
     /// What no recorded run takes.
-    pub free: Needs,
+    pub free: Resources,
     /// What recorded runs take beyond what it has, since it has shrunk.
-    pub excess: Needs,
+    pub excess: Resources,
     /// What is promised to work that waits for it, free already or not.
-    pub reserved: Needs,
+    pub reserved: Resources,
     /// What is kept for gangs that do not fit yet, free already or not.
-    pub held_for_gangs: Needs,
+    pub held_for_gangs: Resources,
     /// Recorded runs by step.
     pub runs: BTreeMap<StepId, u64>,
     /// Times as long as in the fastest data centre that runs take here, in percent.
@@ -159,8 +159,8 @@
             capacity: worker.info.capacity,
             free: worker.free(),
             excess: worker.excess(),
-            reserved: Needs::default(),
-            held_for_gangs: Needs::default(),
+            reserved: Resources::default(),
+            held_for_gangs: Resources::default(),
             runs,
             fill_percent: view.map_or(100, |target| target.filling.percent()),
             urgent_only: false,
@@ -213,12 +213,12 @@
     }
 
     /// What is free, and neither promised nor kept.
-    pub fn available(&self) -> Needs {
-        self.available_after(&Needs::default())
+    pub fn available(&self) -> Resources {
+        self.available_after(&Resources::default())
     }
 
     /// What would be open if runs that take `more` were gone as well. On a worker that has shrunk the first of them leave no room.
-    pub fn available_after(&self, more: &Needs) -> Needs {
+    pub fn available_after(&self, more: &Resources) -> Resources {
         let mut gained = *more;
         gained.subtract(&self.excess);
         let mut available = self.free;
@@ -229,7 +229,7 @@
     }
 
     /// What is open to a unit.
-    fn available_to(&self, unit: &Unit) -> Needs {
+    fn available_to(&self, unit: &Unit) -> Resources {
         if !unit.relaxed {
             return self.available();
         }
@@ -269,6 +269,6 @@
             return 0;
         }
         unit.needs
-            .times_in(&self.available_to(unit), self.max_tasks(unit))
+            .count_in(&self.available_to(unit), self.max_tasks(unit))
     }
 }
--- a/crates/bh-workload/src/plan/runnable.rs
+++ b/crates/bh-workload/src/plan/runnable.rs
@@ -13,7 +13,7 @@
 use crate::dispatch::Dispatcher;
 use crate::dispatch::RunPhase;
 use crate::job::JobId;
-use crate::job::Needs;
+use crate::job::Resources;
 use crate::job::RunId;
 use crate::job::StepId;
 use crate::job::StepSpec;
@@ -69,9 +69,9 @@
     /// Runs at work, by job.
     running: BTreeMap<JobId, u64>,
     /// Workers that may stay, what they have free beside the runs that take room, and runs there by step.
-    free: Vec<(&'a Worker, Needs)>,
+    free: Vec<(&'a Worker, Resources)>,
     /// In use and in all, by pool.
-    pools: BTreeMap<Arc<str>, (Needs, Needs)>,
+    pools: BTreeMap<Arc<str>, (Resources, Resources)>,
 }
 
 impl<'a> Fleet<'a> {
@@ -84,7 +84,7 @@
         };
         for worker in workload.workers() {
             let id = &worker.info.id;
-            let mut used = Needs::default();
+            let mut used = Resources::default();
             for (run, needs) in &worker.runs {
                 let (phase, since_ms) = RunPhase::of(now_ms, workload, dispatcher, (id, *run));
                 if phase.takes_room() {
@@ -126,7 +126,7 @@
             let is_eligible =
                 worker.info.pool == *pool && label.is_none_or(|label| labels.contains(label));
             if is_eligible {
-                places += needs.times_in(free, spec.most_on_worker().min(enough));
+                places += needs.count_in(free, spec.most_on_worker().min(enough));
             }
             if places >= enough {
                 break;
--- a/crates/bh-workload/src/plan/stall_tracker.rs
+++ b/crates/bh-workload/src/plan/stall_tracker.rs
@@ -5,7 +5,7 @@
 use super::Unit;
 use crate::dispatch::Dispatcher;
 use crate::job::JobId;
-use crate::job::Needs;
+use crate::job::Resources;
 use crate::job::StepId;
 use crate::state::Worker;
 use crate::state::Workload;
@@ -78,7 +78,7 @@
 }
 
 /// What is in use of each pool, and what it has.
-type Pools = BTreeMap<Arc<str>, (Needs, Needs)>;
+type Pools = BTreeMap<Arc<str>, (Resources, Resources)>;
 
 fn pools(rooms: &[Room]) -> Pools {
     let mut pools = Pools::new();
@@ -104,7 +104,7 @@
     };
     // A service is missed however full the pool is.
     if unit.spec.long_running {
-        standing.in_use = Needs::default();
+        standing.in_use = Resources::default();
     }
     // Most pools are too busy for any of their work to be looked up.
     if !standing.is_still() {
@@ -117,7 +117,7 @@
     standing.places = 0;
     for room in eligible {
         let most = unit.spec.most_on_worker().min(wanted);
-        standing.places += unit.needs.times_in(&room.free, most);
+        standing.places += unit.needs.count_in(&room.free, most);
         if standing.places >= wanted {
             break;
         }
--- a/crates/bh-workload/src/plan/standing.rs
+++ b/crates/bh-workload/src/plan/standing.rs
@@ -1,6 +1,6 @@
 //! When work stands still though it could run.
 
-use crate::job::Needs;
+use crate::job::Resources;
 
 /// One piece of work whose turn has come, and the capacity of those that may run it. The figures may be the leader's or the workers' own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -12,9 +12,9 @@
     /// Places for such tasks that no run at work takes.
     pub places: u64,
     /// What runs at work take of the pool.
-    pub in_use: Needs,
+    pub in_use: Resources,
     /// What the pool has.
-    pub capacity: Needs,
+    pub capacity: Resources,
 }
 
 impl Standing {
--- a/crates/bh-workload/src/plan/unit.rs
+++ b/crates/bh-workload/src/plan/unit.rs
@@ -1,6 +1,6 @@
 //! What is placed together: a gang, or one task.
 
-use crate::job::Needs;
+use crate::job::Resources;
 use crate::job::StepId;
 use crate::job::StepSpec;
 use crate::rules::Advice;
@@ -26,7 +26,7 @@
     /// Pool that runs it.
     pub pool: Arc<str>,
     /// What each task takes.
-    pub needs: Needs,
+    pub needs: Resources,
     /// The adviser that must be asked, if any.
     pub advised: Option<Advice>,
     /// Workers that it allows; `None` when there is none.
--- a/crates/bh-workload/src/plan/wait_explainer.rs
+++ b/crates/bh-workload/src/plan/wait_explainer.rs
@@ -90,7 +90,10 @@
         if allowed.is_empty() {
             return self.no_worker_wait(unit);
         }
-        if allowed.iter().all(|room| !unit.needs.fits(&room.capacity)) {
+        if allowed
+            .iter()
+            .all(|room| !unit.needs.fits_in(&room.capacity))
+        {
             return Wait::NoWorkerLargeEnough;
         }
         let none = BTreeSet::new();
--- a/crates/bh-workload/src/state/start.rs
+++ b/crates/bh-workload/src/state/start.rs
@@ -4,7 +4,7 @@
 use super::Start;
 use super::TaskState;
 use super::Workload;
-use crate::job::Needs;
+use crate::job::Resources;
 use crate::job::StepId;
 use bh_protocol::Incarnation;
 use std::collections::BTreeMap;
@@ -104,10 +104,10 @@
             return false;
         };
         let most = spec.most_on_worker().saturating_sub(worker.runs_of(step));
-        count <= most && spec.reserved().times_in(&worker.free(), count) >= count
+        count <= most && spec.reserved().count_in(&worker.free(), count) >= count
     }
 
-    fn reserved(&self, step: StepId) -> Needs {
+    fn reserved(&self, step: StepId) -> Resources {
         self.step_spec(step)
             .map(crate::job::StepSpec::reserved)
             .unwrap_or_default()
--- a/crates/bh-workload/src/state/worker.rs
+++ b/crates/bh-workload/src/state/worker.rs
@@ -1,6 +1,6 @@
 //! A worker incarnation as the record knows it.
 
-use crate::job::Needs;
+use crate::job::Resources;
 use crate::job::RunId;
 use crate::job::StepId;
 use bh_protocol::Incarnation;
@@ -29,7 +29,7 @@
     /// Labels, its rack among them.
     pub labels: Vec<Arc<str>>,
     /// What it has now.
-    pub capacity: Needs,
+    pub capacity: Resources,
     /// Number of the heartbeat that said so; it grows during its life.
     #[serde(default)]
     pub sequence: u64,
@@ -69,7 +69,7 @@
     pub draining: bool,
     /// Runs recorded there and not known to be over, with what each takes.
     #[serde(with = "crate::pairs")]
-    pub runs: BTreeMap<RunId, Needs>,
+    pub runs: BTreeMap<RunId, Resources>,
     /// Members of gangs that are recorded as lost though the worker lives and its lease had not run out: it may still say that they failed, to whoever leads then.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub unheard: BTreeSet<RunId>,
@@ -95,8 +95,8 @@
     }
 
     /// What recorded runs take beyond what the worker has: it may have shrunk since they began.
-    pub fn excess(&self) -> Needs {
-        let mut excess = Needs::default();
+    pub fn excess(&self) -> Resources {
+        let mut excess = Resources::default();
         for needs in self.runs.values() {
             excess.add(needs);
         }
@@ -105,7 +105,7 @@
     }
 
     /// What recorded runs leave free. A run counts until its end is known: it may still use the worker while it is being stopped.
-    pub fn free(&self) -> Needs {
+    pub fn free(&self) -> Resources {
         let mut free = self.info.capacity;
         for needs in self.runs.values() {
             free.subtract(needs);
--- a/crates/bh-workload/tests/delays/site.rs
+++ b/crates/bh-workload/tests/delays/site.rs
@@ -30,7 +30,7 @@
 use bh_workload::dispatch::RecordOutcome;
 use bh_workload::job::JobId;
 use bh_workload::job::JobSpec;
-use bh_workload::job::Needs;
+use bh_workload::job::Resources;
 use bh_workload::job::RunId;
 use bh_workload::job::StepSpec;
 use bh_workload::state::Command;
@@ -298,7 +298,7 @@
         let mut info = worker_info(index, fleet.per_rack);
         info.id = self.workers[index].id.clone();
         if fleet.is_mixed() {
-            info.capacity = Needs {
+            info.capacity = Resources {
                 cpu_millis: 32_000,
                 memory_mb: 65_536,
                 accelerators: 8,
--- a/crates/bh-workload/tests/delays/work.rs
+++ b/crates/bh-workload/tests/delays/work.rs
@@ -3,7 +3,7 @@
 use super::fleet::Fleet;
 use super::load::Load;
 use bh_testkit::Random;
-use bh_workload::job::Needs;
+use bh_workload::job::Resources;
 use bh_workload::job::StepSpec;
 use std::sync::Arc;
 
@@ -53,7 +53,7 @@
         };
         steps.push(StepSpec {
             count: 1 + u32::try_from(random.below(widest)).unwrap().min(most),
-            needs: Needs {
+            needs: Resources {
                 cpu_millis,
                 memory_mb,
                 accelerators,
--- a/crates/bh-workload/tests/long_queues.rs
+++ b/crates/bh-workload/tests/long_queues.rs
@@ -6,7 +6,7 @@
 
 mod support;
 
-use bh_workload::job::Needs;
+use bh_workload::job::Resources;
 use bh_workload::job::StepSpec;
 use std::time::Duration;
 use std::time::Instant;
@@ -20,7 +20,7 @@
 fn nearly_full() -> Site {
     let mut site = Site::new(WORKERS, RACK);
     let each = StepSpec {
-        needs: Needs {
+        needs: Resources {
             cpu_millis: 120_000,
             memory_mb: 1_000,
             accelerators: 7,
@@ -82,7 +82,7 @@
     let mut site = nearly_full();
     let gang = |count, accelerators, cpu_millis| StepSpec {
         gang: true,
-        needs: Needs {
+        needs: Resources {
             cpu_millis,
             memory_mb: 1_000,
             accelerators,
--- a/crates/bh-workload/tests/runnable.rs
+++ b/crates/bh-workload/tests/runnable.rs
@@ -15,7 +15,7 @@
 use bh_workload::dispatch::RunPhase;
 use bh_workload::dispatch::Timing;
 use bh_workload::job::JobId;
-use bh_workload::job::Needs;
+use bh_workload::job::Resources;
 use bh_workload::job::RunId;
 use bh_workload::job::StepSpec;
 use bh_workload::plan::RunnableStep;
@@ -505,7 +505,7 @@
 fn a_job_held_by_a_run_that_is_gone_stands_still() {
     let (site, job) = job_with_a_run(leave_it_out_of_a_report);
     let steps = steps_of(&site, job);
-    assert_eq!(steps[0].standing.in_use, Needs::default());
+    assert_eq!(steps[0].standing.in_use, Resources::default());
     assert!(steps[0].standing.is_still());
 }
 
@@ -513,12 +513,12 @@
     runs: 0,
     tasks: 3,
     places: 6,
-    in_use: Needs {
+    in_use: Resources {
         cpu_millis: 49_999,
         memory_mb: 100_000,
         accelerators: 4,
     },
-    capacity: Needs {
+    capacity: Resources {
         cpu_millis: 100_000,
         memory_mb: 100_000,
         accelerators: 8,
@@ -532,14 +532,14 @@
 #[case::nothing_to_run(Standing { tasks: 0, ..STILL }, false)]
 #[case::room_for_less_than_twice(Standing { places: 5, ..STILL }, false)]
 #[case::half_in_use(
-    Standing { in_use: Needs { cpu_millis: 50_000, ..STILL.in_use }, ..STILL },
+    Standing { in_use: Resources { cpu_millis: 50_000, ..STILL.in_use }, ..STILL },
     false
 )]
 #[case::most_accelerators_in_use(
-    Standing { in_use: Needs { accelerators: 5, ..STILL.in_use }, ..STILL },
+    Standing { in_use: Resources { accelerators: 5, ..STILL.in_use }, ..STILL },
     false
 )]
-#[case::no_pool(Standing { capacity: Needs::default(), ..STILL }, false)]
+#[case::no_pool(Standing { capacity: Resources::default(), ..STILL }, false)]
 fn the_rule_of_standing_still(#[case] standing: Standing, #[case] still: bool) {
     assert_eq!(standing.is_still(), still);
 }
--- a/crates/bh-workload/tests/standing_still.rs
+++ b/crates/bh-workload/tests/standing_still.rs
@@ -73,7 +73,7 @@
         free += worker.free().accelerators;
         let label = spec.required_label.as_ref();
         if label.is_none_or(|label| worker.info.labels.contains(label)) {
-            places += needs.times_in(&worker.free(), u64::MAX);
+            places += needs.count_in(&worker.free(), u64::MAX);
         }
     }
     places >= 2 * u64::from(spec.count) && free * 2 > all
--- a/crates/bh-workload/tests/support/mod.rs
+++ b/crates/bh-workload/tests/support/mod.rs
@@ -17,7 +17,7 @@
 use bh_workload::dispatch::Timing;
 use bh_workload::job::JobId;
 use bh_workload::job::JobSpec;
-use bh_workload::job::Needs;
+use bh_workload::job::Resources;
 use bh_workload::job::RunId;
 use bh_workload::job::StepId;
 use bh_workload::job::StepSpec;
@@ -109,7 +109,7 @@
         data_centre: Arc::from("dc"),
         labels: vec![Arc::from("a"), rack.clone()],
         rack,
-        capacity: Needs {
+        capacity: Resources {
             cpu_millis: 128_000,
             memory_mb: 512_000,
             accelerators: 8,
@@ -122,7 +122,7 @@
 pub fn step(count: u32, accelerators: u64) -> StepSpec {
     StepSpec {
         count,
-        needs: Needs {
+        needs: Resources {
             cpu_millis: 1_000,
             memory_mb: 1_000,
             accelerators,
--- a/crates/bh-workload/tests/support/standing.rs
+++ b/crates/bh-workload/tests/support/standing.rs
@@ -2,7 +2,7 @@
 
 use super::true_worker::TrueWorker;
 use bh_workload::job::JobId;
-use bh_workload::job::Needs;
+use bh_workload::job::Resources;
 use bh_workload::job::RunId;
 use bh_workload::job::StepId;
 use bh_workload::job::StepSpec;
@@ -40,7 +40,7 @@
         .flat_map(|worker| &worker.runs)
         .map(|run| run.task.step.job)
         .collect();
-    let free: Vec<Needs> = workers
+    let free: Vec<Resources> = workers
         .iter()
         .map(|worker| free(workload, worker))
         .collect();
@@ -65,7 +65,7 @@
     workload: &Workload,
     (id, job): (JobId, &Job),
     workers: &[TrueWorker],
-    free: &[Needs],
+    free: &[Resources],
 ) -> Option<Standing> {
     let pool = &workload.queue_of(job).pool;
     let most = workload.max_attempts(job);
@@ -91,7 +91,7 @@
         });
         for (worker, free) in suited {
             *racks.entry(&worker.info.rack).or_default() +=
-                spec.reserved().times_in(free, spec.most_on_worker());
+                spec.reserved().count_in(free, spec.most_on_worker());
         }
         let wants_rack = spec.near_rack.is_some() || spec.gang && spec.rack_local;
         let places = racks.values().sum();
@@ -119,7 +119,7 @@
     tasks.all(|task| task.failures >= most)
 }
 
-fn free(workload: &Workload, worker: &TrueWorker) -> Needs {
+fn free(workload: &Workload, worker: &TrueWorker) -> Resources {
     let mut free = worker.info.capacity;
     let needs = |run: &RunId| workload.step_spec(run.task.step).map(StepSpec::reserved);
     for needs in worker.runs.iter().filter_map(needs) {
@@ -128,7 +128,7 @@
     free
 }
 
-fn pool_is_idle(pool: &Arc<str>, workers: &[TrueWorker], free: &[Needs]) -> bool {
+fn pool_is_idle(pool: &Arc<str>, workers: &[TrueWorker], free: &[Resources]) -> bool {
     let own = workers.iter().zip(free);
     let own = own.filter(|(worker, _)| worker.info.pool == *pool);
     let (all, free) = own.fold((0, 0), |(all, open), (worker, free)| {
