--- a/crates/bh-control/src/core/runnable_watch.rs
+++ b/crates/bh-control/src/core/runnable_watch.rs
@@ -77,7 +77,7 @@
         let mut seen: BTreeMap<JobId, &RunnableStep> = BTreeMap::new();
         for step in &survey.steps {
             seen.entry(step.step.job).or_insert(step);
-            if step.standing.is_still() {
+            if step.stall_check.is_stalled() {
                 still.entry(step.step.job).or_insert(step);
             }
         }
@@ -88,8 +88,9 @@
         let unknown_from = last.filter(|_| survey.left_out > 0);
         self.stretches.retain(|job, stretch| {
             let seen = seen.get(job);
-            let has_run = seen
-                .is_some_and(|step| step.standing.runs > 0 || step.results != stretch.step.results);
+            let has_run = seen.is_some_and(|step| {
+                step.stall_check.runs > 0 || step.results != stretch.step.results
+            });
             let end = if has_run {
                 StandstillEnd::Runs
             } else if still.contains_key(job) {
--- a/crates/bh-control/tests/standstills.rs
+++ b/crates/bh-control/tests/standstills.rs
@@ -15,7 +15,7 @@
 use bh_workload::job::StepId;
 use bh_workload::plan::Holder;
 use bh_workload::plan::RunnableStep;
-use bh_workload::plan::Standing;
+use bh_workload::plan::StallCheck;
 use bh_workload::plan::Survey;
 use bh_workload::plan::Wait;
 use rstest::rstest;
@@ -42,7 +42,7 @@
         }),
         ready_ms: 0,
         results: 0,
-        standing: Standing {
+        stall_check: StallCheck {
             runs: 0,
             tasks: 2,
             places: 4,
@@ -97,10 +97,10 @@
 
 /// Guards against the end of a stretch being told with the wrong cause.
 #[rstest]
-#[case::it_runs(RunnableStep { standing: Standing { runs: 1, ..step(1).standing }, ..step(1) }, StandstillEnd::Runs)]
+#[case::it_runs(RunnableStep { stall_check: StallCheck { runs: 1, ..step(1).stall_check }, ..step(1) }, StandstillEnd::Runs)]
 #[case::it_has_run(RunnableStep { results: 1, ..step(1) }, StandstillEnd::Runs)]
 #[case::less_room(
-    RunnableStep { standing: Standing { places: 3, ..step(1).standing }, ..step(1) },
+    RunnableStep { stall_check: StallCheck { places: 3, ..step(1).stall_check }, ..step(1) },
     StandstillEnd::LessRoom
 )]
 fn the_cause_of_an_end_is_told(#[case] last: RunnableStep, #[case] cause: StandstillEnd) {
--- a/crates/bh-workload/src/plan/runnable.rs
+++ b/crates/bh-workload/src/plan/runnable.rs
@@ -2,7 +2,7 @@
 
 use super::Holder;
 use super::Planner;
-use super::Standing;
+use super::StallCheck;
 use super::Unit;
 use super::Wait;
 use super::collect;
@@ -43,7 +43,7 @@
     /// Runs of the job that have ended with a result: when this grows, something of it has run.
     pub results: u64,
     /// What tells whether the job stands still.
-    pub standing: Standing,
+    pub stall_check: StallCheck,
 }
 
 /// All work whose turn has come and of which nothing runs.
@@ -116,9 +116,9 @@
     }
 
     /// What tells whether a job of which `tasks` could run stands still. No more places are counted than that takes.
-    fn standing(&self, job: JobId, pool: &Arc<str>, spec: &StepSpec, tasks: u64) -> Standing {
+    fn stall_check(&self, job: JobId, pool: &Arc<str>, spec: &StepSpec, tasks: u64) -> StallCheck {
         let needs = spec.reserved();
-        let enough = tasks.saturating_mul(Standing::TIMES_PLACES);
+        let enough = tasks.saturating_mul(StallCheck::TIMES_PLACES);
         let mut places = 0;
         for (worker, free) in &self.free {
             let labels = &worker.info.labels;
@@ -133,7 +133,7 @@
             }
         }
         let (in_use, capacity) = self.pools.get(pool).copied().unwrap_or_default();
-        Standing {
+        StallCheck {
             runs: self.running.get(&job).copied().unwrap_or(0),
             tasks,
             places,
@@ -195,7 +195,7 @@
                         held_by,
                         ready_ms,
                         results,
-                        standing: fleet.standing(id, pool, spec, tasks),
+                        stall_check: fleet.stall_check(id, pool, spec, tasks),
                     });
                 };
                 if let Some(unit) = unit {
--- a/crates/bh-workload/src/plan/standing.rs
+++ b/crates/bh-workload/src/plan/stall_check.rs
@@ -4,7 +4,7 @@
 
 /// One piece of work whose turn has come, and the capacity of those that may run it. The figures may be the leader's or the workers' own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct StallCheck {
     /// Runs of the whole job that are at work.
     pub runs: u64,
     /// Tasks that could run.
@@ -17,13 +17,13 @@
     pub capacity: Resources,
 }
 
-impl Standing {
+impl StallCheck {
     /// Times the places that the tasks take which must be there.
     pub const TIMES_PLACES: u64 = 2;
 
     /// Whether nothing of the job runs while there is room for the work twice over and under half of the pool is in use, its cores and
     /// accelerators weighed as the users value them.
-    pub fn is_still(&self) -> bool {
+    pub fn is_stalled(&self) -> bool {
         self.runs == 0
             && self.tasks > 0
             && self.places >= self.tasks.saturating_mul(Self::TIMES_PLACES)
--- a/crates/bh-workload/src/plan/stall_tracker.rs
+++ b/crates/bh-workload/src/plan/stall_tracker.rs
@@ -1,7 +1,7 @@
 //! Since when work waits beside free room.
 
 use super::Room;
-use super::Standing;
+use super::StallCheck;
 use super::Unit;
 use crate::dispatch::Dispatcher;
 use crate::job::JobId;
@@ -95,7 +95,7 @@
 /// Whether a unit waits beside ample room, whoever that is kept for. Of tasks that need not begin together one is enough.
 fn is_stalled(unit: &Unit, rooms: &[Room], pools: &Pools) -> bool {
     let (in_use, capacity) = pools.get(&unit.pool).copied().unwrap_or_default();
-    let mut standing = Standing {
+    let mut stall_check = StallCheck {
         runs: 0,
         tasks: if unit.spec.gang { unit.count() } else { 1 },
         places: u64::MAX,
@@ -104,23 +104,23 @@
     };
     // A service is missed however full the pool is.
     if unit.spec.long_running {
-        standing.in_use = Resources::default();
+        stall_check.in_use = Resources::default();
     }
     // Most pools are too busy for any of their work to be looked up.
-    if !standing.is_still() {
+    if !stall_check.is_stalled() {
         return false;
     }
-    let wanted = standing.tasks.saturating_mul(Standing::TIMES_PLACES);
+    let wanted = stall_check.tasks.saturating_mul(StallCheck::TIMES_PLACES);
     let eligible = rooms
         .iter()
         .filter(|room| room.is_reachable() && room.is_eligible(unit));
-    standing.places = 0;
+    stall_check.places = 0;
     for room in eligible {
         let most = unit.spec.most_on_worker().min(wanted);
-        standing.places += unit.needs.count_in(&room.free, most);
-        if standing.places >= wanted {
+        stall_check.places += unit.needs.count_in(&room.free, most);
+        if stall_check.places >= wanted {
             break;
         }
     }
-    standing.is_still()
+    stall_check.is_stalled()
 }
--- a/crates/bh-workload/tests/runnable.rs
+++ b/crates/bh-workload/tests/runnable.rs
@@ -19,7 +19,7 @@
 use bh_workload::job::RunId;
 use bh_workload::job::StepSpec;
 use bh_workload::plan::RunnableStep;
-use bh_workload::plan::Standing;
+use bh_workload::plan::StallCheck;
 use bh_workload::plan::Survey;
 use bh_workload::plan::Unusable;
 use bh_workload::plan::Wait;
@@ -496,8 +496,8 @@
     let steps = steps_of(&site, job);
     assert_eq!(steps.len(), 1);
     assert_eq!(steps[0].wait, Wait::NoWorkerAllowed);
-    assert_eq!(steps[0].standing.runs, 1);
-    assert!(!steps[0].standing.is_still());
+    assert_eq!(steps[0].stall_check.runs, 1);
+    assert!(!steps[0].stall_check.is_stalled());
 }
 
 /// Guards against a job that waits in an idle pool for a run that no worker has being taken for one that waits for room.
@@ -505,11 +505,11 @@
 fn a_job_held_by_a_run_that_is_gone_stands_still() {
     let (site, job) = job_with_a_run(leave_it_out_of_a_report);
     let steps = steps_of(&site, job);
-    assert_eq!(steps[0].standing.in_use, Resources::default());
-    assert!(steps[0].standing.is_still());
+    assert_eq!(steps[0].stall_check.in_use, Resources::default());
+    assert!(steps[0].stall_check.is_stalled());
 }
 
-const STILL: Standing = Standing {
+const STILL: StallCheck = StallCheck {
     runs: 0,
     tasks: 3,
     places: 6,
@@ -528,20 +528,20 @@
 /// Guards against the rule counting a job that runs, a pool that is half in use, or too little room.
 #[rstest]
 #[case::still(STILL, true)]
-#[case::one_runs(Standing { runs: 1, ..STILL }, false)]
-#[case::nothing_to_run(Standing { tasks: 0, ..STILL }, false)]
-#[case::room_for_less_than_twice(Standing { places: 5, ..STILL }, false)]
+#[case::one_runs(StallCheck { runs: 1, ..STILL }, false)]
+#[case::nothing_to_run(StallCheck { tasks: 0, ..STILL }, false)]
+#[case::room_for_less_than_twice(StallCheck { places: 5, ..STILL }, false)]
 #[case::half_in_use(
-    Standing { in_use: Resources { cpu_millis: 50_000, ..STILL.in_use }, ..STILL },
+    StallCheck { in_use: Resources { cpu_millis: 50_000, ..STILL.in_use }, ..STILL },
     false
 )]
 #[case::most_accelerators_in_use(
-    Standing { in_use: Resources { accelerators: 5, ..STILL.in_use }, ..STILL },
+    StallCheck { in_use: Resources { accelerators: 5, ..STILL.in_use }, ..STILL },
     false
 )]
-#[case::no_pool(Standing { capacity: Resources::default(), ..STILL }, false)]
-fn the_rule_of_standing_still(#[case] standing: Standing, #[case] still: bool) {
-    assert_eq!(standing.is_still(), still);
+#[case::no_pool(StallCheck { capacity: Resources::default(), ..STILL }, false)]
+fn the_rule_of_standing_still(#[case] stall_check: StallCheck, #[case] still: bool) {
+    assert_eq!(stall_check.is_stalled(), still);
 }
 
 /// Guards against a survey of a long queue holding up the leader's loop.
@@ -567,5 +567,5 @@
     let job = site.submit(2, "other", vec![step(1, 1)]);
     let steps = steps_of(&site, job);
     assert_eq!(steps[0].wait, Wait::NoWorkerAllowed);
-    assert_eq!(steps[0].standing.places, 0);
+    assert_eq!(steps[0].stall_check.places, 0);
 }
