--- a/crates/bh-control/tests/standstills.rs
+++ b/crates/bh-control/tests/standstills.rs
@@ -13,7 +13,7 @@
 use bh_workload::job::JobId;
 use bh_workload::job::Resources;
 use bh_workload::job::StepId;
-use bh_workload::plan::Holder;
+use bh_workload::plan::BlockingRun;
 use bh_workload::plan::RunnableStep;
 use bh_workload::plan::StallCheck;
 use bh_workload::plan::Survey;
@@ -34,7 +34,7 @@
         wait: Wait::Ordered {
             phase: RunPhase::Unreported,
         },
-        held_by: Some(Holder {
+        held_by: Some(BlockingRun {
             run: format!("{}.0.0.0#1", JobId(job)),
             worker: Incarnation::parse("w00").unwrap(),
             phase: RunPhase::Unreported,
--- a/crates/bh-workload/src/plan/explain.rs
+++ b/crates/bh-workload/src/plan/explain.rs
@@ -62,7 +62,7 @@
     pub wait: Option<Wait>,
     /// The earlier run that they wait for, the one that has been so for longest; `None` when they wait for none.
     #[serde(default)]
-    pub held_by: Option<Holder>,
+    pub held_by: Option<BlockingRun>,
 }
 
 /// What is known of one run.
@@ -85,7 +85,7 @@
 
 /// The recorded run that work waits for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Holder {
+pub struct BlockingRun {
     /// `JOB.OCCURRENCE.STEP.INDEX#ATTEMPT`.
     pub run: String,
     /// Its worker.
@@ -179,7 +179,7 @@
         return None;
     }
     let mut runs = Vec::new();
-    let mut holder: Option<Holder> = None;
+    let mut blocking: Option<BlockingRun> = None;
     for worker in workload.workers() {
         let target = dispatcher.view(&worker.info.id);
         for run in worker.runs.keys().filter(|run| run.task.step == step) {
@@ -187,9 +187,11 @@
             let at = (&worker.info.id, *run);
             let (phase, since_ms) = RunPhase::of(now_ms, workload, dispatcher, at);
             let held_ms = now_ms.saturating_sub(since_ms);
-            let longest = holder.as_ref().is_none_or(|other| held_ms > other.held_ms);
+            let longest = blocking
+                .as_ref()
+                .is_none_or(|other| held_ms > other.held_ms);
             if wait == Some(Wait::EarlierRuns) && longest {
-                holder = Some(Holder {
+                blocking = Some(BlockingRun {
                     run: run.to_string(),
                     worker: worker.info.id.clone(),
                     phase,
@@ -216,6 +218,6 @@
         crashes: crashes.unwrap_or(0),
         runs,
         wait,
-        held_by: holder,
+        held_by: blocking,
     })
 }
--- a/crates/bh-workload/src/plan/mod.rs
+++ b/crates/bh-workload/src/plan/mod.rs
@@ -32,7 +32,7 @@
 pub use availability::Availability;
 pub use decided::Plan;
 pub use decided::Unclaimed;
-pub use explain::Holder;
+pub use explain::BlockingRun;
 pub use explain::JobReport;
 pub use explain::RunReport;
 pub use explain::StepReport;
--- a/crates/bh-workload/src/plan/runnable.rs
+++ b/crates/bh-workload/src/plan/runnable.rs
@@ -1,6 +1,6 @@
 //! Work whose turn has come and of which nothing runs.
 
-use super::Holder;
+use super::BlockingRun;
 use super::Planner;
 use super::StallCheck;
 use super::Unit;
@@ -37,7 +37,7 @@
     /// Why they wait.
     pub wait: Wait,
     /// The recorded run that they wait for, the one that has been so for longest.
-    pub held_by: Option<Holder>,
+    pub held_by: Option<BlockingRun>,
     /// When its job was accepted, or the occurrence was due, in milliseconds since 1970.
     pub ready_ms: u64,
     /// Runs of the job that have ended with a result: when this grows, something of it has run.
@@ -187,7 +187,7 @@
                     continue;
                 }
                 let unit = units.get(&step);
-                let mut report = |tasks: u64, wait: Wait, held_by: Option<Holder>| {
+                let mut report = |tasks: u64, wait: Wait, held_by: Option<BlockingRun>| {
                     survey.steps.push(RunnableStep {
                         step,
                         tasks,
@@ -212,18 +212,18 @@
                     }
                     continue;
                 };
-                let holder = Holder {
+                let blocking = BlockingRun {
                     run: longest.run.to_string(),
                     worker: longest.worker.clone(),
                     phase: longest.phase,
                     held_ms: now_ms.saturating_sub(longest.since_ms),
                 };
                 if job.is_broken_gang(step) {
-                    report(u64::from(spec.count), Wait::EarlierRuns, Some(holder));
+                    report(u64::from(spec.count), Wait::EarlierRuns, Some(blocking));
                 } else {
                     let phase = longest.phase;
                     let tasks = u64::try_from(known.len()).unwrap_or(u64::MAX);
-                    report(tasks, Wait::Ordered { phase }, Some(holder));
+                    report(tasks, Wait::Ordered { phase }, Some(blocking));
                 }
             }
         }
