--- a/crates/beechctl/src/commands/core_explain.rs
+++ b/crates/beechctl/src/commands/core_explain.rs
@@ -11,7 +11,7 @@
 use bh_workload::plan::RunReport;
 use bh_workload::plan::StepReport;
 use bh_workload::plan::Unusable;
-use bh_workload::plan::Wait;
+use bh_workload::plan::WaitReason;
 use bh_workload::state::GiveUp;
 use clap::Arg;
 use clap::ArgMatches;
@@ -144,42 +144,46 @@
     format!(" ({}: {reason})", Code::JobFailed)
 }
 
-fn wait_text(wait: &Wait) -> String {
+fn wait_text(wait: &WaitReason) -> String {
     match wait {
-        Wait::NotDue { due_ms } => format!("its time, {due_ms} ms since 1970"),
-        Wait::EarlierSteps { steps } => format!("earlier steps {steps:?}"),
-        Wait::EarlierRuns => "its earlier runs to be over".to_owned(),
-        Wait::Evacuated { data_centres } => {
+        WaitReason::NotDue { due_ms } => format!("its time, {due_ms} ms since 1970"),
+        WaitReason::EarlierSteps { steps } => format!("earlier steps {steps:?}"),
+        WaitReason::EarlierRuns => "its earlier runs to be over".to_owned(),
+        WaitReason::Evacuated { data_centres } => {
             let names: Vec<&str> = data_centres.iter().map(|name| &**name).collect();
             format!("the end of the evacuation of {}", names.join(", "))
         }
-        Wait::NoWorkerAllowed => "a worker that may run it".to_owned(),
-        Wait::NoWorkerLargeEnough => "a worker that is large enough".to_owned(),
-        Wait::RoomIsMade { workers } => format!("room that is being made on {workers} workers"),
-        Wait::NoRoom { tasks, places } => format!("room: {places} places for {tasks} tasks"),
-        Wait::Apart { crashes } => {
+        WaitReason::NoWorkerAllowed => "a worker that may run it".to_owned(),
+        WaitReason::NoWorkerLargeEnough => "a worker that is large enough".to_owned(),
+        WaitReason::RoomIsMade { workers } => {
+            format!("room that is being made on {workers} workers")
+        }
+        WaitReason::NoRoom { tasks, places } => format!("room: {places} places for {tasks} tasks"),
+        WaitReason::Apart { crashes } => {
             format!("workers on which nothing has just begun, since {crashes} crashed under it")
         }
-        Wait::Ordered { phase } => format!("its recorded runs: {}", phase_text(*phase)),
-        Wait::UncertainFailures => "word of whether its earlier attempts failed".to_owned(),
-        Wait::Advice => "the adviser".to_owned(),
-        Wait::WorkersUnusable { places, why } => {
+        WaitReason::Ordered { phase } => format!("its recorded runs: {}", phase_text(*phase)),
+        WaitReason::UncertainFailures => "word of whether its earlier attempts failed".to_owned(),
+        WaitReason::Advice => "the adviser".to_owned(),
+        WaitReason::WorkersUnusable { places, why } => {
             format!("workers that are {}: {places} places", unusable_text(*why))
         }
-        Wait::RoomPromised { places, to } => {
+        WaitReason::RoomPromised { places, to } => {
             let to = to.join(", ");
             format!("room that is promised to other work ({to}); {places} places are left")
         }
-        Wait::RoomKept { places } => {
+        WaitReason::RoomKept { places } => {
             format!("room that is kept for urgent work; {places} places are left")
         }
-        Wait::WorkersAvoided { workers } => {
+        WaitReason::WorkersAvoided { workers } => {
             format!("room elsewhere than on {workers} workers, where it failed or was slow")
         }
-        Wait::Rack => "room in a rack that suits it".to_owned(),
-        Wait::StartRecording => "the record of its start".to_owned(),
-        Wait::NotPlanned => "the next plan".to_owned(),
-        Wait::Unexplained => "nothing that is known; please report it".to_owned(),
-        Wait::Placing => "the next plan, or room that is kept for what comes first".to_owned(),
+        WaitReason::Rack => "room in a rack that suits it".to_owned(),
+        WaitReason::StartRecording => "the record of its start".to_owned(),
+        WaitReason::NotPlanned => "the next plan".to_owned(),
+        WaitReason::Unexplained => "nothing that is known; please report it".to_owned(),
+        WaitReason::Placing => {
+            "the next plan, or room that is kept for what comes first".to_owned()
+        }
     }
 }
--- a/crates/bh-control/src/core/surveys.rs
+++ b/crates/bh-control/src/core/surveys.rs
@@ -4,7 +4,7 @@
 use super::leadership::Leadership;
 use super::standstill::Standstill;
 use crate::observe::Metrics;
-use bh_workload::plan::Wait;
+use bh_workload::plan::WaitReason;
 use std::rc::Rc;
 
 /// Time between surveys, in milliseconds: short against the seconds after which a wait is worth telling.
@@ -87,7 +87,7 @@
 /// Sets the gauges of the last survey. On a core that does not lead they are 0.
 pub(super) fn set_gauges(leadership: Option<&Leadership>, metrics: &Metrics) {
     let watch = leadership.map(|leadership| &leadership.runnable);
-    for reason in Wait::REASONS {
+    for reason in WaitReason::REASONS {
         let tasks = watch.and_then(|watch| watch.tasks.get(reason));
         let label = ("reason", reason);
         metrics.gauge_with("runnable_tasks", label, tasks.copied().unwrap_or(0));
--- a/crates/bh-control/tests/standstills.rs
+++ b/crates/bh-control/tests/standstills.rs
@@ -17,7 +17,7 @@
 use bh_workload::plan::RunnableStep;
 use bh_workload::plan::StallCheck;
 use bh_workload::plan::Survey;
-use bh_workload::plan::Wait;
+use bh_workload::plan::WaitReason;
 use rstest::rstest;
 
 const SURVEY_MS: u64 = 500;
@@ -31,7 +31,7 @@
             step: 0,
         },
         tasks: 2,
-        wait: Wait::Ordered {
+        wait: WaitReason::Ordered {
             phase: RunPhase::Unreported,
         },
         held_by: Some(BlockingRun {
@@ -168,7 +168,7 @@
 fn waits_are_summed_by_reason_and_have_an_age() {
     let mut watch = RunnableWatch::new();
     let room = RunnableStep {
-        wait: Wait::NoRoom {
+        wait: WaitReason::NoRoom {
             tasks: 2,
             places: 0,
         },
--- a/crates/bh-workload/src/plan/explain.rs
+++ b/crates/bh-workload/src/plan/explain.rs
@@ -2,7 +2,7 @@
 
 use super::Planner;
 use super::Unit;
-use super::Wait;
+use super::WaitReason;
 use super::collect;
 use super::guaranteed_jobs;
 use super::planner::is_uncertain;
@@ -59,7 +59,7 @@
     /// Where its runs are.
     pub runs: Vec<RunReport>,
     /// Why the others wait.
-    pub wait: Option<Wait>,
+    pub wait: Option<WaitReason>,
     /// The earlier run that they wait for, the one that has been so for longest; `None` when they wait for none.
     #[serde(default)]
     pub held_by: Option<BlockingRun>,
@@ -130,15 +130,15 @@
                 }
                 let wait = if wall_ms < job.spec.due_ms(occurrence).unwrap_or(0) {
                     let due_ms = job.spec.due_ms(occurrence).unwrap_or(0);
-                    Some(Wait::NotDue { due_ms })
+                    Some(WaitReason::NotDue { due_ms })
                 } else if !job.is_unblocked(step) {
                     let steps = spec.after.clone();
-                    Some(Wait::EarlierSteps { steps })
+                    Some(WaitReason::EarlierSteps { steps })
                 } else if let Some(unit) = &unit {
                     let uncertain = is_uncertain(step, &unheard, workload);
                     Some(wait_of_unit(unit, uncertain, &explainer))
                 } else {
-                    job.is_broken_gang(step).then_some(Wait::EarlierRuns)
+                    job.is_broken_gang(step).then_some(WaitReason::EarlierRuns)
                 };
                 let times = (now_ms, wait);
                 steps.extend(step_report(times, workload, dispatcher, step));
@@ -159,9 +159,9 @@
 }
 
 /// Why a unit waits; `uncertain` gangs are left out of the plan.
-pub(super) fn wait_of_unit(unit: &Unit, uncertain: bool, explainer: &WaitExplainer) -> Wait {
+pub(super) fn wait_of_unit(unit: &Unit, uncertain: bool, explainer: &WaitExplainer) -> WaitReason {
     if uncertain {
-        Wait::UncertainFailures
+        WaitReason::UncertainFailures
     } else {
         explainer.wait(unit)
     }
@@ -169,7 +169,7 @@
 
 /// The report of a step; `None` when it is done.
 fn step_report(
-    (now_ms, wait): (u64, Option<Wait>),
+    (now_ms, wait): (u64, Option<WaitReason>),
     workload: &Workload,
     dispatcher: &Dispatcher,
     step: StepId,
@@ -190,7 +190,7 @@
             let longest = blocking
                 .as_ref()
                 .is_none_or(|other| held_ms > other.held_ms);
-            if wait == Some(Wait::EarlierRuns) && longest {
+            if wait == Some(WaitReason::EarlierRuns) && longest {
                 blocking = Some(BlockingRun {
                     run: run.to_string(),
                     worker: worker.info.id.clone(),
--- a/crates/bh-workload/src/plan/mod.rs
+++ b/crates/bh-workload/src/plan/mod.rs
@@ -26,8 +26,8 @@
 mod unit;
 mod unusable;
 mod urgent_headroom;
-mod wait;
 mod wait_explainer;
+mod wait_reason;
 
 pub use availability::Availability;
 pub use decided::Plan;
@@ -51,4 +51,4 @@
 pub use stall_check::StallCheck;
 pub use unit::Unit;
 pub use unusable::Unusable;
-pub use wait::Wait;
+pub use wait_reason::WaitReason;
--- a/crates/bh-workload/src/plan/runnable.rs
+++ b/crates/bh-workload/src/plan/runnable.rs
@@ -4,7 +4,7 @@
 use super::Planner;
 use super::StallCheck;
 use super::Unit;
-use super::Wait;
+use super::WaitReason;
 use super::collect;
 use super::explain::wait_of_unit;
 use super::guaranteed_jobs;
@@ -35,7 +35,7 @@
     /// The tasks.
     pub tasks: u64,
     /// Why they wait.
-    pub wait: Wait,
+    pub wait: WaitReason,
     /// The recorded run that they wait for, the one that has been so for longest.
     pub held_by: Option<BlockingRun>,
     /// When its job was accepted, or the occurrence was due, in milliseconds since 1970.
@@ -187,7 +187,7 @@
                     continue;
                 }
                 let unit = units.get(&step);
-                let mut report = |tasks: u64, wait: Wait, held_by: Option<BlockingRun>| {
+                let mut report = |tasks: u64, wait: WaitReason, held_by: Option<BlockingRun>| {
                     survey.steps.push(RunnableStep {
                         step,
                         tasks,
@@ -208,7 +208,7 @@
                 }
                 let Some(longest) = known.iter().min_by_key(|known| known.since_ms) else {
                     if unit.is_none() {
-                        report(u64::from(spec.count), Wait::Unexplained, None);
+                        report(u64::from(spec.count), WaitReason::Unexplained, None);
                     }
                     continue;
                 };
@@ -219,11 +219,15 @@
                     held_ms: now_ms.saturating_sub(longest.since_ms),
                 };
                 if job.is_broken_gang(step) {
-                    report(u64::from(spec.count), Wait::EarlierRuns, Some(blocking));
+                    report(
+                        u64::from(spec.count),
+                        WaitReason::EarlierRuns,
+                        Some(blocking),
+                    );
                 } else {
                     let phase = longest.phase;
                     let tasks = u64::try_from(known.len()).unwrap_or(u64::MAX);
-                    report(tasks, Wait::Ordered { phase }, Some(blocking));
+                    report(tasks, WaitReason::Ordered { phase }, Some(blocking));
                 }
             }
         }
--- a/crates/bh-workload/src/plan/wait_explainer.rs
+++ b/crates/bh-workload/src/plan/wait_explainer.rs
@@ -4,7 +4,7 @@
 use super::Room;
 use super::Unit;
 use super::Unusable;
-use super::Wait;
+use super::WaitReason;
 use super::place;
 use super::place::PlacementFailure;
 use super::planner::avoided_workers;
@@ -77,10 +77,10 @@
     }
 
     /// Why a unit is not placed.
-    pub fn wait(&self, unit: &Unit) -> Wait {
+    pub fn wait(&self, unit: &Unit) -> WaitReason {
         if let Some(reservation) = self.planner.reservations.get(&unit.step) {
             let workers = reservation.places.len();
-            return Wait::RoomIsMade { workers };
+            return WaitReason::RoomIsMade { workers };
         }
         let allowed: Vec<&Room> = self
             .rooms
@@ -94,7 +94,7 @@
             .iter()
             .all(|room| !unit.needs.fits_in(&room.capacity))
         {
-            return Wait::NoWorkerLargeEnough;
+            return WaitReason::NoWorkerLargeEnough;
         }
         let none = BTreeSet::new();
         let tasks = unit.count();
@@ -103,7 +103,7 @@
             return self
                 .adviser_wait(unit)
                 .or_else(|| self.unusable_wait(unit, free))
-                .unwrap_or(Wait::NoRoom {
+                .unwrap_or(WaitReason::NoRoom {
                     tasks,
                     places: free,
                 });
@@ -114,22 +114,22 @@
         };
         if places(&isolated, &self.rooms, &none) < min_places(unit) {
             let crashes = unit.crashes;
-            return Wait::Apart { crashes };
+            return WaitReason::Apart { crashes };
         }
         self.withheld_wait(&isolated)
     }
 
     /// Why a unit for which there are places enough is not placed.
-    fn withheld_wait(&self, unit: &Unit) -> Wait {
+    fn withheld_wait(&self, unit: &Unit) -> WaitReason {
         let last = &self.planner.last_pass;
         if last.started.contains(&unit.step) {
-            return Wait::StartRecording;
+            return WaitReason::StartRecording;
         }
         let min_places = min_places(unit);
         let avoid = avoided_workers(&self.planner.failed_on, unit, &self.rooms);
         if places(unit, &self.rooms, &avoid) < min_places {
             let workers = avoid.len();
-            return Wait::WorkersAvoided { workers };
+            return WaitReason::WorkersAvoided { workers };
         }
         let waits_for_rack = if unit.spec.gang {
             let placed = place::place_gang(unit, &self.rooms, &avoid, self.wall_ms);
@@ -138,26 +138,26 @@
             place::place_tasks(unit, &self.rooms, &avoid, self.wall_ms).is_empty()
         };
         if waits_for_rack {
-            return Wait::Rack;
+            return WaitReason::Rack;
         }
         // What was promised to the unit itself is told as wanting a rack, or as a claim.
         let left = places(unit, &self.after_reservations, &avoid);
         if left < min_places {
             let to = last.reserved_for.iter().map(ToString::to_string).collect();
-            return Wait::RoomPromised { places: left, to };
+            return WaitReason::RoomPromised { places: left, to };
         }
         let left = places(unit, &self.after_headroom, &avoid);
         if left < min_places {
-            return Wait::RoomKept { places: left };
+            return WaitReason::RoomKept { places: left };
         }
         if !last.considered.contains(&unit.step) {
-            return Wait::NotPlanned;
+            return WaitReason::NotPlanned;
         }
-        Wait::Placing
+        WaitReason::Placing
     }
 
     /// Why no worker admits a unit.
-    fn no_worker_wait(&self, unit: &Unit) -> Wait {
+    fn no_worker_wait(&self, unit: &Unit) -> WaitReason {
         let is_eligible = |room: &&Room| room.is_eligible(unit);
         let evacuated = self.rooms.iter().filter(|room| room.evacuated);
         let data_centres: BTreeSet<Arc<str>> = evacuated
@@ -171,13 +171,13 @@
             return wait;
         }
         if data_centres.is_empty() {
-            return Wait::NoWorkerAllowed;
+            return WaitReason::NoWorkerAllowed;
         }
-        Wait::Evacuated { data_centres }
+        WaitReason::Evacuated { data_centres }
     }
 
     /// Whether the unit would have places on workers that its adviser was not asked about, or whose permission has run out.
-    fn adviser_wait(&self, unit: &Unit) -> Option<Wait> {
+    fn adviser_wait(&self, unit: &Unit) -> Option<WaitReason> {
         let advice = unit.advised.as_ref()?;
         let anywhere = Unit {
             permitted: None,
@@ -191,11 +191,11 @@
         self.dispatcher
             .permissions
             .question(self.now_ms, unit.step, advice, candidates)
-            .map(|_| Wait::Advice)
+            .map(|_| WaitReason::Advice)
     }
 
     /// Whether the unit would have places enough if the workers that can't be used could be; `free` are those on the others.
-    fn unusable_wait(&self, unit: &Unit, free: u64) -> Option<Wait> {
+    fn unusable_wait(&self, unit: &Unit, free: u64) -> Option<WaitReason> {
         let none = BTreeSet::new();
         let mut by_cause: BTreeMap<Unusable, u64> = BTreeMap::new();
         for room in &self.recoverable {
@@ -206,6 +206,6 @@
         let places: u64 = by_cause.values().sum();
         let (why, most) = by_cause.into_iter().max_by_key(|(_, places)| *places)?;
         let enough = most > 0 && free.saturating_add(places) >= unit.count();
-        enough.then_some(Wait::WorkersUnusable { places, why })
+        enough.then_some(WaitReason::WorkersUnusable { places, why })
     }
 }
--- a/crates/bh-workload/src/plan/wait.rs
+++ b/crates/bh-workload/src/plan/wait_reason.rs
@@ -10,7 +10,7 @@
 /// Why tasks wait.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Wait {
+pub enum WaitReason {
     /// Their time has not come.
     NotDue {
         /// When it comes, in milliseconds since 1970.
@@ -94,8 +94,8 @@
     Placing,
 }
 
-impl Wait {
-    /// Every reason that work may wait for whose turn has come, as [`Wait::reason`] names it.
+impl WaitReason {
+    /// Every reason that work may wait for whose turn has come, as [`WaitReason::reason`] names it.
     pub const REASONS: [&'static str; 28] = [
         "earlier_runs",
         "start_unsent",
@@ -130,10 +130,10 @@
     /// Short name of the reason, for metrics and logs.
     pub fn reason(&self) -> &'static str {
         match self {
-            Wait::NotDue { .. } => "not_due",
-            Wait::EarlierSteps { .. } => "earlier_steps",
-            Wait::EarlierRuns => "earlier_runs",
-            Wait::Ordered { phase } => match phase {
+            WaitReason::NotDue { .. } => "not_due",
+            WaitReason::EarlierSteps { .. } => "earlier_steps",
+            WaitReason::EarlierRuns => "earlier_runs",
+            WaitReason::Ordered { phase } => match phase {
                 RunPhase::Unsent => "start_unsent",
                 RunPhase::InFlight => "start_in_flight",
                 RunPhase::Unsure => "start_unsure",
@@ -144,12 +144,12 @@
                 RunPhase::Stopping => "run_stopping",
                 RunPhase::Ending => "end_recording",
             },
-            Wait::UncertainFailures => "uncertain_failures",
-            Wait::Evacuated { .. } => "evacuated",
-            Wait::NoWorkerAllowed => "no_worker_allowed",
-            Wait::NoWorkerLargeEnough => "no_worker_large_enough",
-            Wait::Advice => "advice",
-            Wait::WorkersUnusable { why, .. } => match why {
+            WaitReason::UncertainFailures => "uncertain_failures",
+            WaitReason::Evacuated { .. } => "evacuated",
+            WaitReason::NoWorkerAllowed => "no_worker_allowed",
+            WaitReason::NoWorkerLargeEnough => "no_worker_large_enough",
+            WaitReason::Advice => "advice",
+            WaitReason::WorkersUnusable { why, .. } => match why {
                 Unusable::Silent => "workers_silent",
                 Unusable::Unheard | Unusable::Unverified => "workers_unheard",
                 Unusable::SetAside | Unusable::Slow => "workers_set_aside",
@@ -159,17 +159,17 @@
                 | Unusable::BesideSuspect
                 | Unusable::Emptied => "workers_closed",
             },
-            Wait::RoomIsMade { .. } => "room_is_made",
-            Wait::NoRoom { .. } => "no_room",
-            Wait::RoomPromised { .. } => "room_promised",
-            Wait::RoomKept { .. } => "room_kept",
-            Wait::Apart { .. } => "apart",
-            Wait::WorkersAvoided { .. } => "workers_avoided",
-            Wait::Rack => "rack",
-            Wait::StartRecording => "start_recording",
-            Wait::NotPlanned => "not_planned",
-            Wait::Unexplained => "unexplained",
-            Wait::Placing => "placing",
+            WaitReason::RoomIsMade { .. } => "room_is_made",
+            WaitReason::NoRoom { .. } => "no_room",
+            WaitReason::RoomPromised { .. } => "room_promised",
+            WaitReason::RoomKept { .. } => "room_kept",
+            WaitReason::Apart { .. } => "apart",
+            WaitReason::WorkersAvoided { .. } => "workers_avoided",
+            WaitReason::Rack => "rack",
+            WaitReason::StartRecording => "start_recording",
+            WaitReason::NotPlanned => "not_planned",
+            WaitReason::Unexplained => "unexplained",
+            WaitReason::Placing => "placing",
         }
     }
 }
--- a/crates/bh-workload/tests/delays/leader.rs
+++ b/crates/bh-workload/tests/delays/leader.rs
@@ -17,7 +17,7 @@
 use bh_workload::dispatch::Target;
 use bh_workload::job::JobId;
 use bh_workload::plan::Planner;
-use bh_workload::plan::Wait;
+use bh_workload::plan::WaitReason;
 use bh_workload::state::Command;
 use bh_workload::state::Worker;
 use bh_workload::state::WorkerChange;
@@ -461,7 +461,7 @@
                 let Some(wait) = &step.wait else {
                     continue;
                 };
-                if !matches!(wait, Wait::EarlierSteps { .. }) {
+                if !matches!(wait, WaitReason::EarlierSteps { .. }) {
                     lines.push(format!(
                         "waits too: {}, {} tasks, {wait:?}",
                         step.step, step.tasks
--- a/crates/bh-workload/tests/evacuation.rs
+++ b/crates/bh-workload/tests/evacuation.rs
@@ -16,7 +16,7 @@
 use bh_workload::job::JobId;
 use bh_workload::job::StepSpec;
 use bh_workload::plan::Unclaimed;
-use bh_workload::plan::Wait;
+use bh_workload::plan::WaitReason;
 use bh_workload::state::Command;
 use bh_workload::state::EndKind;
 use bh_workload::state::Reply;
@@ -52,7 +52,7 @@
     orders.iter().filter(is_start).collect()
 }
 
-fn wait(site: &Site, job: JobId) -> Option<Wait> {
+fn wait(site: &Site, job: JobId) -> Option<WaitReason> {
     let times = (site.now_ms, site.wall_ms());
     let report = site
         .planner
@@ -349,7 +349,10 @@
         assert!(plan.starts.is_empty() && plan.evictions.is_empty());
     }
     let data_centres: BTreeSet<Arc<str>> = [Arc::from(FAR), Arc::from(NEAR)].into();
-    assert_eq!(wait(&site, waits), Some(Wait::Evacuated { data_centres }));
+    assert_eq!(
+        wait(&site, waits),
+        Some(WaitReason::Evacuated { data_centres })
+    );
     site.end(support::run_of(&site, before, 0), EndKind::Done);
     assert!(site.workload.job(before).unwrap().outcome.is_some());
     site.end_evacuation(FAR);
--- a/crates/bh-workload/tests/explain.rs
+++ b/crates/bh-workload/tests/explain.rs
@@ -11,7 +11,7 @@
 use bh_workload::job::Schedule;
 use bh_workload::job::StepSpec;
 use bh_workload::plan::JobReport;
-use bh_workload::plan::Wait;
+use bh_workload::plan::WaitReason;
 use bh_workload::state::Command;
 use std::sync::Arc;
 use support::Site;
@@ -25,7 +25,7 @@
         .unwrap()
 }
 
-fn wait(site: &Site, job: JobId) -> Option<Wait> {
+fn wait(site: &Site, job: JobId) -> Option<WaitReason> {
     explain(site, job).steps[0].wait.clone()
 }
 
@@ -49,11 +49,11 @@
     site.submit(2, "other", vec![step(1, 8)]);
     site.plan_and_start();
     let full = site.submit(2, "other", vec![step(1, 8)]);
-    assert_eq!(wait(&site, labelled), Some(Wait::NoWorkerAllowed));
-    assert_eq!(wait(&site, large), Some(Wait::NoWorkerLargeEnough));
+    assert_eq!(wait(&site, labelled), Some(WaitReason::NoWorkerAllowed));
+    assert_eq!(wait(&site, large), Some(WaitReason::NoWorkerLargeEnough));
     assert_eq!(
         wait(&site, full),
-        Some(Wait::NoRoom {
+        Some(WaitReason::NoRoom {
             tasks: 1,
             places: 0
         })
@@ -63,7 +63,7 @@
     assert_eq!(report.steps[0].runs.len(), 1);
     assert_eq!(
         report.steps[1].wait,
-        Some(Wait::EarlierSteps { steps: vec![0] })
+        Some(WaitReason::EarlierSteps { steps: vec![0] })
     );
 }
 
@@ -82,7 +82,10 @@
     site.plan();
     let report = explain(&site, job);
     assert!(report.is_guaranteed);
-    assert_eq!(report.steps[0].wait, Some(Wait::RoomIsMade { workers: 1 }));
+    assert_eq!(
+        report.steps[0].wait,
+        Some(WaitReason::RoomIsMade { workers: 1 })
+    );
 }
 
 /// A job whose first occurrence is due in an hour.
@@ -105,5 +108,5 @@
         spec,
         now_ms: site.wall_ms(),
     });
-    assert_eq!(wait(&site, id), Some(Wait::NotDue { due_ms }));
+    assert_eq!(wait(&site, id), Some(WaitReason::NotDue { due_ms }));
 }
--- a/crates/bh-workload/tests/runnable.rs
+++ b/crates/bh-workload/tests/runnable.rs
@@ -22,7 +22,7 @@
 use bh_workload::plan::StallCheck;
 use bh_workload::plan::Survey;
 use bh_workload::plan::Unusable;
-use bh_workload::plan::Wait;
+use bh_workload::plan::WaitReason;
 use bh_workload::rules::Advice;
 use bh_workload::rules::Queue;
 use bh_workload::state::Command;
@@ -66,7 +66,7 @@
 }
 
 /// The only reason for which a job waits. `core explain` must give the same for tasks that wait for room.
-fn wait(site: &Site, job: JobId) -> Wait {
+fn wait(site: &Site, job: JobId) -> WaitReason {
     let steps = steps_of(site, job);
     assert_eq!(steps.len(), 1, "{steps:?}");
     let wait = steps[0].wait.clone();
@@ -75,10 +75,10 @@
         .planner
         .explain(times, &site.workload, &site.dispatcher, job)
         .unwrap();
-    if !matches!(wait, Wait::Ordered { .. }) {
+    if !matches!(wait, WaitReason::Ordered { .. }) {
         assert_eq!(report.steps[0].wait, Some(wait.clone()));
     }
-    assert!(Wait::REASONS.contains(&wait.reason()));
+    assert!(WaitReason::REASONS.contains(&wait.reason()));
     wait
 }
 
@@ -182,7 +182,7 @@
     #[case] phase: RunPhase,
 ) {
     let (site, job) = job_with_a_run(until);
-    assert_eq!(wait(&site, job), Wait::Ordered { phase });
+    assert_eq!(wait(&site, job), WaitReason::Ordered { phase });
     let (worker, run) = site.open_runs()[0].clone();
     let holder = steps_of(&site, job)[0].held_by.clone().unwrap();
     assert_eq!((holder.worker, holder.run), (worker, run.to_string()));
@@ -203,13 +203,13 @@
 fn the_way_of_a_start_is_told() {
     let mut site = quiet_site(2);
     let job = site.submit(2, "other", vec![step(1, 1)]);
-    assert_eq!(wait(&site, job), Wait::NotPlanned);
+    assert_eq!(wait(&site, job), WaitReason::NotPlanned);
     let plan = site.plan();
-    assert_eq!(wait(&site, job), Wait::StartRecording);
+    assert_eq!(wait(&site, job), WaitReason::StartRecording);
     site.workload.apply(Command::Starts(plan.starts));
     site.take_news();
     let phase = RunPhase::Unsent;
-    assert_eq!(wait(&site, job), Wait::Ordered { phase });
+    assert_eq!(wait(&site, job), WaitReason::Ordered { phase });
 }
 
 /// Guards against a full pool and one whose room is freed after the last plan looking alike.
@@ -221,9 +221,9 @@
     let job = site.submit(2, "other", vec![step(1, 8)]);
     site.plan_and_start();
     let (tasks, places) = (1, 0);
-    assert_eq!(wait(&site, job), Wait::NoRoom { tasks, places });
+    assert_eq!(wait(&site, job), WaitReason::NoRoom { tasks, places });
     site.end(run_of(&site, first, 0), EndKind::Done);
-    assert_eq!(wait(&site, job), Wait::Placing);
+    assert_eq!(wait(&site, job), WaitReason::Placing);
 }
 
 /// Guards against workers that have room and get no work being told as a full pool.
@@ -262,7 +262,10 @@
     }
     let job = site.submit(2, "other", vec![step(1, 1)]);
     site.plan_and_start();
-    assert_eq!(wait(&site, job), Wait::WorkersUnusable { places: 1, why });
+    assert_eq!(
+        wait(&site, job),
+        WaitReason::WorkersUnusable { places: 1, why }
+    );
 }
 
 /// Guards against a new leader that has heard of no worker being told as one without room.
@@ -273,7 +276,10 @@
     let job = site.submit(2, "other", vec![step(1, 1)]);
     site.plan_and_start();
     let why = Unusable::Unheard;
-    assert_eq!(wait(&site, job), Wait::WorkersUnusable { places: 2, why });
+    assert_eq!(
+        wait(&site, job),
+        WaitReason::WorkersUnusable { places: 2, why }
+    );
 }
 
 /// Guards against an adviser that has not answered being told as one that refuses.
@@ -294,13 +300,13 @@
     site.workload.apply(Command::SetRules(Box::new(rules)));
     let job = site.submit(2, "other", vec![step(1, 1)]);
     let question = site.plan().questions.remove(0);
-    assert_eq!(wait(&site, job), Wait::Advice);
+    assert_eq!(wait(&site, job), WaitReason::Advice);
     let none: &[Permission] = &[];
     site.dispatcher
         .permissions
         .note_answer(site.now_ms, &question, Some(none));
     site.plan();
-    assert_eq!(wait(&site, job), Wait::NoWorkerAllowed);
+    assert_eq!(wait(&site, job), WaitReason::NoWorkerAllowed);
 }
 
 /// Guards against room that the plan holds back for a larger gang being told as free, or without that gang.
@@ -313,7 +319,7 @@
     let job = site.submit(2, "other", vec![step(1, 1)]);
     site.plan_and_start();
     let to = vec![support::task(larger, 0, 0).step.to_string()];
-    assert_eq!(wait(&site, job), Wait::RoomPromised { places: 0, to });
+    assert_eq!(wait(&site, job), WaitReason::RoomPromised { places: 0, to });
 }
 
 /// Guards against room that the plan keeps for urgent work being told as free.
@@ -324,7 +330,7 @@
     site.plan_and_start();
     let job = site.submit(2, "other", vec![step(1, 8)]);
     site.plan_and_start();
-    assert_eq!(wait(&site, job), Wait::RoomKept { places: 0 });
+    assert_eq!(wait(&site, job), WaitReason::RoomKept { places: 0 });
 }
 
 /// Guards against room on a worker where the task has failed being told as free.
@@ -347,7 +353,7 @@
         .note_ends(site.now_ms, &ends, &site.workload, &site.dispatcher);
     site.end(run, EndKind::Failed);
     site.plan_and_start();
-    assert_eq!(wait(&site, job), Wait::WorkersAvoided { workers: 1 });
+    assert_eq!(wait(&site, job), WaitReason::WorkersAvoided { workers: 1 });
 }
 
 /// Guards against a gang that waits for a rack being told as one that the next plan begins.
@@ -367,7 +373,7 @@
     };
     let job = site.submit(2, "other", vec![local]);
     site.plan_and_start();
-    assert_eq!(wait(&site, job), Wait::Rack);
+    assert_eq!(wait(&site, job), WaitReason::Rack);
 }
 
 /// A job under which a worker has crashed, beside two workers with room on which something has just begun.
@@ -393,7 +399,7 @@
 #[test]
 fn a_task_that_may_crash_its_worker_says_so() {
     let (site, job) = suspect_beside_young_runs();
-    assert_eq!(wait(&site, job), Wait::Apart { crashes: 1 });
+    assert_eq!(wait(&site, job), WaitReason::Apart { crashes: 1 });
 }
 
 /// Guards against such a task being told as kept apart when it no longer is, which would hide what it waits for.
@@ -402,7 +408,7 @@
     const PATIENCE_MS: u64 = 2_000;
     let (mut site, job) = suspect_beside_young_runs();
     site.advance(PATIENCE_MS);
-    assert_eq!(wait(&site, job), Wait::Placing);
+    assert_eq!(wait(&site, job), WaitReason::Placing);
 }
 
 /// Guards against workers that are closed for a task that may crash them being told as silent or full.
@@ -420,7 +426,10 @@
     let job = site.submit(2, "other", vec![step(1, 1)]);
     site.plan_and_start();
     let why = Unusable::BesideSuspect;
-    assert_eq!(wait(&site, job), Wait::WorkersUnusable { places: 1, why });
+    assert_eq!(
+        wait(&site, job),
+        WaitReason::WorkersUnusable { places: 1, why }
+    );
 }
 
 /// Guards against a wait for the end of an evacuation being told as one for workers that do not answer.
@@ -445,7 +454,7 @@
     site.fall_silent(&runs[2].0);
     site.end(runs[0].1, EndKind::Broken);
     site.end(runs[1].1, EndKind::Broken);
-    assert_eq!(wait(&site, job), Wait::EarlierRuns);
+    assert_eq!(wait(&site, job), WaitReason::EarlierRuns);
     let holder = steps_of(&site, job)[0].held_by.clone().unwrap();
     assert_eq!(holder.worker, runs[2].0);
     assert_eq!(holder.run, runs[2].1.to_string());
@@ -466,7 +475,7 @@
     assert_eq!(site.workload.job(job).unwrap().outcome, None);
     site.take_over(2);
     site.plan_and_start();
-    assert_eq!(wait(&site, job), Wait::UncertainFailures);
+    assert_eq!(wait(&site, job), WaitReason::UncertainFailures);
 }
 
 /// Guards against a job that its caller took back being told as waiting.
@@ -495,7 +504,7 @@
     site.send_starts();
     let steps = steps_of(&site, job);
     assert_eq!(steps.len(), 1);
-    assert_eq!(steps[0].wait, Wait::NoWorkerAllowed);
+    assert_eq!(steps[0].wait, WaitReason::NoWorkerAllowed);
     assert_eq!(steps[0].stall_check.runs, 1);
     assert!(!steps[0].stall_check.is_stalled());
 }
@@ -566,6 +575,6 @@
     site.take_news();
     let job = site.submit(2, "other", vec![step(1, 1)]);
     let steps = steps_of(&site, job);
-    assert_eq!(steps[0].wait, Wait::NoWorkerAllowed);
+    assert_eq!(steps[0].wait, WaitReason::NoWorkerAllowed);
     assert_eq!(steps[0].stall_check.places, 0);
 }
