--- a/crates/beechctl/src/commands/core_explain.rs
+++ b/crates/beechctl/src/commands/core_explain.rs
@@ -10,7 +10,7 @@
 use bh_workload::plan::JobReport;
 use bh_workload::plan::RunReport;
 use bh_workload::plan::StepReport;
-use bh_workload::plan::Unusable;
+use bh_workload::plan::UnusableReason;
 use bh_workload::plan::WaitReason;
 use bh_workload::state::GiveUp;
 use clap::Arg;
@@ -106,18 +106,18 @@
     run.phase.map_or(otherwise, phase_text).to_owned()
 }
 
-fn unusable_text(why: Unusable) -> &'static str {
+fn unusable_text(why: UnusableReason) -> &'static str {
     match why {
-        Unusable::Draining => "leaving",
-        Unusable::Replaced => "replaced by another incarnation",
-        Unusable::Evacuated => "under evacuation",
-        Unusable::BesideSuspect => "with a task that may crash them",
-        Unusable::Emptied => "whose upkeep is next",
-        Unusable::Slow => "slow",
-        Unusable::Silent => "silent",
-        Unusable::Unheard => "not heard of lately",
-        Unusable::Unverified => "not looked at since they started",
-        Unusable::SetAside => "set aside after failures",
+        UnusableReason::Draining => "leaving",
+        UnusableReason::Replaced => "replaced by another incarnation",
+        UnusableReason::Evacuated => "under evacuation",
+        UnusableReason::BesideSuspect => "with a task that may crash them",
+        UnusableReason::Emptied => "whose upkeep is next",
+        UnusableReason::Slow => "slow",
+        UnusableReason::Silent => "silent",
+        UnusableReason::Unheard => "not heard of lately",
+        UnusableReason::Unverified => "not looked at since they started",
+        UnusableReason::SetAside => "set aside after failures",
     }
 }
 
--- a/crates/bh-workload/src/plan/room.rs
+++ b/crates/bh-workload/src/plan/room.rs
@@ -2,7 +2,7 @@
 
 use super::Speeds;
 use super::Unit;
-use super::Unusable;
+use super::UnusableReason;
 use crate::dispatch::Dispatcher;
 use crate::dispatch::RunWatch;
 use crate::dispatch::Target;
@@ -83,7 +83,7 @@
     /// Whether it may be given work now.
     pub usable: bool,
     /// Why it may not, before the pass.
-    pub unusable: Option<Unusable>,
+    pub unusable: Option<UnusableReason>,
     /// Whether it could be, but is left to itself since it fails what it is given, or is slow.
     pub set_aside: bool,
 }
@@ -97,15 +97,19 @@
 }
 
 /// Why the worker behind `target` can't be given work, as far as its answers tell.
-fn not_ready_reason(target: &Target, dispatcher: &Dispatcher, now_ms: u64) -> Option<Unusable> {
+fn not_ready_reason(
+    target: &Target,
+    dispatcher: &Dispatcher,
+    now_ms: u64,
+) -> Option<UnusableReason> {
     if target.is_failing() || target.carrier_lost {
-        Some(Unusable::Silent)
+        Some(UnusableReason::Silent)
     } else if !target.answers() {
-        Some(Unusable::Unheard)
+        Some(UnusableReason::Unheard)
     } else if !target.is_verified() {
-        Some(Unusable::Unverified)
+        Some(UnusableReason::Unverified)
     } else if !target.is_current(now_ms, dispatcher.timing()) {
-        Some(Unusable::Unheard)
+        Some(UnusableReason::Unheard)
     } else {
         None
     }
@@ -124,27 +128,31 @@
         let recent = RecentStarts::new(worker, view, workload);
         let evacuated = workload.is_evacuated(&worker.info);
         let unusable = if worker.draining {
-            Some(Unusable::Draining)
+            Some(UnusableReason::Draining)
         } else if workload.has_other_incarnation(&worker.info.id) {
-            Some(Unusable::Replaced)
+            Some(UnusableReason::Replaced)
         } else if evacuated {
-            Some(Unusable::Evacuated)
+            Some(UnusableReason::Evacuated)
         } else if recent.suspect {
-            Some(Unusable::BesideSuspect)
+            Some(UnusableReason::BesideSuspect)
         } else if dispatcher.is_emptied(&worker.info.id) {
-            Some(Unusable::Emptied)
-        } else if let Some(why) = view.map_or(Some(Unusable::Unheard), |target| {
+            Some(UnusableReason::Emptied)
+        } else if let Some(why) = view.map_or(Some(UnusableReason::Unheard), |target| {
             not_ready_reason(target, dispatcher, now_ms)
         }) {
             Some(why)
         } else if speeds.is_slow(&worker.info.id, now_ms) {
-            Some(Unusable::Slow)
+            Some(UnusableReason::Slow)
         } else {
             let is_aside =
                 |target: &Target| !ignore_set_aside && now_ms < target.set_aside_until_ms;
-            view.is_some_and(is_aside).then_some(Unusable::SetAside)
+            view.is_some_and(is_aside)
+                .then_some(UnusableReason::SetAside)
         };
-        let set_aside = matches!(unusable, Some(Unusable::Slow | Unusable::SetAside));
+        let set_aside = matches!(
+            unusable,
+            Some(UnusableReason::Slow | UnusableReason::SetAside)
+        );
         let mut runs = BTreeMap::new();
         for run in worker.runs.keys() {
             *runs.entry(run.task.step).or_default() += 1;
--- a/crates/bh-workload/src/plan/unusable.rs
+++ b/crates/bh-workload/src/plan/unusable_reason.rs
@@ -6,7 +6,7 @@
 /// Why a worker gets no new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Unusable {
+pub enum UnusableReason {
     /// It is leaving.
     Draining,
     /// Another incarnation of it is recorded.
@@ -29,18 +29,20 @@
     SetAside,
 }
 
-impl Unusable {
+impl UnusableReason {
     /// Whether it ends once the worker is heard or time has passed, without the worker being replaced or anything ordered by operators.
     pub fn is_temporary(self) -> bool {
         match self {
-            Unusable::Draining | Unusable::Replaced | Unusable::Evacuated => false,
-            Unusable::BesideSuspect
-            | Unusable::Emptied
-            | Unusable::Slow
-            | Unusable::Silent
-            | Unusable::Unheard
-            | Unusable::Unverified
-            | Unusable::SetAside => true,
+            UnusableReason::Draining | UnusableReason::Replaced | UnusableReason::Evacuated => {
+                false
+            }
+            UnusableReason::BesideSuspect
+            | UnusableReason::Emptied
+            | UnusableReason::Slow
+            | UnusableReason::Silent
+            | UnusableReason::Unheard
+            | UnusableReason::Unverified
+            | UnusableReason::SetAside => true,
         }
     }
 }
--- a/crates/bh-workload/src/plan/wait_explainer.rs
+++ b/crates/bh-workload/src/plan/wait_explainer.rs
@@ -3,7 +3,7 @@
 use super::Planner;
 use super::Room;
 use super::Unit;
-use super::Unusable;
+use super::UnusableReason;
 use super::WaitReason;
 use super::place;
 use super::place::PlacementFailure;
@@ -59,7 +59,7 @@
         for room in &mut after_headroom {
             room.urgent_only = last.urgent_only.contains(&room.worker);
         }
-        let is_temporary = |room: &&Room| room.unusable.is_some_and(Unusable::is_temporary);
+        let is_temporary = |room: &&Room| room.unusable.is_some_and(UnusableReason::is_temporary);
         let recoverable = rooms.iter().filter(is_temporary).map(|room| Room {
             usable: true,
             ..room.clone()
@@ -197,7 +197,7 @@
     /// Whether the unit would have places enough if the workers that can't be used could be; `free` are those on the others.
     fn unusable_wait(&self, unit: &Unit, free: u64) -> Option<WaitReason> {
         let none = BTreeSet::new();
-        let mut by_cause: BTreeMap<Unusable, u64> = BTreeMap::new();
+        let mut by_cause: BTreeMap<UnusableReason, u64> = BTreeMap::new();
         for room in &self.recoverable {
             if let Some(why) = room.unusable {
                 *by_cause.entry(why).or_default() += room.places(unit, &none);
--- a/crates/bh-workload/src/plan/wait_reason.rs
+++ b/crates/bh-workload/src/plan/wait_reason.rs
@@ -1,6 +1,6 @@
 //! Why tasks wait.
 
-use super::Unusable;
+use super::UnusableReason;
 use crate::dispatch::RunPhase;
 use serde::Deserialize;
 use serde::Serialize;
@@ -46,7 +46,7 @@
         /// Places on such workers.
         places: u64,
         /// Why most of these places can't be used.
-        why: Unusable,
+        why: UnusableReason,
     },
     /// Room is being made by stopping others.
     RoomIsMade {
@@ -150,14 +150,14 @@
             WaitReason::NoWorkerLargeEnough => "no_worker_large_enough",
             WaitReason::Advice => "advice",
             WaitReason::WorkersUnusable { why, .. } => match why {
-                Unusable::Silent => "workers_silent",
-                Unusable::Unheard | Unusable::Unverified => "workers_unheard",
-                Unusable::SetAside | Unusable::Slow => "workers_set_aside",
-                Unusable::Draining
-                | Unusable::Replaced
-                | Unusable::Evacuated
-                | Unusable::BesideSuspect
-                | Unusable::Emptied => "workers_closed",
+                UnusableReason::Silent => "workers_silent",
+                UnusableReason::Unheard | UnusableReason::Unverified => "workers_unheard",
+                UnusableReason::SetAside | UnusableReason::Slow => "workers_set_aside",
+                UnusableReason::Draining
+                | UnusableReason::Replaced
+                | UnusableReason::Evacuated
+                | UnusableReason::BesideSuspect
+                | UnusableReason::Emptied => "workers_closed",
             },
             WaitReason::RoomIsMade { .. } => "room_is_made",
             WaitReason::NoRoom { .. } => "no_room",
--- a/crates/bh-workload/tests/runnable.rs
+++ b/crates/bh-workload/tests/runnable.rs
@@ -21,7 +21,7 @@
 use bh_workload::plan::RunnableStep;
 use bh_workload::plan::StallCheck;
 use bh_workload::plan::Survey;
-use bh_workload::plan::Unusable;
+use bh_workload::plan::UnusableReason;
 use bh_workload::plan::WaitReason;
 use bh_workload::rules::Advice;
 use bh_workload::rules::Queue;
@@ -228,11 +228,11 @@
 
 /// Guards against workers that have room and get no work being told as a full pool.
 #[rstest]
-#[case::unheard(Unusable::Unheard)]
-#[case::silent(Unusable::Silent)]
-#[case::set_aside(Unusable::SetAside)]
-#[case::emptied(Unusable::Emptied)]
-fn room_on_workers_that_get_no_work_is_told(#[case] why: Unusable) {
+#[case::unheard(UnusableReason::Unheard)]
+#[case::silent(UnusableReason::Silent)]
+#[case::set_aside(UnusableReason::SetAside)]
+#[case::emptied(UnusableReason::Emptied)]
+fn room_on_workers_that_get_no_work_is_told(#[case] why: UnusableReason) {
     let mut site = quiet_site(4);
     site.submit(2, "other", vec![step(3, 8)]);
     site.plan_and_start();
@@ -241,7 +241,7 @@
     let worker = site.workload.workers().find(free).unwrap();
     let worker = worker.info.id.clone();
     match why {
-        Unusable::Unheard => {
+        UnusableReason::Unheard => {
             let said_ms = site.now_ms;
             site.now_ms += Timing::DEFAULT.current_ms() + 1;
             for (other, _) in site.open_runs() {
@@ -251,11 +251,11 @@
             let target = site.dispatcher.view(&worker).unwrap();
             assert_eq!(target.said_ms, Some(said_ms));
         }
-        Unusable::Silent => {
+        UnusableReason::Silent => {
             site.dispatcher.check_incarnations(&worker, &site.workload);
             site.fall_silent(&worker);
         }
-        Unusable::SetAside => site.dispatcher.set_aside(site.now_ms, &worker),
+        UnusableReason::SetAside => site.dispatcher.set_aside(site.now_ms, &worker),
         _ => site
             .dispatcher
             .set_emptied(std::iter::once(worker).collect()),
@@ -275,7 +275,7 @@
     site.dispatcher = Dispatcher::new(Timing::DEFAULT, 2, site.now_ms, &site.workload);
     let job = site.submit(2, "other", vec![step(1, 1)]);
     site.plan_and_start();
-    let why = Unusable::Unheard;
+    let why = UnusableReason::Unheard;
     assert_eq!(
         wait(&site, job),
         WaitReason::WorkersUnusable { places: 2, why }
@@ -425,7 +425,7 @@
     assert_eq!(site.open_runs().len(), 1);
     let job = site.submit(2, "other", vec![step(1, 1)]);
     site.plan_and_start();
-    let why = Unusable::BesideSuspect;
+    let why = UnusableReason::BesideSuspect;
     assert_eq!(
         wait(&site, job),
         WaitReason::WorkersUnusable { places: 1, why }
