--- a/crates/bh-control/src/core/leader_loop.rs
+++ b/crates/bh-control/src/core/leader_loop.rs
@@ -14,7 +14,7 @@
 use super::upkeep;
 use bh_net::runtime::within_ms;
 use bh_workload::dispatch::Dispatcher;
-use bh_workload::plan::Overdue;
+use bh_workload::plan::OverdueReason;
 use bh_workload::plan::Planner;
 use bh_workload::state::Command;
 use bh_workload::state::Workload;
@@ -201,7 +201,7 @@
         log::info!(run = late.run.to_string(), worker = late.worker.to_string(), why:? = late.why; "run begun anew elsewhere");
         leadership.dispatcher.give_up(&late.worker, late.run);
         // A worker on which a run stands still does the same to the next one.
-        if late.why == Overdue::Still && !late.gang {
+        if late.why == OverdueReason::Still && !late.gang {
             leadership.dispatcher.set_aside(now_ms, &late.worker);
         }
     }
--- a/crates/bh-workload/src/plan/mod.rs
+++ b/crates/bh-workload/src/plan/mod.rs
@@ -38,7 +38,7 @@
 pub use explain::StepReport;
 pub use guaranteed::guaranteed_jobs;
 pub use guaranteed::widest;
-pub use overdue::Overdue;
+pub use overdue::OverdueReason;
 pub use overdue::OverdueRun;
 pub use place::Placement;
 pub use planner::Planner;
--- a/crates/bh-workload/src/plan/overdue.rs
+++ b/crates/bh-workload/src/plan/overdue.rs
@@ -23,7 +23,7 @@
 
 /// What is wrong with a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Overdue {
+pub enum OverdueReason {
     /// Its progress stands still.
     Still,
     /// At its pace it would be done sooner if it were begun anew elsewhere.
@@ -38,7 +38,7 @@
     /// The run.
     pub run: RunId,
     /// What is wrong.
-    pub why: Overdue,
+    pub why: OverdueReason,
     /// Whether it is one of a gang: then any member's worker may be the cause.
     pub gang: bool,
 }
@@ -82,9 +82,9 @@
                 .flatten()
                 .map(|learnt_ms| learnt_ms * slowdown / 100);
             let why = if has_stalled(target.reported_ms, watch, expected_ms) {
-                Overdue::Still
+                OverdueReason::Still
             } else if learnt_ms.is_some_and(|learnt_ms| is_slow(now_ms, watch, learnt_ms)) {
-                Overdue::Slow
+                OverdueReason::Slow
             } else {
                 continue;
             };
--- a/crates/bh-workload/src/plan/planner.rs
+++ b/crates/bh-workload/src/plan/planner.rs
@@ -1,6 +1,6 @@
 //! Decides what runs where.
 
-use super::Overdue;
+use super::OverdueReason;
 use super::OverdueRun;
 use super::Plan;
 use super::Room;
@@ -154,7 +154,8 @@
     ) -> Vec<OverdueRun> {
         let mut overdue = overdue(now_ms, workload, dispatcher, &self.runtimes);
         overdue.retain(|overdue_run| {
-            overdue_run.why == Overdue::Still || self.restarted_slow.insert(overdue_run.run.task)
+            overdue_run.why == OverdueReason::Still
+                || self.restarted_slow.insert(overdue_run.run.task)
         });
         for overdue_run in &overdue {
             self.failed_on
--- a/crates/bh-workload/tests/slow_runs.rs
+++ b/crates/bh-workload/tests/slow_runs.rs
@@ -9,7 +9,7 @@
 use bh_workload::dispatch::Running;
 use bh_workload::job::RunId;
 use bh_workload::job::StepSpec;
-use bh_workload::plan::Overdue;
+use bh_workload::plan::OverdueReason;
 use bh_workload::plan::OverdueRun;
 use bh_workload::state::End;
 use bh_workload::state::EndKind;
@@ -92,7 +92,7 @@
     let (worker, run) = site.open_runs()[0].clone();
     let overdue = run_slowly(&mut site, run);
     assert_eq!(overdue.len(), 1);
-    assert_eq!((overdue[0].run, overdue[0].why), (run, Overdue::Slow));
+    assert_eq!((overdue[0].run, overdue[0].why), (run, OverdueReason::Slow));
 
     note_end(&mut site, &worker, run, EndKind::Stopped);
     site.plan_and_start();
--- a/crates/bh-workload/tests/standing_still.rs
+++ b/crates/bh-workload/tests/standing_still.rs
@@ -12,7 +12,7 @@
 use bh_workload::dispatch::Timing;
 use bh_workload::job::JobId;
 use bh_workload::job::StepSpec;
-use bh_workload::plan::Overdue;
+use bh_workload::plan::OverdueReason;
 use bh_workload::plan::Planner;
 use bh_workload::state::Command;
 use bh_workload::state::EndKind;
@@ -284,7 +284,7 @@
             .overdue(site.now_ms, &site.workload, &site.dispatcher);
         assert_eq!(overdue.len(), 2);
         for late in overdue {
-            assert_eq!(late.why, Overdue::Still);
+            assert_eq!(late.why, OverdueReason::Still);
             site.end(late.run, EndKind::Stopped);
         }
     }
