--- a/crates/bh-workload/src/plan/last_pass.rs
+++ b/crates/bh-workload/src/plan/last_pass.rs
@@ -18,7 +18,7 @@
     /// Steps of which it planned starts.
     pub started: BTreeSet<StepId>,
     /// What it promised to work that does not begin yet, or kept for gangs, by worker.
-    pub reserved: BTreeMap<Incarnation, Resources>,
+    pub reserved_capacity: BTreeMap<Incarnation, Resources>,
     /// Steps to which it promised that, the first in its order.
     pub reserved_for: Vec<StepId>,
     /// Workers that it kept for work of priority 0.
@@ -35,10 +35,10 @@
     ) -> Self {
         /// Steps that are remembered, at most.
         const MAX_REPORTED_STEPS: usize = 4;
-        let reserved = rooms.iter().map(|room| {
-            let mut reserved = room.reserved;
-            reserved.add(&room.held_for_gangs);
-            (room.worker.clone(), reserved)
+        let reserved_capacity = rooms.iter().map(|room| {
+            let mut reserved_capacity = room.reserved_capacity;
+            reserved_capacity.add(&room.held_for_gangs);
+            (room.worker.clone(), reserved_capacity)
         });
         let urgent_only = rooms.iter().filter(|room| room.urgent_only);
         Self {
@@ -50,8 +50,8 @@
                 .filter(|step| waits(*step))
                 .take(MAX_REPORTED_STEPS)
                 .collect(),
-            reserved: reserved
-                .filter(|(_, reserved)| *reserved != Resources::default())
+            reserved_capacity: reserved_capacity
+                .filter(|(_, reserved_capacity)| *reserved_capacity != Resources::default())
                 .collect(),
             urgent_only: urgent_only.map(|room| room.worker.clone()).collect(),
         }
--- a/crates/bh-workload/src/plan/pass.rs
+++ b/crates/bh-workload/src/plan/pass.rs
@@ -118,7 +118,7 @@
             for (worker, count) in &reservation.places {
                 if let Some(at) = self.index.get(worker) {
                     for _ in 0..*count {
-                        self.rooms[*at].reserved.add(&unit.needs);
+                        self.rooms[*at].reserved_capacity.add(&unit.needs);
                     }
                 }
             }
@@ -226,7 +226,7 @@
     pub fn start_reserved(&mut self, unit: &Unit, placement: &Placement) {
         for (at, count) in placement {
             for _ in 0..*count {
-                self.rooms[*at].reserved.subtract(&unit.needs);
+                self.rooms[*at].reserved_capacity.subtract(&unit.needs);
             }
         }
         self.start(unit, placement);
--- a/crates/bh-workload/src/plan/preempt.rs
+++ b/crates/bh-workload/src/plan/preempt.rs
@@ -78,7 +78,7 @@
         self.failed_preemptions.clear();
         for (at, count) in &preemption_plan.placement {
             for _ in 0..*count {
-                self.rooms[*at].reserved.add(&unit.needs);
+                self.rooms[*at].reserved_capacity.add(&unit.needs);
             }
         }
         let places = preemption_plan
--- a/crates/bh-workload/src/plan/room.rs
+++ b/crates/bh-workload/src/plan/room.rs
@@ -65,7 +65,7 @@
     /// What recorded runs take beyond what it has, since it has shrunk.
     pub excess: Resources,
     /// What is promised to work that waits for it, free already or not.
-    pub reserved: Resources,
+    pub reserved_capacity: Resources,
     /// What is kept for gangs that do not fit yet, free already or not.
     pub held_for_gangs: Resources,
     /// Recorded runs by step.
@@ -167,7 +167,7 @@
             capacity: worker.info.capacity,
             free: worker.free(),
             excess: worker.excess(),
-            reserved: Resources::default(),
+            reserved_capacity: Resources::default(),
             held_for_gangs: Resources::default(),
             runs,
             fill_percent: view.map_or(100, |target| target.filling.percent()),
@@ -231,7 +231,7 @@
         gained.subtract(&self.excess);
         let mut available = self.free;
         available.add(&gained);
-        available.subtract(&self.reserved);
+        available.subtract(&self.reserved_capacity);
         available.subtract(&self.held_for_gangs);
         available
     }
@@ -242,7 +242,7 @@
             return self.available();
         }
         let mut available = self.free;
-        available.subtract(&self.reserved);
+        available.subtract(&self.reserved_capacity);
         available
     }
 
--- a/crates/bh-workload/src/plan/stall_tracker.rs
+++ b/crates/bh-workload/src/plan/stall_tracker.rs
@@ -52,9 +52,9 @@
         self.periods
             .retain(|_, period| now_ms < period.ample_ms + GAP_TOLERANCE_MS);
         let pools = pools(rooms);
-        let waiting = units
-            .iter()
-            .filter(|unit| !started.contains(&unit.step) && is_stalled(unit, rooms, &pools));
+        let waiting = units.iter().filter(|unit| {
+            !started.contains(&unit.step) && waits_beside_free_capacity(unit, rooms, &pools)
+        });
         let mut running = None;
         for unit in waiting {
             let running = running.get_or_insert_with(|| running_jobs(workload, dispatcher));
@@ -93,7 +93,7 @@
 }
 
 /// Whether a unit waits beside ample room, whoever that is kept for. Of tasks that need not begin together one is enough.
-fn is_stalled(unit: &Unit, rooms: &[Room], pools: &Pools) -> bool {
+fn waits_beside_free_capacity(unit: &Unit, rooms: &[Room], pools: &Pools) -> bool {
     let (in_use, capacity) = pools.get(&unit.pool).copied().unwrap_or_default();
     let mut stall_check = StallCheck {
         runs: 0,
--- a/crates/bh-workload/src/plan/wait_explainer.rs
+++ b/crates/bh-workload/src/plan/wait_explainer.rs
@@ -53,7 +53,11 @@
         let last = &planner.last_pass;
         let mut after_reservations = rooms.clone();
         for room in &mut after_reservations {
-            room.reserved = last.reserved.get(&room.worker).copied().unwrap_or_default();
+            room.reserved_capacity = last
+                .reserved_capacity
+                .get(&room.worker)
+                .copied()
+                .unwrap_or_default();
         }
         let mut after_headroom = after_reservations.clone();
         for room in &mut after_headroom {
