--- a/crates/bh-control/src/core/planning.rs
+++ b/crates/bh-control/src/core/planning.rs
@@ -41,8 +41,8 @@
         starts,
         evictions,
         questions,
-        claimed,
-        unclaimed,
+        reserved,
+        released,
     } = planner.plan(now_ms, core.wall_ms(), &workload, &leadership.dispatcher);
     drop(workload);
     let over_ms = core.clock.now_ms();
@@ -50,10 +50,10 @@
     leadership.plan_from_ms = over_ms + plan_gap_ms(took_ms);
     core.metrics.time_ms("plan", took_ms);
     advice::ask(core, leadership, now_ms, questions);
-    for (step, why) in unclaimed {
+    for (step, why) in released {
         log::info!(step = step.to_string(), why:? = why; "room is no longer made");
     }
-    for (step, workers) in claimed {
+    for (step, workers) in reserved {
         log::info!(step = step.to_string(), workers; "room is made");
     }
     for (worker, run) in &evictions {
--- a/crates/bh-workload/src/plan/decided.rs
+++ b/crates/bh-workload/src/plan/decided.rs
@@ -16,14 +16,14 @@
     /// What to ask an outside adviser, the most urgent first.
     pub questions: Vec<Question>,
     /// Steps for which room is being made from now on, with the number of workers.
-    pub claimed: Vec<(StepId, usize)>,
+    pub reserved: Vec<(StepId, usize)>,
     /// Steps for which room was being made in vain.
-    pub unclaimed: Vec<(StepId, Unclaimed)>,
+    pub released: Vec<(StepId, ReleaseReason)>,
 }
 
 /// Why room is no longer being made on the workers that were chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unclaimed {
+pub enum ReleaseReason {
     /// The work no longer waits.
     NotWaiting,
     /// It did not become free in time.
--- a/crates/bh-workload/src/plan/mod.rs
+++ b/crates/bh-workload/src/plan/mod.rs
@@ -31,7 +31,7 @@
 
 pub use availability::Availability;
 pub use decided::Plan;
-pub use decided::Unclaimed;
+pub use decided::ReleaseReason;
 pub use explain::BlockingRun;
 pub use explain::JobReport;
 pub use explain::RunReport;
--- a/crates/bh-workload/src/plan/pass.rs
+++ b/crates/bh-workload/src/plan/pass.rs
@@ -2,10 +2,10 @@
 
 use super::Placement;
 use super::Plan;
+use super::ReleaseReason;
 use super::Room;
 use super::Runtimes;
 use super::Speeds;
-use super::Unclaimed;
 use super::Unit;
 use super::failed_searches::FailedSearches;
 use super::place;
@@ -89,18 +89,18 @@
     ) {
         let (now_ms, rooms, index) = (self.now_ms, &self.rooms, &self.index);
         let usable = |worker: &Incarnation| index.get(worker).is_some_and(|at| rooms[*at].usable);
-        let unclaimed = &mut self.plan.unclaimed;
+        let released = &mut self.plan.released;
         reservations.retain(|step, reservation| {
             let why = if !waiting.contains(step) {
-                Unclaimed::NotWaiting
+                ReleaseReason::NotWaiting
             } else if now_ms >= reservation.until_ms {
-                Unclaimed::TooSlow
+                ReleaseReason::TooSlow
             } else if !reservation.places.iter().all(|(worker, _)| usable(worker)) {
-                Unclaimed::WorkerUnusable
+                ReleaseReason::WorkerUnusable
             } else {
                 return true;
             };
-            unclaimed.push((*step, why));
+            released.push((*step, why));
             false
         });
     }
--- a/crates/bh-workload/src/plan/preempt.rs
+++ b/crates/bh-workload/src/plan/preempt.rs
@@ -34,7 +34,7 @@
             return false;
         };
         self.plan
-            .claimed
+            .reserved
             .push((unit.step, reservation.places.len()));
         reservations.insert(unit.step, reservation);
         true
--- a/crates/bh-workload/tests/evacuation.rs
+++ b/crates/bh-workload/tests/evacuation.rs
@@ -15,7 +15,7 @@
 use bh_workload::dispatch::Report;
 use bh_workload::job::JobId;
 use bh_workload::job::StepSpec;
-use bh_workload::plan::Unclaimed;
+use bh_workload::plan::ReleaseReason;
 use bh_workload::plan::WaitReason;
 use bh_workload::state::Command;
 use bh_workload::state::EndKind;
@@ -320,14 +320,17 @@
     site.advance(100);
     let urgent = site.submit(0, "guaranteed", vec![gang(2, 8)]);
     let plan = site.plan();
-    assert_eq!(plan.claimed.len(), 1);
+    assert_eq!(plan.reserved.len(), 1);
     let claimed_far = plan.evictions.iter().any(|(worker, _)| site.is_far(worker));
     let emptied = if claimed_far { FAR } else { NEAR };
     site.evacuate(emptied);
     let plan = site.plan();
-    let dropped: Vec<Unclaimed> = plan.unclaimed.iter().map(|(_, why)| *why).collect();
-    assert_eq!(dropped, [Unclaimed::WorkerUnusable]);
-    assert_eq!(plan.claimed.first().map(|(step, _)| step.job), Some(urgent));
+    let dropped: Vec<ReleaseReason> = plan.released.iter().map(|(_, why)| *why).collect();
+    assert_eq!(dropped, [ReleaseReason::WorkerUnusable]);
+    assert_eq!(
+        plan.reserved.first().map(|(step, _)| step.job),
+        Some(urgent)
+    );
     let inside = |worker: &Incarnation| site.is_far(worker) == claimed_far;
     assert!(!plan.evictions.iter().any(|(worker, _)| inside(worker)));
 }
