--- a/crates/bh-workload/src/plan/availability.rs
+++ b/crates/bh-workload/src/plan/disruption_budget.rs
@@ -14,7 +14,7 @@
 const READY_PERCENT: u64 = 100;
 
 /// Which tasks of services may be stopped without more of them missing than their callers bear.
-pub struct Availability<'a> {
+pub struct DisruptionBudget<'a> {
     workload: &'a Workload,
     dispatcher: &'a Dispatcher,
     stopping: &'a [(Incarnation, RunId)],
@@ -22,7 +22,7 @@
     remaining: BTreeMap<StepId, u64>,
 }
 
-impl<'a> Availability<'a> {
+impl<'a> DisruptionBudget<'a> {
     /// With `stopping` as good as stopped.
     pub fn new(
         workload: &'a Workload,
@@ -39,7 +39,7 @@
 
     /// Whether a run may be stopped, and counts it as stopped if so. A run of which this leader does not know that it is at work may not:
     /// it may have been for long.
-    pub fn may_miss(&mut self, run: RunId) -> bool {
+    pub fn allow_stop(&mut self, run: RunId) -> bool {
         let step = run.task.step;
         let spec = self.workload.step_spec(step);
         let Some(most) = spec.and_then(|spec| spec.most_unavailable) else {
--- a/crates/bh-workload/src/plan/mod.rs
+++ b/crates/bh-workload/src/plan/mod.rs
@@ -1,8 +1,8 @@
 //! Decides what runs where.
 
-mod availability;
 mod collect;
 mod decided;
+mod disruption_budget;
 mod explain;
 mod failed_searches;
 mod guaranteed;
@@ -29,9 +29,9 @@
 mod wait_explainer;
 mod wait_reason;
 
-pub use availability::Availability;
 pub use decided::Plan;
 pub use decided::ReleaseReason;
+pub use disruption_budget::DisruptionBudget;
 pub use explain::BlockingRun;
 pub use explain::JobReport;
 pub use explain::RunReport;
--- a/crates/bh-workload/src/plan/preempt.rs
+++ b/crates/bh-workload/src/plan/preempt.rs
@@ -2,7 +2,7 @@
 
 use super::PreemptionCandidate;
 use super::Unit;
-use super::availability::Availability;
+use super::disruption_budget::DisruptionBudget;
 use super::pass::Pass;
 use super::place;
 use super::preemption;
@@ -98,11 +98,12 @@
         unit: &Unit,
         all: &[PreemptionCandidate],
     ) -> Result<Preemption, PreemptionFailure> {
-        let mut services = Availability::new(self.workload, self.dispatcher, &self.plan.evictions);
+        let mut budget =
+            DisruptionBudget::new(self.workload, self.dispatcher, &self.plan.evictions);
         let mut may_stop = |candidate: &&PreemptionCandidate| {
             candidate.stopping
                 || candidate.yields_to(unit)
-                    && (!candidate.has_disruption_limit || services.may_miss(candidate.run))
+                    && (!candidate.has_disruption_limit || budget.allow_stop(candidate.run))
         };
         let candidates: Vec<&PreemptionCandidate> = all.iter().filter(&mut may_stop).collect();
         let waits =
--- a/crates/bh-workload/src/upkeep/keeper.rs
+++ b/crates/bh-workload/src/upkeep/keeper.rs
@@ -6,7 +6,7 @@
 use crate::dispatch::Dispatcher;
 use crate::dispatch::Timing;
 use crate::job::RunId;
-use crate::plan::Availability;
+use crate::plan::DisruptionBudget;
 use crate::state::Command;
 use crate::state::VmUpkeep;
 use crate::state::Wave;
@@ -148,12 +148,12 @@
             let wave = workload.wave(emptying.wave);
             wave.is_some_and(|wave| wave.vms.get(vm) == Some(&VmUpkeep::Waiting))
         });
-        let mut services = Availability::new(workload, dispatcher, &[]);
+        let mut budget = DisruptionBudget::new(workload, dispatcher, &[]);
         for (vm, emptying) in &self.emptying {
             let worker = workload.worker_on(vm);
             match worker.filter(|worker| !worker.runs.is_empty()) {
                 Some(worker) if now_ms >= emptying.stop_at_ms => {
-                    steps.extend(stops(worker, dispatcher, &mut services));
+                    steps.extend(stops(worker, dispatcher, &mut budget));
                 }
                 Some(_) => {}
                 None if now_ms >= self.quiet_until_ms && self.recording.insert(vm.clone()) => {
@@ -242,7 +242,7 @@
 }
 
 /// Stops of what runs on a worker and is not being stopped yet, as far as services bear it.
-fn stops(worker: &Worker, dispatcher: &Dispatcher, services: &mut Availability) -> Vec<Step> {
+fn stops(worker: &Worker, dispatcher: &Dispatcher, budget: &mut DisruptionBudget) -> Vec<Step> {
     let target = dispatcher.view(&worker.info.id);
     let is_stopping = |run: &RunId| {
         let watch = target.and_then(|target| target.runs.get(run));
@@ -252,7 +252,7 @@
         .runs
         .keys()
         .filter(|run| !is_stopping(run))
-        .filter(|run| services.may_miss(**run))
+        .filter(|run| budget.allow_stop(**run))
         .map(|run| Step::Stop(worker.info.id.clone(), *run))
         .collect()
 }
