--- a/crates/bh-workload/src/plan/guaranteed.rs
+++ b/crates/bh-workload/src/plan/guaranteed.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 /// Accelerators that a job takes at its widest.
-pub fn widest(job: &Job) -> u64 {
+pub fn peak_accelerators(job: &Job) -> u64 {
     let width = |step: &StepSpec| u64::from(step.count) * step.needs.accelerators;
     job.spec.steps.iter().map(width).max().unwrap_or(0)
 }
@@ -22,19 +22,26 @@
     let mut jobs: Vec<(u64, JobId, &Arc<str>, u64)> = workload
         .active_jobs()
         .filter(|(_, job)| workload.queue_of(job).priority == 0)
-        .filter_map(|(id, job)| Some((job.accepted_ms, id, job.customer.as_ref()?, widest(job))))
+        .filter_map(|(id, job)| {
+            Some((
+                job.accepted_ms,
+                id,
+                job.customer.as_ref()?,
+                peak_accelerators(job),
+            ))
+        })
         .collect();
     jobs.sort();
     let mut left: BTreeMap<&Arc<str>, u64> = BTreeMap::new();
-    let mut guaranteed = BTreeSet::new();
+    let mut covered = BTreeSet::new();
     for (_, id, customer, width) in jobs {
         let left = left
             .entry(customer)
             .or_insert_with(|| rules.guaranteed(customer));
         if width <= *left {
             *left -= width;
-            guaranteed.insert(id);
+            covered.insert(id);
         }
     }
-    guaranteed
+    covered
 }
--- a/crates/bh-workload/src/plan/mod.rs
+++ b/crates/bh-workload/src/plan/mod.rs
@@ -37,7 +37,7 @@
 pub use explain::RunReport;
 pub use explain::StepReport;
 pub use guaranteed::guaranteed_jobs;
-pub use guaranteed::widest;
+pub use guaranteed::peak_accelerators;
 pub use overdue::OverdueReason;
 pub use overdue::OverdueRun;
 pub use place::Placement;
