--- a/crates/bh-workload/src/dispatch/permissions.rs
+++ b/crates/bh-workload/src/dispatch/permissions.rs
@@ -1,7 +1,7 @@
 //! What an outside adviser allows.
 
 use crate::job::StepId;
-use crate::rules::Advice;
+use crate::rules::AdviserTiming;
 use bh_protocol::Incarnation;
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -85,7 +85,7 @@
         &self,
         now_ms: u64,
         step: StepId,
-        advice: &Advice,
+        advice: &AdviserTiming,
         candidates: impl Iterator<Item = Incarnation>,
     ) -> Option<Question> {
         let known = self.steps.get(&step).cloned().unwrap_or_default();
--- a/crates/bh-workload/src/plan/unit.rs
+++ b/crates/bh-workload/src/plan/unit.rs
@@ -3,7 +3,7 @@
 use crate::job::Resources;
 use crate::job::StepId;
 use crate::job::StepSpec;
-use crate::rules::Advice;
+use crate::rules::AdviserTiming;
 use bh_protocol::Incarnation;
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -28,7 +28,7 @@
     /// What each task takes.
     pub needs: Resources,
     /// The adviser that must be asked, if any.
-    pub advised: Option<Advice>,
+    pub advised: Option<AdviserTiming>,
     /// Workers that it allows; `None` when there is none.
     pub permitted: Option<BTreeSet<Incarnation>>,
     /// Rank of its queue; 0 comes first.
--- a/crates/bh-workload/src/rules/mod.rs
+++ b/crates/bh-workload/src/rules/mod.rs
@@ -11,6 +11,6 @@
 
 pub use customer::Customer;
 pub use pool::Pool;
-pub use queue::Advice;
+pub use queue::AdviserTiming;
 pub use queue::Queue;
 pub use rules::Rules;
--- a/crates/bh-workload/src/rules/queue.rs
+++ b/crates/bh-workload/src/rules/queue.rs
@@ -28,12 +28,12 @@
     /// Whether calls need no key.
     pub public: bool,
     /// Whether an outside adviser says which workers may run a step.
-    pub advised: Option<Advice>,
+    pub advised: Option<AdviserTiming>,
 }
 
 /// Timing of the adviser's answers.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Advice {
+pub struct AdviserTiming {
     /// Fixed time of an answer in milliseconds.
     pub decision_ms: u64,
     /// Time added for each worker asked about, in milliseconds.
--- a/crates/bh-workload/tests/advice.rs
+++ b/crates/bh-workload/tests/advice.rs
@@ -8,7 +8,7 @@
 use bh_workload::dispatch::OrderBody;
 use bh_workload::dispatch::Permission;
 use bh_workload::dispatch::Question;
-use bh_workload::rules::Advice;
+use bh_workload::rules::AdviserTiming;
 use bh_workload::rules::Queue;
 use bh_workload::state::Command;
 use std::collections::BTreeSet;
@@ -26,7 +26,7 @@
     let mut rules = rules(2);
     for queue in &mut rules.queues {
         *queue = Arc::new(Queue {
-            advised: Some(Advice {
+            advised: Some(AdviserTiming {
                 decision_ms: 200,
                 per_worker_ms: 10,
                 validity_ms: VALID_MS,
--- a/crates/bh-workload/tests/runnable.rs
+++ b/crates/bh-workload/tests/runnable.rs
@@ -23,7 +23,7 @@
 use bh_workload::plan::Survey;
 use bh_workload::plan::UnusableReason;
 use bh_workload::plan::WaitReason;
-use bh_workload::rules::Advice;
+use bh_workload::rules::AdviserTiming;
 use bh_workload::rules::Queue;
 use bh_workload::state::Command;
 use bh_workload::state::EndKind;
@@ -289,7 +289,7 @@
     let mut rules = rules(2);
     for queue in &mut rules.queues {
         *queue = Arc::new(Queue {
-            advised: Some(Advice {
+            advised: Some(AdviserTiming {
                 decision_ms: 200,
                 per_worker_ms: 10,
                 validity_ms: 5_000,
