--- a/crates/bh-workload/src/job/job_id.rs
+++ b/crates/bh-workload/src/job/job_id.rs
@@ -1,19 +1,19 @@
-//! Name of a job, chosen by its caller.
+//! Identifier of a job, chosen by its caller.
 
 use serde::Deserialize;
 use serde::Serialize;
 use std::fmt;
 
-/// Digits of a written job name.
+/// Number of hexadecimal digits in the text form.
 const DIGITS: usize = 16;
 
-/// A job's name: sixteen hexadecimal digits.
+/// Identifier of a job. Its text form is sixteen lower-case hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct JobId(pub u64);
 
 impl JobId {
-    /// Reads a written name; `None` unless it is sixteen lower-case hexadecimal digits.
+    /// Parses the text form. Returns `None` unless the text is exactly sixteen lower-case hexadecimal digits.
     pub fn parse(text: &str) -> Option<JobId> {
         let written = text.len() == DIGITS
             && text
--- a/crates/bh-workload/src/job/job_spec.rs
+++ b/crates/bh-workload/src/job/job_spec.rs
@@ -1,52 +1,52 @@
-//! What a caller asks for.
+//! Specification of a job.
 
 use super::StepSpec;
 use serde::Deserialize;
 use serde::Serialize;
 use std::sync::Arc;
 
-/// Steps in one job at most: an unbounded number would let one caller fill the replicated state.
+/// Maximum number of steps in a job. Without a limit, one caller could fill the replicated state.
 pub const MAX_STEPS: usize = 64;
-/// Tasks in one occurrence of a job at most: the largest gang the system is designed for, in several steps.
+/// Maximum number of tasks in one occurrence of a job: the largest gang that the system is designed for, split into several steps.
 pub const MAX_TASKS: u64 = 8_192;
-/// Occurrences of one job at most.
+/// Maximum number of occurrences of a job.
 pub const MAX_OCCURRENCES: u32 = 1_024;
 
-/// A job as its caller describes it.
+/// A job as its caller specifies it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Handed to every task, not interpreted.
+    /// Opaque text that is passed to every task.
     pub text: Arc<str>,
-    /// The steps, in order.
+    /// Steps in order.
     pub steps: Vec<StepSpec>,
-    /// When the steps run, if not at once.
+    /// When the steps run; `None` to run them once, at once.
     pub schedule: Option<Schedule>,
 }
 
-/// Repetition by time.
+/// Schedule of a repeated job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Schedule {
     /// When the first occurrence is due, in milliseconds since 1970.
     pub first_due_ms: u64,
-    /// Time between occurrences in milliseconds.
+    /// Time between occurrences, in milliseconds.
     pub interval_ms: u64,
     /// Number of occurrences, at least 1.
     pub times: u32,
 }
 
 impl JobSpec {
-    /// Number of occurrences.
+    /// Returns the number of occurrences.
     pub fn occurrences(&self) -> u32 {
         self.schedule.map_or(1, |schedule| schedule.times)
     }
 
-    /// When an occurrence is due, in milliseconds since 1970; `None` for at once.
+    /// Returns when an occurrence is due, in milliseconds since 1970, or `None` if it may start at once.
     pub fn due_ms(&self, occurrence: u32) -> Option<u64> {
         self.schedule
             .map(|schedule| schedule.first_due_ms + u64::from(occurrence) * schedule.interval_ms)
     }
 
-    /// What is wrong with the job, if anything.
+    /// Returns the first reason why the job is invalid, or `None` if it is valid.
     pub fn problem(&self) -> Option<&'static str> {
         if self.steps.is_empty() {
             return Some("the job has no step");
--- a/crates/bh-workload/src/job/mod.rs
+++ b/crates/bh-workload/src/job/mod.rs
@@ -1,4 +1,4 @@
-//! Jobs as callers describe them, and the names of their parts.
+//! Specifications of jobs and the identifiers of their parts.
 
 mod job_id;
 mod job_spec;
--- a/crates/bh-workload/src/job/resources.rs
+++ b/crates/bh-workload/src/job/resources.rs
@@ -1,28 +1,28 @@
-//! What a task takes and what a worker has.
+//! Resources of tasks and workers.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Processors, memory and accelerators.
+/// An amount of cores, memory and accelerators: what a task needs, or what a worker has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resources {
-    /// Thousandths of a processor core.
+    /// Processor time in thousandths of a core.
     pub cpu_millis: u64,
     /// Memory in MiB.
     pub memory_mb: u64,
-    /// Accelerators.
+    /// Number of accelerators.
     pub accelerators: u64,
 }
 
 impl Resources {
-    /// Whether all of this fits into `room`.
+    /// Returns whether this amount fits into `room`.
     pub fn fits_in(&self, room: &Resources) -> bool {
         self.cpu_millis <= room.cpu_millis
             && self.memory_mb <= room.memory_mb
             && self.accelerators <= room.accelerators
     }
 
-    /// How many of this fit into `room` side by side, at most `most`.
+    /// Returns how many times this amount fits into `room`, at most `most`.
     pub fn count_in(&self, room: &Resources, most: u64) -> u64 {
         let times = |need: u64, have: u64| have.checked_div(need).unwrap_or(most);
         times(self.cpu_millis, room.cpu_millis)
@@ -31,7 +31,7 @@
             .min(most)
     }
 
-    /// Takes `other` away, down to nothing.
+    /// Subtracts `other`. Amounts that would become negative become zero.
     pub fn subtract(&mut self, other: &Resources) {
         self.cpu_millis = self.cpu_millis.saturating_sub(other.cpu_millis);
         self.memory_mb = self.memory_mb.saturating_sub(other.memory_mb);
@@ -45,11 +45,12 @@
         self.accelerators += other.accelerators;
     }
 
-    /// The whole as one figure in thousandths of a core, an accelerator counted as [`CORES_PER_ACCELERATOR`] cores.
+    /// Returns one figure for the whole amount, in thousandths of a core. An accelerator counts as [`CORES_PER_ACCELERATOR`] cores; memory
+    /// does not count.
     pub fn weight(&self) -> u64 {
         self.cpu_millis + self.accelerators * CORES_PER_ACCELERATOR * 1_000
     }
 }
 
-/// Cores that one accelerator counts for when work is compared; the users value them so.
+/// Number of cores that one accelerator is worth when amounts of work are compared. The users value accelerators at this rate.
 pub const CORES_PER_ACCELERATOR: u64 = 8;
--- a/crates/bh-workload/src/job/step_spec.rs
+++ b/crates/bh-workload/src/job/step_spec.rs
@@ -1,55 +1,55 @@
-//! What a caller asks of one step.
+//! Specification of a step.
 
 use super::Resources;
 use serde::Deserialize;
 use serde::Serialize;
 use std::sync::Arc;
 
-/// One step of a job: tasks that are alike.
+/// One step of a job. All its tasks have the same specification.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepSpec {
     /// Number of tasks.
     pub count: u32,
-    /// What each task takes.
+    /// Resources that each task needs.
     pub needs: Resources,
-    /// Declared run time of a task in milliseconds; 0 when not declared. Often far off.
+    /// Run time of a task as the caller declares it, in milliseconds; 0 if not declared. It is often far off.
     pub declared_ms: u64,
-    /// Earlier steps that must be done first.
+    /// Positions of the earlier steps that must be done before this one starts.
     pub after: Vec<u32>,
-    /// Whether the tasks save their progress.
+    /// Whether the tasks save checkpoints.
     pub checkpoints: bool,
-    /// Whether the tasks run only together.
+    /// Whether the tasks are a gang, which runs either as a whole or not at all.
     pub gang: bool,
-    /// Whether the tasks are slower when they run on more than one rack.
+    /// Whether the tasks run slower when they are spread over several racks.
     pub rack_local: bool,
-    /// Label that a worker must have.
+    /// Label that a worker must have to run the tasks.
     pub required_label: Option<Arc<str>>,
-    /// Rack that holds the data; the tasks are slower elsewhere.
+    /// Rack that holds the input data. The tasks run slower on other racks.
     pub near_rack: Option<Arc<str>>,
-    /// Most tasks of the step on one worker; `None` for any number.
+    /// Maximum number of tasks of the step on one worker; `None` for no limit.
     pub most_per_worker: Option<u32>,
-    /// Whether copies of a task may run side by side.
+    /// Whether several copies of a task may run at the same time.
     pub speculative: bool,
-    /// Whether the tasks run until the job is cancelled.
+    /// Whether the tasks are a service, which runs until the job is cancelled.
     pub long_running: bool,
-    /// Name of what the tasks run; tasks of one name behave alike.
+    /// Name of the image that the tasks run. Tasks with the same image have similar run times.
     pub image: Option<Arc<str>>,
-    /// Bound on the tail of a serving task's response times, in milliseconds.
+    /// Objective for the tail latency of a serving task, in milliseconds.
     pub tail_target_ms: Option<u64>,
-    /// Whether the tasks only use processors that others leave idle.
+    /// Whether the tasks use only processor time that other tasks leave idle.
     pub fills_idle: bool,
-    /// Tasks that the system may make unavailable at a time; `None` when the step states no such limit.
+    /// Maximum number of tasks that the system may make unavailable at the same time; `None` for no limit.
     pub most_unavailable: Option<u32>,
 }
 
 impl StepSpec {
-    /// Most tasks of the step on one worker.
+    /// Returns the maximum number of tasks of the step on one worker.
     pub fn most_on_worker(&self) -> u64 {
         self.most_per_worker
             .map_or(u64::MAX, |most| u64::from(most.max(1)))
     }
 
-    /// What a task takes of a worker's capacity: processors that others leave idle are not taken from anyone.
+    /// Returns the resources that a task reserves on its worker. Tasks that use only idle processor time reserve no cores.
     pub fn reserved(&self) -> Resources {
         Resources {
             cpu_millis: if self.fills_idle {
--- a/crates/bh-workload/src/job/task_id.rs
+++ b/crates/bh-workload/src/job/task_id.rs
@@ -1,4 +1,4 @@
-//! Names of steps and tasks within a job.
+//! Identifiers of steps, tasks and runs.
 
 use super::JobId;
 use serde::Deserialize;
@@ -10,7 +10,7 @@
 pub struct StepId {
     /// The job.
     pub job: JobId,
-    /// Occurrence, from 0; 0 for a job without repetitions.
+    /// Occurrence, from 0. It is always 0 for a job without a schedule.
     pub occurrence: u32,
     /// Position of the step in the job, from 0.
     pub step: u32,
@@ -32,7 +32,7 @@
 }
 
 impl TaskId {
-    /// Reads `JOB.OCCURRENCE.STEP.INDEX`.
+    /// Parses `JOB.OCCURRENCE.STEP.INDEX`.
     pub fn parse(text: &str) -> Option<TaskId> {
         let mut parts = text.split('.');
         let job = JobId::parse(parts.next()?)?;
@@ -56,18 +56,19 @@
     }
 }
 
-/// One execution of a task on one worker. Written as a list of numbers: the record holds very many of them, and names of fields would
-/// make up most of it.
+/// One run of a task on one worker.
+///
+/// Serialized as a list of numbers: the replicated record holds so many runs that field names would make up most of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "Numbers", into = "Numbers")]
 pub struct RunId {
     /// The task.
     pub task: TaskId,
-    /// Number of the execution, from 1.
+    /// Number of the run, from 1.
     pub attempt: u32,
 }
 
-/// Job, occurrence, step, index, attempt.
+/// Serialized form: job, occurrence, step, index, attempt.
 type Numbers = (JobId, u32, u32, u32, u32);
 
 impl From<Numbers> for RunId {
--- a/crates/bh-workload/src/lib.rs
+++ b/crates/bh-workload/src/lib.rs
@@ -1,7 +1,8 @@
-//! Jobs of steps and tasks on leased workers.
+//! Scheduling of jobs, which consist of steps and tasks, on leased workers.
 //!
-//! Four parts, all pure: [`state`] is the replicated record, [`plan`] decides what runs where, [`dispatch`] turns recorded runs
-//! into orders to workers and their answers into ends, [`upkeep`] empties VMs and has them serviced. None owns a socket, file or clock.
+//! The modules do no I/O: [`state`] is the replicated record, [`plan`] decides which task runs on which worker, [`dispatch`] turns recorded
+//! runs into orders to workers and their answers into ends of runs, and [`upkeep`] empties VMs and orders their maintenance. None of them
+//! owns a socket, a file or a clock.
 
 pub mod dispatch;
 pub mod job;
--- a/crates/bh-workload/src/pairs.rs
+++ b/crates/bh-workload/src/pairs.rs
@@ -1,4 +1,4 @@
-//! Maps written as lists of pairs, for keys that JSON cannot write as text.
+//! Serializes maps as lists of pairs, for keys that JSON can't represent as strings.
 
 use serde::Deserialize;
 use serde::Deserializer;
@@ -6,11 +6,11 @@
 use serde::Serializer;
 use std::collections::BTreeMap;
 
-/// Writes the map as a list of pairs.
+/// Serializes the map as a list of pairs.
 ///
 /// # Errors
 ///
-/// Those of the serializer.
+/// Returns the errors of the serializer.
 pub fn serialize<K: Serialize, V: Serialize, S: Serializer>(
     map: &BTreeMap<K, V>,
     serializer: S,
@@ -18,11 +18,11 @@
     serializer.collect_seq(map.iter())
 }
 
-/// Reads a list of pairs.
+/// Deserializes a list of pairs into a map.
 ///
 /// # Errors
 ///
-/// Those of the deserializer.
+/// Returns the errors of the deserializer.
 pub fn deserialize<'de, K, V, D>(deserializer: D) -> Result<BTreeMap<K, V>, D::Error>
 where
     K: Deserialize<'de> + Ord,
--- a/crates/bh-workload/src/plan/collect.rs
+++ b/crates/bh-workload/src/plan/collect.rs
@@ -1,4 +1,4 @@
-//! The work that waits to be placed, in the order in which it shall be.
+//! Collects the units that wait for placement, and sorts them by precedence.
 
 use super::Runtimes;
 use super::Unit;
@@ -17,23 +17,23 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Share of a job's value that does not grow with its work; the users value a job at 0.3 of its kind's mean whatever its size.
+/// Share of a job's value that does not grow with its work. Users value a job at 0.3 of the mean of its queue whatever its size.
 const FIXED_VALUE_SHARE: f64 = 0.3;
-/// Value of a job that can only be late, against one on time; the users credit between a fifth and a third.
+/// Value of a job that can only end late, relative to one that is on time. Users credit between a fifth and a third.
 const LATE_VALUE: f64 = 0.25;
-/// Value of a job that is later than callers credit; above nothing, so that it is still done.
+/// Value of a job that ends too late for any credit. It is above zero so that the job still runs.
 const EXPIRED_VALUE: f64 = 0.01;
-/// Slack factor below which a job is placed where runs are fastest; the others leave that room to it. Below two, a place that is half as
-/// fast again uses up half of what there is to spare.
+/// Queues with a slack factor below this have tight deadlines, and their jobs go where runs are fastest. With a factor below 2, a data
+/// centre that takes half as long again uses up half of the slack.
 const TIGHT_SLACK_FACTOR: f64 = 2.0;
-/// Slack, in percent of its run time, below which a gang may use room that is kept for urgent work. What is kept is the emptiest rack, and that is
-/// the only place for a large gang: it would wait until no urgent work comes any more, and be late. Small tasks find room elsewhere. One run
-/// time is about what other gangs take to leave a rack.
+/// A gang may use the urgent headroom when its slack is below this share of its run time, in percent. The headroom takes up the emptiest
+/// rack, which may be the only place for a large gang: it would wait until no urgent work arrives any more, and be late. Small tasks fit
+/// elsewhere. One run time is about what other gangs take to leave a rack.
 const LAST_CHANCE_PERCENT: u64 = 100;
-/// Times the objective after which a late job earns nothing.
+/// A late job earns credit until this multiple of its objective.
 const MAX_LATE_FACTOR: u64 = 3;
 
-/// What is known of one job when its steps are collected.
+/// Facts about a job that all its steps share.
 struct Context<'a> {
     id: JobId,
     job: &'a Job,
@@ -42,7 +42,7 @@
     mean_work: f64,
 }
 
-/// The step at position `index` of the first occurrence: what is learnt of it holds for the later ones.
+/// Returns the identifier of the step at position `index`. Run times learnt for the first occurrence also apply to later ones.
 fn step_at(id: JobId, occurrence: u32, index: usize) -> StepId {
     StepId {
         job: id,
@@ -51,11 +51,11 @@
     }
 }
 
-/// Work of a whole occurrence of a job, in thousandths of core-milliseconds.
+/// Returns the expected work of one occurrence of a job, in thousandths of core-milliseconds.
 pub fn job_work(id: JobId, job: &Job, runtimes: &Runtimes) -> f64 {
     let step_work = |(index, spec): (usize, &StepSpec)| {
         let expected_ms = runtimes.expected_ms(&job.queue.name, step_at(id, 0, index), spec);
-        // Precise to one part in 2^53, far finer than the estimates.
+        // The conversion is precise to one part in 2^53, far finer than the estimates.
         #[expect(clippy::cast_precision_loss, reason = "an estimate")]
         let each = spec.needs.weight() as f64 * expected_ms as f64;
         f64::from(spec.count) * each
@@ -64,7 +64,7 @@
     steps.map(step_work).sum::<f64>().max(1.0)
 }
 
-/// Expected time of the longest chain of steps, in milliseconds.
+/// Returns the expected time of the longest chain of dependent steps, in milliseconds.
 pub fn critical_path_ms(id: JobId, job: &Job, runtimes: &Runtimes) -> u64 {
     let mut until: Vec<u64> = Vec::with_capacity(job.spec.steps.len());
     for (index, spec) in job.spec.steps.iter().enumerate() {
@@ -79,13 +79,13 @@
     until.into_iter().max().unwrap_or(0)
 }
 
-/// Time within which a job is on time from its acceptance, or from the time that an occurrence is due, in milliseconds.
+/// Returns the completion objective of a job, in milliseconds from its acceptance or from the time that an occurrence is due.
 pub fn objective_ms(id: JobId, job: &Job, queue: &Queue, runtimes: &Runtimes) -> u64 {
     scaled(critical_path_ms(id, job, runtimes), queue.slack_factor) + queue.target_latency_ms
 }
 
-/// All units that may begin at `wall_ms`, best first; `entitled` are the jobs that guarantees cover, and runs away from their rack take
-/// `remote_percent` of the usual time.
+/// Collects all units that may start at `wall_ms`, the most important first. `guaranteed` are the jobs that guarantees cover. Runs away
+/// from their preferred rack take `remote_percent` of the usual time.
 pub fn collect(
     workload: &Workload,
     runtimes: &Runtimes,
@@ -183,7 +183,7 @@
     }
 }
 
-/// `ms` times a factor from the settings.
+/// Returns `ms` times `factor`.
 fn scaled(ms: u64, factor: f64) -> u64 {
     #[expect(
         clippy::cast_precision_loss,
@@ -203,7 +203,7 @@
     }
 }
 
-/// Workers that crashed under one of these tasks, of the one with most of them.
+/// Returns how many workers crashed under one of these tasks; the maximum over the tasks.
 fn crashes(progress: &Step, indices: &[u32]) -> u32 {
     let tasks = indices
         .iter()
@@ -211,7 +211,8 @@
     tasks.map(Task::all_crashes).max().unwrap_or(0)
 }
 
-/// Tasks that wait, and the numbers of their next runs. Tasks under which a worker has crashed go first and by themselves, a gang always whole.
+/// Returns the indices of the waiting tasks and the numbers of their next runs. A gang waits as a whole. Of other steps, tasks under which
+/// a worker has crashed go first, without the others.
 fn waiting_tasks(progress: &Step, spec: &StepSpec) -> (Vec<u32>, Vec<u32>) {
     if spec.gang {
         if !progress.gang_waits() {
@@ -233,8 +234,8 @@
         .unzip()
 }
 
-/// What a guarantee covers comes first, then services that miss a task, since their callers wait for it now; then what still earns most
-/// for the room it takes, then what could have begun first.
+/// Sorts units by precedence: guaranteed work first, then services, whose callers wait for each missing task, then by value density, then
+/// by the time that the unit became ready.
 fn sort(units: &mut [Unit]) {
     let order = |a: &Unit, b: &Unit| {
         b.guaranteed
@@ -251,7 +252,7 @@
     units.sort_by(order);
 }
 
-/// Steps whose units are in `units`.
+/// Returns the steps of the units.
 pub fn steps(units: &[Unit]) -> BTreeSet<StepId> {
     units.iter().map(|unit| unit.step).collect()
 }
--- a/crates/bh-workload/src/plan/pass.rs
+++ b/crates/bh-workload/src/plan/pass.rs
@@ -1,4 +1,4 @@
-//! One pass of planning.
+//! One pass of the planner.
 
 use super::Placement;
 use super::Plan;
@@ -25,32 +25,33 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// One pass of planning.
+/// State of one pass of the planner.
 pub(super) struct Pass<'a> {
     pub(super) now_ms: u64,
     pub(super) wall_ms: u64,
     pub(super) workload: &'a Workload,
     pub(super) dispatcher: &'a Dispatcher,
     pub(super) runtimes: &'a Runtimes,
-    /// Jobs that guarantees cover.
+    /// Jobs that are covered by a customer's guarantee.
     pub(super) guaranteed: &'a BTreeSet<JobId>,
-    /// Workers as this pass sees them.
+    /// Workers and their free capacity. The pass updates them as it places work.
     pub rooms: Vec<Room>,
     pub(super) index: BTreeMap<Incarnation, usize>,
-    /// Recorded runs, once somebody asks for room that they take.
+    /// All recorded runs, collected when the first unit tries to preempt others.
     pub(super) preemption_candidates: Option<PreemptionCandidates>,
-    /// When runs of each worker are expected to end, once somebody asks.
+    /// Expected end and resources of the runs on each worker, computed on first use.
     pub(super) run_ends: BTreeMap<usize, Rc<[(u64, Resources)]>>,
-    /// What finds no free room; told apart by whether it may use kept room.
+    /// Placements that failed for lack of free capacity, by whether the unit may use the urgent headroom.
     pub(super) failed_placements: FailedSearches<bool>,
-    /// What finds no room even if all were stopped that give way to it; told apart by guarantee, service and priority.
+    /// Preemptions that failed because stopping every run that yields would not free enough, by guarantee, service and priority of the
+    /// unit.
     pub(super) failed_preemptions: FailedSearches<(bool, bool, u32)>,
-    /// What was decided so far.
+    /// Decisions made so far.
     pub plan: Plan,
 }
 
 impl<'a> Pass<'a> {
-    /// A pass at a time of the leader's clock and of the wall clock, both in milliseconds.
+    /// Starts a pass at a time on the leader's clock and on the wall clock, both in milliseconds.
     pub fn new(
         (now_ms, wall_ms): (u64, u64),
         workload: &'a Workload,
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Drops claims that have become pointless.
+    /// Drops reservations that are no longer needed, have timed out or include an unusable worker.
     pub fn drop_stale_reservations(
         &mut self,
         reservations: &mut BTreeMap<StepId, Reservation>,
@@ -105,7 +106,7 @@
         });
     }
 
-    /// Takes the claimed room away from everybody else.
+    /// Takes the reserved capacity off what other units can use.
     pub fn apply_reservations(
         &mut self,
         reservations: &BTreeMap<StepId, Reservation>,
@@ -125,7 +126,7 @@
         }
     }
 
-    /// The claimed places, once all of them are free.
+    /// Returns the reserved placement once all its capacity is free.
     pub fn reserved_placement(&self, reservation: &Reservation, unit: &Unit) -> Option<Placement> {
         reservation
             .places
@@ -138,7 +139,7 @@
             .collect()
     }
 
-    /// Asks the unit's adviser about more workers when those it allows have not enough room.
+    /// Asks the unit's adviser about more workers if the permitted ones have too little capacity.
     pub fn ask_adviser(&mut self, unit: &Unit) {
         let Some(advice) = &unit.advised else {
             return;
@@ -168,7 +169,7 @@
         self.plan.questions.extend(question);
     }
 
-    /// Finds workers for a whole gang; `None` when it shall wait.
+    /// Finds workers for a whole gang. Returns `None` if the gang must wait.
     pub fn place_gang(&mut self, unit: &Unit, avoid: &BTreeSet<Incarnation>) -> Option<Placement> {
         let class = unit.may_use_headroom();
         if self.failed_placements.rules_out(&class, unit, unit.count()) {
@@ -185,7 +186,8 @@
         }
     }
 
-    /// Finds workers for a unit that has stood still for long, whatever they are kept for; those that it avoids only where no others are left.
+    /// Finds workers for a unit that has been stalled for long, without regard to capacity that is held or kept for others. Workers in
+    /// `avoid` are used only if there are no others.
     pub fn place_relaxed(
         &mut self,
         unit: &Unit,
@@ -205,16 +207,16 @@
         })
     }
 
-    /// Finds workers for as many of a unit's tasks as may begin now.
+    /// Finds workers for as many of the unit's tasks as can start now.
     pub fn place_tasks(&mut self, unit: &Unit, avoid: &BTreeSet<Incarnation>) -> Placement {
-        /// What did not even find this many places.
+        /// Smallest number of tasks for which the search has failed.
         const ONE: u64 = 1;
         let class = unit.may_use_headroom();
         if self.failed_placements.rules_out(&class, unit, ONE) {
             return Placement::new();
         }
         let placement = place::place_tasks(unit, &self.rooms, avoid, self.wall_ms);
-        // One that has a rack of its own may only have waited for that.
+        // A unit that prefers a rack may only be waiting for it.
         let no_room = placement.is_empty() && unit.spec.near_rack.is_none();
         if no_room && avoid.is_empty() {
             self.failed_placements.record(class, unit, ONE);
@@ -222,7 +224,7 @@
         placement
     }
 
-    /// Starts a unit in room that was promised to it.
+    /// Starts a unit on the capacity that was reserved for it.
     pub fn start_reserved(&mut self, unit: &Unit, placement: &Placement) {
         for (at, count) in placement {
             for _ in 0..*count {
@@ -232,7 +234,7 @@
         self.start(unit, placement);
     }
 
-    /// Starts a unit where it was placed.
+    /// Starts the unit's tasks on the workers of the placement.
     pub fn start(&mut self, unit: &Unit, placement: &Placement) {
         let mut tasks = unit.indices.iter().zip(&unit.attempts);
         for (at, count) in placement {
--- a/crates/bh-workload/src/plan/place.rs
+++ b/crates/bh-workload/src/plan/place.rs
@@ -1,4 +1,4 @@
-//! Where a unit goes.
+//! Chooses workers for a unit among those with free capacity.
 
 use super::Room;
 use super::Unit;
@@ -8,40 +8,43 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Tasks on each worker: position among the rooms, and number.
+/// Number of tasks for each worker, which is given by its position among the rooms.
 pub type Placement = Vec<(usize, u64)>;
 
-/// Expected run times after which a unit no longer waits for a rack that suits it. Elsewhere it takes three times as long and three
-/// times the room, so waiting is better for its caller and for all others for twice its run time at least; the rest is against starving.
+/// How long a unit waits for a rack that it prefers, as a multiple of its expected run time. Elsewhere it takes three times as long and
+/// thus three times the capacity, so that waiting twice its run time is better for its caller and for everybody else. The rest is a margin,
+/// and the limit prevents starvation.
 const RACK_PATIENCE_RUNS: u64 = 4;
-/// The same for work that a guarantee covers, in milliseconds: it must begin within a bound of some seconds, wherever that is.
+/// How long guaranteed work waits for a preferred rack, in milliseconds. It must start within a few seconds, on any rack.
 const GUARANTEED_PATIENCE_MS: u64 = 1_200;
 
-/// Time before a unit's last chance to be on time though spread, in milliseconds: plans are made every 200 ms at the latest.
+/// A unit is spread over several racks only this long before its last chance to be on time that way, in milliseconds. Plans are made at
+/// least every 200 ms.
 const SPREAD_MARGIN_MS: u64 = 400;
-/// Share of the pool that must stay open when a unit is spread before its patience is over, in percent.
+/// Share of the pool's accelerators that must stay available when a unit is spread before it has waited its full time for a rack, in
+/// percent.
 const MIN_OPEN_PERCENT: u64 = 30;
 
-/// A worker that could take some of a unit's tasks.
+/// A worker that can run some of the unit's tasks.
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     room: usize,
     places: u64,
     free_accelerators: u64,
-    /// Lower where the unit would rather be.
+    /// Preference for the worker; lower is better.
     rank: u64,
-    /// Whether the worker is slow since it has just started, or left to itself.
+    /// Whether the worker is cold or set aside.
     last_resort: bool,
-    /// Whether room there is kept for a gang that does not fit yet.
+    /// Whether capacity of the worker is held for gangs that do not fit yet.
     held_for_gangs: bool,
 }
 
-/// Why a gang is not placed.
+/// Why a gang can't be placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlacementFailure {
-    /// There is too little room for it.
+    /// There is too little free capacity.
     NoRoom,
-    /// There is room, but it is better to wait for some in one rack.
+    /// There is enough free capacity, but waiting for one rack is better.
     WaitForRack,
 }
 
@@ -49,7 +52,7 @@
 ///
 /// # Errors
 ///
-/// [`Unplaced`].
+/// Returns why the gang can't be placed now.
 pub fn place_gang(
     unit: &Unit,
     rooms: &[Room],
@@ -85,8 +88,8 @@
     Ok(fill(&candidates, unit.count()))
 }
 
-/// Whether the unit is on time if it is spread over several racks now, hardly if it waits any longer, and the pool is idle enough to bear
-/// that it takes so much room.
+/// Returns whether the unit must start now, spread over several racks, to be on time, and whether the pool is idle enough for the extra
+/// capacity that this takes.
 fn must_spread_now(unit: &Unit, rooms: &[Room], wall_ms: u64) -> bool {
     let end_ms = wall_ms + unit.expected_spread_ms;
     if end_ms > unit.due_ms || end_ms + SPREAD_MARGIN_MS <= unit.due_ms {
@@ -103,17 +106,17 @@
     left * 100 >= all * MIN_OPEN_PERCENT
 }
 
-/// Whether the unit is slower on some racks, or on several.
+/// Returns whether the unit is slower on some racks, or when it is spread over several.
 pub fn prefers_one_rack(unit: &Unit) -> bool {
     unit.spec.near_rack.is_some() || (unit.spec.gang && unit.spec.rack_local)
 }
 
-/// Whether a rack is as fast as any for the unit.
+/// Returns whether the unit runs at full speed on this rack.
 pub fn is_preferred_rack(unit: &Unit, rack: &Arc<str>) -> bool {
     unit.spec.near_rack.as_ref().is_none_or(|near| near == rack)
 }
 
-/// Racks that suit the unit and could hold it if they were empty.
+/// Returns the preferred racks that could hold the unit if they were empty.
 pub fn large_enough_racks(unit: &Unit, rooms: &[Room]) -> BTreeSet<Arc<str>> {
     let mut capacity: BTreeMap<&Arc<str>, u64> = BTreeMap::new();
     let eligible = rooms
@@ -131,7 +134,7 @@
         .collect()
 }
 
-/// Finds workers for as many of the unit's tasks as may begin now.
+/// Finds workers for as many of the unit's tasks as can start now.
 pub fn place_tasks(
     unit: &Unit,
     rooms: &[Room],
@@ -153,7 +156,7 @@
     placement
 }
 
-/// Whether a rack that suits the unit could hold it once it is free, and waiting for that is still worth it.
+/// Returns whether the unit waits for a preferred rack: one is large enough, and the unit has not waited too long.
 pub fn waits_for_rack(unit: &Unit, rooms: &[Room], wall_ms: u64) -> bool {
     let patience_ms = if unit.guaranteed {
         GUARANTEED_PATIENCE_MS
@@ -179,8 +182,8 @@
         })
         .filter(|candidate| candidate.places > 0)
         .collect();
-    // The fullest workers first: whole free ones are kept for large tasks. Cold ones and those left to themselves last: one slow member holds a
-    // whole gang up. What is kept for a gang looks full, and is taken only where nothing else is left, or that gang would never begin.
+    // Fuller workers come first, so that empty ones stay available for large tasks. Cold workers and those set aside come last, because one
+    // slow member delays a whole gang. Workers held for a gang look full, but come after the others, or that gang would never start.
     candidates.sort_by_key(|candidate| {
         (
             candidate.last_resort,
@@ -193,14 +196,15 @@
     candidates
 }
 
-/// Tight work goes where runs are fastest, the rest where they are slowest: it has time to spare, and leaves the fast room to others.
+/// Returns the preference for a worker; lower is better. Units with tight deadlines go where runs are fastest. Others have time to spare
+/// and go where runs are slowest, which leaves the fast workers free.
 fn rank(unit: &Unit, room: &Room) -> u64 {
     const SLOWEST_PERCENT: u64 = 1_000;
     if unit.is_suspect() {
-        // Where least is lost should it crash the worker.
+        // The fewest runs are lost if the suspect task crashes the worker.
         room.runs.values().sum()
     } else if unit.spec.fills_idle {
-        // Beside a service that is near its bound they would be held back as well.
+        // Next to a service that is near its latency objective, the tasks would be slowed down too.
         SLOWEST_PERCENT.saturating_sub(room.fill_percent)
     } else if unit.tight_deadline {
         room.runtime_percent
@@ -239,7 +243,7 @@
         .sum()
 }
 
-/// Whether `count` places are more than the workers have that are not shunned.
+/// Returns whether `count` tasks need more capacity than the workers have that are neither cold nor set aside.
 fn needs_last_resort(candidates: &[Candidate], count: u64) -> bool {
     let preferred = candidates.iter().filter(|candidate| !candidate.last_resort);
     preferred.map(|candidate| candidate.places).sum::<u64>() < count
--- a/crates/bh-workload/src/plan/planner.rs
+++ b/crates/bh-workload/src/plan/planner.rs
@@ -1,4 +1,4 @@
-//! Decides what runs where.
+//! The planner of the leader.
 
 use super::OverdueReason;
 use super::OverdueRun;
@@ -30,42 +30,45 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Gangs that do not fit yet and have room kept for them at a time, at least; in a larger fleet one for each rack. One would let the next large gang
-/// starve behind it; many in a small fleet would leave much of it idle. Few in a large fleet let those starve that want most of a rack: room comes
-/// free in some rack all the time, and smaller work takes it.
+/// Minimum number of waiting gangs for which capacity is held at the same time. A fleet with more racks than this holds capacity for one
+/// gang per rack. With one gang at a time, the next large gang would starve behind it. With many in a small fleet, much of the fleet would
+/// be idle. With few in a large fleet, gangs that need most of a rack would starve, because capacity becomes free in some rack all the time
+/// and smaller work takes it.
 const MIN_HELD_GANGS: usize = 8;
 
-/// How long work under which a worker has crashed waits for workers on which nothing has just begun, in milliseconds. Reports come every
-/// second or two, so that one is found within this time unless something begins everywhere all the time; and a service that misses a task
-/// must not wait for longer.
+/// How long a unit under which a worker has crashed waits for workers without recent starts, in milliseconds. Workers report every second
+/// or two, so such a worker is found within this time unless tasks start everywhere all the time. A service that misses a task must not
+/// wait longer.
 const MAX_ISOLATION_WAIT_MS: u64 = 2_000;
 
-/// The leader's plan. What it has learnt is lost with the leadership and learnt again.
+/// Plans the leader's work.
+///
+/// What the planner learns is lost when its leader loses the leadership, and the next leader learns it again.
 #[derive(Clone, Debug, Default)]
 pub struct Planner {
     pub(super) runtimes: Runtimes,
     pub(super) speeds: Speeds,
     headroom: UrgentHeadroom,
     pub(super) reservations: BTreeMap<StepId, Reservation>,
-    /// Workers on which a task failed; it tries others first.
+    /// Workers on which a task failed. The next attempt of the task prefers other workers.
     pub(super) failed_on: BTreeMap<TaskId, BTreeSet<Incarnation>>,
-    /// Tasks that were begun anew because they were slow. One that is as slow elsewhere takes that long, and begun anew each time it would
-    /// never end.
+    /// Tasks that were restarted because they were slow. They are restarted for this reason only once: a task that is as slow on every
+    /// worker would never end otherwise.
     restarted_slow: BTreeSet<TaskId>,
-    /// Since when work under which a worker has crashed waits, on the leader's clock in milliseconds.
+    /// Since when each unit under which a worker has crashed waits, on the leader's clock in milliseconds.
     isolated_since_ms: BTreeMap<StepId, u64>,
-    /// What the last pass left behind, to explain why work waits.
+    /// Outcome of the last pass, to explain why work waits.
     pub(super) last_pass: LastPass,
     stall_tracker: StallTracker,
 }
 
 impl Planner {
-    /// A planner that has learnt nothing.
+    /// Creates a planner that has learnt nothing.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Learns from ends that are about to be recorded.
+    /// Learns from ends of runs that are about to be recorded.
     pub fn note_ends(
         &mut self,
         now_ms: u64,
@@ -111,7 +114,7 @@
         let watch = dispatcher
             .view(&end.worker)
             .and_then(|target| target.runs.get(&end.run));
-        // When a run began that an earlier leader ordered, or whose order had no answer, is not known.
+        // The start time of a run is unknown if a previous leader ordered it or if its start order had no answer.
         let Some(watch) = watch.filter(|watch| !watch.was_unsure) else {
             return;
         };
@@ -129,7 +132,7 @@
         let cold = dispatcher
             .view(&end.worker)
             .is_some_and(|target| at_ms < target.cold_until_ms);
-        // Runs that went on from a checkpoint, away from their data, or on a worker that had just started, say little about the usual time.
+        // Runs that resumed from a checkpoint, ran far from their data or started on a cold worker say little about the usual run time.
         if resumed || away || cold {
             return;
         }
@@ -145,7 +148,7 @@
         self.runtimes.record(&job.queue.name, step, spec, took_ms);
     }
 
-    /// Runs to begin anew elsewhere. The workers they are on are not tried again for the same tasks.
+    /// Returns the runs to restart on other workers. Their tasks avoid the current workers from now on.
     pub fn overdue(
         &mut self,
         now_ms: u64,
@@ -166,7 +169,8 @@
         overdue
     }
 
-    /// Runs to stop because their workers leave before they can end, at a time of the leader's clock and of the wall clock, both in milliseconds.
+    /// Returns the runs to stop because their workers leave before the runs can end. `times` are the leader's clock and the wall clock,
+    /// both in milliseconds.
     pub fn cut_short(
         &self,
         times: (u64, u64),
@@ -176,20 +180,21 @@
         leaving::cut_short(times, workload, dispatcher, &self.runtimes)
     }
 
-    /// Time within which a job is on time, in milliseconds, by the run times learnt so far; `None` when it is not known.
+    /// Returns the time in which a job must be done to be on time, in milliseconds, based on the run times learnt so far. Returns `None`
+    /// for an unknown job.
     pub fn objective_ms(&self, workload: &Workload, id: JobId) -> Option<u64> {
         let job = workload.job(id)?;
         let queue = workload.queue_of(job);
         Some(collect::objective_ms(id, job, queue, &self.runtimes))
     }
 
-    /// Whether the next plan at `now_ms` would keep a unit apart.
+    /// Returns whether a plan at `now_ms` would make `unit` wait for workers without recent starts.
     pub(super) fn isolates(&self, now_ms: u64, unit: &Unit) -> bool {
         let since_ms = self.isolated_since_ms.get(&unit.step).copied();
         unit.is_suspect() && is_isolation_pending(now_ms, since_ms.unwrap_or(now_ms))
     }
 
-    /// What shall happen at `now_ms` of the leader's clock and `wall_ms` since 1970.
+    /// Plans what starts and what stops at `now_ms` on the leader's clock, which is `wall_ms` since 1970.
     pub fn plan(
         &mut self,
         now_ms: u64,
@@ -267,7 +272,8 @@
             }
             let mut placement = pass.place_tasks(unit, &avoid);
             if placement.is_empty() && stalled_long {
-                // The others may go on waiting for what suits them, but those of a service are missed one by one.
+                // Of a step that is not a service, one task is enough for the job to make progress, and the others may wait for better
+                // workers. A service lacks each task that doesn't run.
                 let subset = if unit.spec.long_running {
                     unit.clone()
                 } else {
@@ -293,12 +299,13 @@
     }
 }
 
-/// Whether work under which a worker has crashed, and that has waited since `since_ms`, still waits for workers on which nothing has just begun.
+/// Returns whether a unit under which a worker has crashed, and which has waited since `since_ms`, still waits for workers without recent
+/// starts.
 fn is_isolation_pending(now_ms: u64, since_ms: u64) -> bool {
     now_ms < since_ms + MAX_ISOLATION_WAIT_MS
 }
 
-/// Notes which units wait for workers of their own.
+/// Marks the units under which a worker has crashed as isolated for as long as they wait for workers without recent starts.
 fn isolate_suspects(now_ms: u64, units: &mut [Unit], since_ms: &mut BTreeMap<StepId, u64>) {
     let before = std::mem::take(since_ms);
     for unit in units.iter_mut().filter(|unit| unit.is_suspect()) {
@@ -308,7 +315,8 @@
     }
 }
 
-/// Workers that a unit's tasks failed on, unless those left that may run it could not hold it if they were empty.
+/// Returns the workers on which tasks of the unit have failed. Returns none if the other workers that accept the unit could not hold it
+/// even if they were empty.
 pub(super) fn avoided_workers(
     failed_on: &BTreeMap<TaskId, BTreeSet<Incarnation>>,
     unit: &Unit,
@@ -344,8 +352,8 @@
     }
 }
 
-/// Leaves out gangs that would be begun after their last allowed failure if every attempt that is over unheard turns out to have failed. They wait until
-/// the workers say so, or their leases have run out.
+/// Removes gangs that may have no attempts left, from the leader's view: some of their attempts ended without a report and may have failed.
+/// The gangs wait until the workers report the outcome or the leases of the workers expire.
 fn drop_uncertain_gangs(
     now_ms: u64,
     units: &mut Vec<Unit>,
@@ -356,7 +364,7 @@
     units.retain(|unit| !is_uncertain(unit.step, &unheard, workload));
 }
 
-/// Whether a gang would be begun after its last allowed failure if every one of its `unheard` attempts turns out to have failed.
+/// Returns whether a gang would exceed its allowed failures if all its attempts in `unheard`, which ended without a report, have failed.
 pub(super) fn is_uncertain(
     step: StepId,
     unheard: &BTreeMap<StepId, BTreeSet<u32>>,
--- a/crates/bh-workload/src/plan/room.rs
+++ b/crates/bh-workload/src/plan/room.rs
@@ -1,4 +1,4 @@
-//! Workers as the planner sees them.
+//! Free capacity of a worker, as the planner sees it.
 
 use super::Speeds;
 use super::Unit;
@@ -17,16 +17,17 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// What has just begun on a worker.
+/// Starts on a worker that are so recent that they may still crash it.
 struct RecentStarts {
-    /// Whether anything has.
+    /// Whether there are any.
     any: bool,
-    /// Whether a task has under which a worker crashed before: nothing else may begin there until it was seen at work.
+    /// Whether one of them is a task under which a worker has crashed before. Nothing else may start on the worker until the task has run
+    /// for a while.
     suspect: bool,
 }
 
 impl RecentStarts {
-    /// What has just begun on `worker`, of which `target` is known.
+    /// Collects the recent starts on `worker`. `target` is what the leader knows about the worker, if anything.
     fn new(worker: &Worker, target: Option<&Target>, workload: &Workload) -> Self {
         let mut recent = Self {
             any: false,
@@ -43,60 +44,60 @@
     }
 }
 
-/// Free room of one worker.
+/// A worker, its free capacity, and what the planner must know to place tasks on it.
 #[derive(Clone, Debug)]
 pub struct Room {
-    /// The worker.
+    /// Identity of the worker.
     pub worker: Incarnation,
-    /// Its rack.
+    /// Rack of the worker.
     pub rack: Arc<str>,
-    /// Its pool.
+    /// Pool of the worker.
     pub pool: Arc<str>,
-    /// Its data centre.
+    /// Data centre of the worker.
     pub data_centre: Arc<str>,
-    /// Whether its data centre is under evacuation.
+    /// Whether the data centre is being evacuated.
     pub evacuated: bool,
-    /// Its labels.
+    /// Labels of the worker.
     pub labels: Vec<Arc<str>>,
-    /// What it has in all.
+    /// Total resources of the worker.
     pub capacity: Resources,
-    /// What no recorded run takes.
+    /// Resources that no recorded run takes.
     pub free: Resources,
-    /// What recorded runs take beyond what it has, since it has shrunk.
+    /// Resources that recorded runs take beyond the capacity, after the worker has shrunk.
     pub excess: Resources,
-    /// What is promised to work that waits for it, free already or not.
+    /// Resources reserved for units that wait for other runs to stop. Some of them may still be in use.
     pub reserved_capacity: Resources,
-    /// What is kept for gangs that do not fit yet, free already or not.
+    /// Resources held for gangs that do not fit yet. Some of them may still be in use.
     pub held_for_gangs: Resources,
-    /// Recorded runs by step.
+    /// Number of recorded runs, by step.
     pub runs: BTreeMap<StepId, u64>,
-    /// Times as long as in the fastest data centre that runs take here, in percent.
+    /// Run time here relative to the fastest data centre, in percent.
     pub runtime_percent: u64,
-    /// Speed at which tasks that only use idle processors work here, in percent.
+    /// Speed, in percent, at which tasks that use only idle processors run here.
     pub fill_percent: u64,
-    /// Whether only work of priority 0 may use it, and gangs that are late unless they begin soon.
+    /// Whether the worker is kept for work of priority 0 and for gangs that must start soon to be on time.
     pub urgent_only: bool,
-    /// Whether something has just begun there, which may yet crash the worker.
+    /// Whether a task has just started here that may still crash the worker.
     pub has_recent_start: bool,
-    /// Whether it is slow since it has just started.
+    /// Whether the worker has started recently, and therefore runs tasks slowly.
     pub cold: bool,
-    /// Whether it may be given work now.
+    /// Whether the worker gets new work.
     pub usable: bool,
-    /// Why it may not, before the pass.
+    /// Why the worker got no new work when the pass began; `None` if it did.
     pub unusable: Option<UnusableReason>,
-    /// Whether it could be, but is left to itself since it fails what it is given, or is slow.
+    /// Whether the only reason that the worker gets no new work is that runs failed there or took too long.
     pub set_aside: bool,
 }
 
-/// Whether so many workers are set aside that what they were given is the likelier cause. Left out, they stand idle for half a minute and more
-/// while work waits.
+/// Returns whether so many workers are set aside that the work is more likely at fault than the workers. If they were all left out, they
+/// would be idle for half a minute or longer while work waits.
 fn too_many_set_aside(workload: &Workload, dispatcher: &Dispatcher, now_ms: u64) -> bool {
-    /// Share of the workers that may be at fault at a time, in percent.
+    /// Maximum share of workers that are plausibly at fault at the same time, in percent.
     const MAX_SET_ASIDE_PERCENT: usize = 34;
     dispatcher.count_aside(now_ms) * 100 > workload.worker_count() * MAX_SET_ASIDE_PERCENT
 }
 
-/// Why the worker behind `target` can't be given work, as far as its answers tell.
+/// Returns why the worker behind `target` gets no new work, judged by its answers to orders and probes.
 fn not_ready_reason(
     target: &Target,
     dispatcher: &Dispatcher,
@@ -116,7 +117,7 @@
 }
 
 impl Room {
-    /// The room of `worker` at `now_ms`.
+    /// Creates the view of `worker` at `now_ms`.
     fn new(
         worker: &Worker,
         workload: &Workload,
@@ -181,7 +182,7 @@
         }
     }
 
-    /// The rooms of all workers.
+    /// Creates the views of all workers.
     pub fn for_all_workers(
         workload: &Workload,
         dispatcher: &Dispatcher,
@@ -195,22 +196,22 @@
             .collect()
     }
 
-    /// Whether the worker has the label that a step asks for.
+    /// Returns whether the worker has the label that a step requires.
     fn has_label(&self, label: Option<&Arc<str>>) -> bool {
         label.is_none_or(|label| self.labels.contains(label))
     }
 
-    /// Whether it could be given work now, left to itself or not.
+    /// Returns whether the worker gets new work, or would if it were not set aside.
     pub fn is_reachable(&self) -> bool {
         self.usable || self.set_aside
     }
 
-    /// Whether tasks of a unit may be here at all, whatever room there is.
+    /// Returns whether the worker may run tasks of the unit now, without regard to its free capacity.
     pub fn accepts(&self, unit: &Unit) -> bool {
         (self.usable || self.set_aside && unit.relaxed) && self.is_eligible(unit)
     }
 
-    /// Whether tasks of a unit may be here once the worker can be given work.
+    /// Returns whether the worker may run tasks of the unit while it is usable: its pool and labels match, and the adviser permits it.
     pub fn is_eligible(&self, unit: &Unit) -> bool {
         self.pool == unit.pool
             && self.has_label(unit.spec.required_label.as_ref())
@@ -220,12 +221,13 @@
                 .is_none_or(|permitted| permitted.contains(&self.worker))
     }
 
-    /// What is free, and neither promised nor kept.
+    /// Returns the resources that are free and neither reserved nor held.
     pub fn available(&self) -> Resources {
         self.available_after(&Resources::default())
     }
 
-    /// What would be open if runs that take `more` were gone as well. On a worker that has shrunk the first of them leave no room.
+    /// Returns the resources that would be available after runs that take `more` have ended. On a worker that has shrunk, the first of them
+    /// free nothing.
     pub fn available_after(&self, more: &Resources) -> Resources {
         let mut gained = *more;
         gained.subtract(&self.excess);
@@ -236,7 +238,7 @@
         available
     }
 
-    /// What is open to a unit.
+    /// Returns the resources that are available to the unit. A relaxed unit also gets what is held for gangs.
     fn available_to(&self, unit: &Unit) -> Resources {
         if !unit.relaxed {
             return self.available();
@@ -246,9 +248,10 @@
         available
     }
 
-    /// How many more of a unit's tasks may be on this worker, whatever room it has: those already there count.
+    /// Returns how many more tasks of the unit this worker may run, without regard to its free capacity. Tasks of the step that are already
+    /// here count towards the limits.
     pub fn max_tasks(&self, unit: &Unit) -> u64 {
-        // Two on one worker that crashes would tell nothing of either.
+        // If two suspect tasks ran on a worker that crashes, the crash could be attributed to neither.
         let suspect = unit.is_suspect() && !unit.spec.gang;
         let at_once = if suspect || self.starts_one_at_a_time(unit) {
             1
@@ -262,13 +265,14 @@
             .min(at_once)
     }
 
-    /// Whether tasks of a unit begin here one after the other. A worker that has just started and is filled at once is slow for all that it got, while
-    /// others stand idle a moment later. A gang begins together or not at all, and what a guarantee covers must begin in time.
+    /// Returns whether tasks of the unit start on this worker one at a time. A cold worker that is filled at once is slow for all its new
+    /// tasks, while other workers become idle a moment later. Gangs are exempt because they start as a whole, and guaranteed work because
+    /// it must start in time.
     fn starts_one_at_a_time(&self, unit: &Unit) -> bool {
         self.cold && !unit.spec.gang && !unit.guaranteed && !unit.relaxed
     }
 
-    /// How many of a unit's tasks may be placed here now.
+    /// Returns how many of the unit's tasks can be placed here now.
     pub fn places(&self, unit: &Unit, avoid: &BTreeSet<Incarnation>) -> u64 {
         let excluded = self.urgent_only && !unit.may_use_headroom();
         let too_recent =
--- a/crates/bh-workload/src/plan/unit.rs
+++ b/crates/bh-workload/src/plan/unit.rs
@@ -1,4 +1,4 @@
-//! What is placed together: a gang, or one task.
+//! Unit of placement: a whole gang, or tasks of one step that are placed one by one.
 
 use crate::job::Resources;
 use crate::job::StepId;
@@ -8,70 +8,71 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Work that waits to be placed.
+/// Tasks of one step that wait for placement.
 #[derive(Clone, Debug)]
 pub struct Unit {
     /// The step.
     pub step: StepId,
-    /// Tasks of the step that wait; all of them for a gang.
+    /// Indices of the waiting tasks; for a gang, of all its tasks.
     pub indices: Vec<u32>,
-    /// Number the runs take, by position in `indices`.
+    /// Numbers of the next runs, in the order of `indices`.
     pub attempts: Vec<u32>,
-    /// What was asked of the step.
+    /// Specification of the step.
     pub spec: StepSpec,
-    /// Workers that crashed under one of its tasks, of the task with most of them.
+    /// Number of workers that crashed under one task; the maximum over the waiting tasks.
     pub crashes: u32,
-    /// Whether it waits for workers on which nothing has just begun: should one of them crash, it tells whether the unit's tasks are the cause.
+    /// Whether the unit waits for workers on which nothing has just started. If such a worker crashes, the unit's tasks are known to be the
+    /// cause.
     pub isolated: bool,
-    /// Pool that runs it.
+    /// Name of the pool that runs the unit.
     pub pool: Arc<str>,
-    /// What each task takes.
+    /// Resources that each task reserves.
     pub needs: Resources,
-    /// The adviser that must be asked, if any.
+    /// Timing of the queue's adviser, if it has one.
     pub advised: Option<AdviserTiming>,
-    /// Workers that it allows; `None` when there is none.
+    /// Workers that the adviser permits; `None` if the queue has no adviser.
     pub permitted: Option<BTreeSet<Incarnation>>,
-    /// Rank of its queue; 0 comes first.
+    /// Priority of the queue; 0 is the most urgent.
     pub priority: u32,
-    /// Whether the customer's guarantee covers it.
+    /// Whether the customer's guarantee covers the job.
     pub guaranteed: bool,
-    /// When it could have begun, in milliseconds since 1970.
+    /// When the unit became ready, in milliseconds since 1970.
     pub ready_ms: u64,
-    /// Until when its job is on time, in milliseconds since 1970.
+    /// Time by which the job is on time, in milliseconds since 1970.
     pub due_ms: u64,
-    /// Expected run time of a task in milliseconds.
+    /// Expected run time of a task, in milliseconds.
     pub expected_ms: u64,
-    /// The same when the unit is spread over racks though it wants one.
+    /// Expected run time, in milliseconds, if a unit that prefers one rack is spread over several.
     pub expected_spread_ms: u64,
-    /// Whether the objective leaves little time beside the work itself.
+    /// Whether the completion objective leaves little time beside the run time itself.
     pub tight_deadline: bool,
-    /// Whether it is a gang that is on time if it begins now, and hardly if it waits on.
+    /// Whether this is a gang that is on time if it starts now, but probably late if it keeps waiting.
     pub last_chance: bool,
-    /// Whether the job can still be done within its objective, as far as is known.
+    /// Whether the job is expected to meet its completion objective if the unit starts now.
     pub on_time: bool,
-    /// Whether it has waited beside ample room for so long that it begins wherever it may.
+    /// Whether the unit has been stalled beside free capacity for so long that it starts on any eligible worker.
     pub relaxed: bool,
-    /// Value of the whole job against its work, larger first.
+    /// Value of the job relative to its work. Units with a larger value come first.
     pub value_density: f64,
 }
 
 impl Unit {
-    /// Whether it may use workers that are kept for work of priority 0.
+    /// Returns whether the unit may use workers that are kept for work of priority 0.
     pub fn may_use_headroom(&self) -> bool {
         self.priority == 0 || self.last_chance || self.relaxed
     }
 
-    /// Whether a worker has crashed under one of its tasks, which may be the cause.
+    /// Returns whether a worker has crashed under one of the tasks, which may be the cause.
     pub fn is_suspect(&self) -> bool {
         self.crashes > 0
     }
 
-    /// Work of the tasks to place, in thousandths of core-milliseconds.
+    /// Returns the expected work of all tasks in the unit, in thousandths of core-milliseconds.
     pub fn work(&self) -> u64 {
         self.spec.needs.weight() * self.expected_ms * self.count()
     }
 
-    /// The first task alone.
+    /// Returns a unit of only the first task.
     pub fn first_task(&self) -> Unit {
         Unit {
             indices: self.indices.iter().take(1).copied().collect(),
@@ -80,7 +81,7 @@
         }
     }
 
-    /// What is left once the first `placed` tasks are placed.
+    /// Returns a unit without the first `placed` tasks.
     pub fn without_first(&self, placed: u64) -> Unit {
         let placed = usize::try_from(placed).unwrap_or(usize::MAX);
         Unit {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Tasks to place.
+    /// Returns the number of tasks in the unit.
     pub fn count(&self) -> u64 {
         u64::try_from(self.indices.len()).unwrap_or(u64::MAX)
     }
--- a/crates/bh-workload/src/rules/customer.rs
+++ b/crates/bh-workload/src/rules/customer.rs
@@ -1,16 +1,16 @@
-//! A customer: who hands in jobs, and what it is guaranteed.
+//! Customers and what they are guaranteed.
 
 use serde::Deserialize;
 use serde::Serialize;
 use std::sync::Arc;
 
-/// One customer.
+/// A customer, who submits jobs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Customer {
     /// Name.
     pub name: Arc<str>,
-    /// Keys its callers prove themselves with.
+    /// Keys that authenticate the customer's callers.
     pub keys: Vec<Arc<str>>,
-    /// Accelerators that its jobs of priority 0 get at any time.
+    /// Number of accelerators that the customer's jobs of priority 0 get at any time.
     pub guaranteed_accelerators: u64,
 }
--- a/crates/bh-workload/src/rules/mod.rs
+++ b/crates/bh-workload/src/rules/mod.rs
@@ -1,4 +1,4 @@
-//! The operator's rules.
+//! The operator's rules: queues, pools and customers.
 
 mod customer;
 mod pool;
--- a/crates/bh-workload/src/rules/queue.rs
+++ b/crates/bh-workload/src/rules/queue.rs
@@ -1,43 +1,43 @@
-//! A queue: where callers hand in jobs.
+//! Queues, to which callers submit jobs.
 
 use serde::Deserialize;
 use serde::Serialize;
 use std::sync::Arc;
 
-/// One queue, found by host and path.
+/// A queue. Requests are routed to it by host and path.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Queue {
     /// Name.
     pub name: Arc<str>,
-    /// Host that callers name.
+    /// Host name in the requests for this queue.
     pub host: Arc<str>,
-    /// Start of the paths that belong to the queue; the longest match wins.
+    /// Path prefix of the requests for this queue. The queue with the longest matching prefix gets a request.
     pub path_prefix: Arc<str>,
-    /// Pool of workers that run its tasks.
+    /// Name of the pool whose workers run the tasks.
     pub pool: Arc<str>,
-    /// Rank of its jobs; 0 comes first.
+    /// Priority of the jobs; 0 is the most urgent.
     pub priority: u32,
-    /// Failed runs of a task after which its job is given up.
+    /// Number of failed runs of a task after which its job is given up.
     pub max_attempts: u32,
-    /// Longest time a call may take, in milliseconds.
+    /// Time limit for a request, in milliseconds.
     pub timeout_ms: u64,
-    /// Fixed part of a job's completion objective in milliseconds.
+    /// Fixed part of the completion objective of a job, in milliseconds.
     pub target_latency_ms: u64,
-    /// Part of the objective that grows with the job: times its longest chain of work.
+    /// Factor for the variable part of the completion objective: the part is this factor times the critical path of the job.
     pub slack_factor: f64,
-    /// Whether calls need no key.
+    /// Whether requests need no key.
     pub public: bool,
-    /// Whether an outside adviser says which workers may run a step.
+    /// Timing of the external adviser that decides which workers may run a step; `None` if the queue has no adviser.
     pub advised: Option<AdviserTiming>,
 }
 
-/// Timing of the adviser's answers.
+/// Response times of the external adviser, and how long its permissions last.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AdviserTiming {
-    /// Fixed time of an answer in milliseconds.
+    /// Fixed part of the response time, in milliseconds.
     pub decision_ms: u64,
-    /// Time added for each worker asked about, in milliseconds.
+    /// Additional response time for each worker in a question, in milliseconds.
     pub per_worker_ms: u64,
-    /// How long a permission is valid, in milliseconds.
+    /// How long a permission stays valid, in milliseconds.
     pub validity_ms: u64,
 }
--- a/crates/bh-workload/src/rules/rules.rs
+++ b/crates/bh-workload/src/rules/rules.rs
@@ -1,4 +1,4 @@
-//! The operator's rules: queues, pools and customers of one version.
+//! One version of the operator's rules.
 
 use super::Customer;
 use super::Pool;
@@ -8,12 +8,12 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// One version of the rules, whole.
+/// One complete version of the rules.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Rules {
-    /// Number of the version; only a higher one replaces it.
+    /// Number of the version. Rules are only replaced by a version with a higher number.
     pub version: u64,
-    /// The operator's own text, read back word for word.
+    /// Text that the operator submitted, returned verbatim when the rules are read.
     pub document: Arc<str>,
     /// Queues.
     pub queues: Vec<Arc<Queue>>,
@@ -24,7 +24,7 @@
 }
 
 impl Rules {
-    /// What makes the rules invalid, if anything.
+    /// Returns the first reason why the rules are invalid, or `None` if they are valid.
     pub fn problem(&self) -> Option<String> {
         let pools: BTreeSet<&str> = self.pools.iter().map(|pool| &*pool.name).collect();
         let mut places = BTreeSet::new();
@@ -58,7 +58,7 @@
         None
     }
 
-    /// The queue that a call to `host` and `path` belongs to, and the rest of the path.
+    /// Returns the queue for a request to `host` and `path`, and the part of the path after the queue's prefix.
     pub fn route<'a>(&self, host: &str, path: &'a str) -> Option<(&Arc<Queue>, &'a str)> {
         let queue = self
             .queues
@@ -69,19 +69,19 @@
         Some((queue, &path[queue.path_prefix.len()..]))
     }
 
-    /// The queue with this name.
+    /// Returns the queue named `name`.
     pub fn queue(&self, name: &str) -> Option<&Arc<Queue>> {
         self.queues.iter().find(|queue| &*queue.name == name)
     }
 
-    /// The customer that holds `key`.
+    /// Returns the customer that has the key `key`.
     pub fn customer_of_key(&self, key: &str) -> Option<&Arc<Customer>> {
         self.customers
             .iter()
             .find(|customer| customer.keys.iter().any(|own| &**own == key))
     }
 
-    /// Accelerators that the customer `name` is guaranteed.
+    /// Returns the number of accelerators that the customer `name` is guaranteed; 0 for an unknown customer.
     pub fn guaranteed(&self, name: &str) -> u64 {
         self.customers
             .iter()
