--- a/crates/bh-workload/src/job/job_spec.rs
+++ b/crates/bh-workload/src/job/job_spec.rs
@@ -61,12 +61,12 @@
         if self.steps.iter().any(|step| step.count == 0) {
             return Some("a step has no task");
         }
-        let later = |(at, step): (usize, &StepSpec)| {
+        let waits_for_later = |(at, step): (usize, &StepSpec)| {
             step.after
                 .iter()
                 .any(|before| usize::try_from(*before).is_ok_and(|before| before >= at))
         };
-        if self.steps.iter().enumerate().any(later) {
+        if self.steps.iter().enumerate().any(waits_for_later) {
             return Some("a step waits for itself or a later one");
         }
         if self.occurrences() > MAX_OCCURRENCES {
--- a/crates/bh-workload/src/job/resources.rs
+++ b/crates/bh-workload/src/job/resources.rs
@@ -22,13 +22,13 @@
             && self.accelerators <= room.accelerators
     }
 
-    /// Returns how many times this amount fits into `room`, at most `most`.
-    pub fn count_in(&self, room: &Resources, most: u64) -> u64 {
-        let times = |need: u64, have: u64| have.checked_div(need).unwrap_or(most);
-        times(self.cpu_millis, room.cpu_millis)
-            .min(times(self.memory_mb, room.memory_mb))
-            .min(times(self.accelerators, room.accelerators))
-            .min(most)
+    /// Returns how many times this amount fits into `room`, at most `limit`.
+    pub fn count_in(&self, room: &Resources, limit: u64) -> u64 {
+        let count = |need: u64, have: u64| have.checked_div(need).unwrap_or(limit);
+        count(self.cpu_millis, room.cpu_millis)
+            .min(count(self.memory_mb, room.memory_mb))
+            .min(count(self.accelerators, room.accelerators))
+            .min(limit)
     }
 
     /// Subtracts `other`. Amounts that would become negative become zero.
--- a/crates/bh-workload/src/plan/collect.rs
+++ b/crates/bh-workload/src/plan/collect.rs
@@ -66,17 +66,17 @@
 
 /// Returns the expected time of the longest chain of dependent steps, in milliseconds.
 pub fn critical_path_ms(id: JobId, job: &Job, runtimes: &Runtimes) -> u64 {
-    let mut until: Vec<u64> = Vec::with_capacity(job.spec.steps.len());
+    let mut end_ms: Vec<u64> = Vec::with_capacity(job.spec.steps.len());
     for (index, spec) in job.spec.steps.iter().enumerate() {
         let before = spec
             .after
             .iter()
-            .filter_map(|step| until.get(usize::try_from(*step).ok()?).copied())
+            .filter_map(|step| end_ms.get(usize::try_from(*step).ok()?).copied())
             .max()
             .unwrap_or(0);
-        until.push(before + runtimes.expected_ms(&job.queue.name, step_at(id, 0, index), spec));
+        end_ms.push(before + runtimes.expected_ms(&job.queue.name, step_at(id, 0, index), spec));
     }
-    until.into_iter().max().unwrap_or(0)
+    end_ms.into_iter().max().unwrap_or(0)
 }
 
 /// Returns the completion objective of a job, in milliseconds from its acceptance or from the time that an occurrence is due.
@@ -150,7 +150,8 @@
             let on_time = value >= 1.0;
             let waits_ms = expected_ms * LAST_CHANCE_PERCENT / 100;
             let late_soon = wall_ms + expected_ms + waits_ms > ready_ms + slack_ms;
-            let size = (1.0 - FIXED_VALUE_SHARE) + FIXED_VALUE_SHARE * context.mean_work / own_work;
+            let size_factor =
+                (1.0 - FIXED_VALUE_SHARE) + FIXED_VALUE_SHARE * context.mean_work / own_work;
             let rank = f64::from(queue.priority + 1);
             let (indices, attempts) = waiting_tasks(progress, spec);
             if indices.is_empty() {
@@ -177,7 +178,7 @@
                 last_chance: spec.gang && on_time && late_soon,
                 on_time,
                 tight_deadline: queue.slack_factor < TIGHT_SLACK_FACTOR,
-                value_density: value * size / (rank * rank),
+                value_density: value * size_factor / (rank * rank),
             });
         }
     }
@@ -253,6 +254,6 @@
 }
 
 /// Returns the steps of the units.
-pub fn steps(units: &[Unit]) -> BTreeSet<StepId> {
+pub fn steps_of(units: &[Unit]) -> BTreeSet<StepId> {
     units.iter().map(|unit| unit.step).collect()
 }
--- a/crates/bh-workload/src/plan/decided.rs
+++ b/crates/bh-workload/src/plan/decided.rs
@@ -1,4 +1,4 @@
-//! What a pass decides.
+//! Outcome of a planning pass.
 
 use crate::dispatch::Question;
 use crate::job::RunId;
@@ -6,28 +6,28 @@
 use crate::state::Start;
 use bh_protocol::Incarnation;
 
-/// What shall happen now.
+/// Decisions of a planning pass, to be carried out now.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// Runs to record and order.
+    /// Runs to record and start.
     pub starts: Vec<Start>,
-    /// Runs to stop so that others fit, with their workers.
+    /// Runs to stop so that other work fits, with their workers.
     pub evictions: Vec<(Incarnation, RunId)>,
-    /// What to ask an outside adviser, the most urgent first.
+    /// Questions for external advisers, the most urgent first.
     pub questions: Vec<Question>,
-    /// Steps for which room is being made from now on, with the number of workers.
+    /// Steps that now have a reservation, with the number of workers in it.
     pub reserved: Vec<(StepId, usize)>,
-    /// Steps for which room was being made in vain.
+    /// Steps whose reservation was dropped.
     pub released: Vec<(StepId, ReleaseReason)>,
 }
 
-/// Why room is no longer being made on the workers that were chosen.
+/// Why a reservation was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseReason {
-    /// The work no longer waits.
+    /// The step no longer waits.
     NotWaiting,
-    /// It did not become free in time.
+    /// The capacity did not become free in time.
     TooSlow,
-    /// A worker can no longer be used.
+    /// A worker of the reservation is no longer usable.
     WorkerUnusable,
 }
--- a/crates/bh-workload/src/plan/disruption_budget.rs
+++ b/crates/bh-workload/src/plan/disruption_budget.rs
@@ -1,4 +1,4 @@
-//! How many tasks of a service may be missing.
+//! Limits on how many tasks of a service are unavailable at the same time.
 
 use crate::dispatch::Dispatcher;
 use crate::dispatch::RunWatch;
@@ -10,20 +10,20 @@
 use bh_protocol::Incarnation;
 use std::collections::BTreeMap;
 
-/// Progress that a task of a service reports once it is wholly at work, in percent.
+/// Progress that a task of a service reports when it is ready to serve, in percent.
 const READY_PERCENT: u64 = 100;
 
-/// Which tasks of services may be stopped without more of them missing than their callers bear.
+/// Decides which tasks of services may be stopped without exceeding the limits that their callers state.
 pub struct DisruptionBudget<'a> {
     workload: &'a Workload,
     dispatcher: &'a Dispatcher,
     stopping: &'a [(Incarnation, RunId)],
-    /// Tasks that may still be stopped, by step.
+    /// Number of tasks that may still be stopped, by step.
     remaining: BTreeMap<StepId, u64>,
 }
 
 impl<'a> DisruptionBudget<'a> {
-    /// With `stopping` as good as stopped.
+    /// Creates a budget that counts the runs in `stopping` as stopped.
     pub fn new(
         workload: &'a Workload,
         dispatcher: &'a Dispatcher,
@@ -37,8 +37,9 @@
         }
     }
 
-    /// Whether a run may be stopped, and counts it as stopped if so. A run of which this leader does not know that it is at work may not:
-    /// it may have been for long.
+    /// Returns whether a run may be stopped, and if so counts it as stopped.
+    ///
+    /// In a step with a limit, a run that this leader has not seen ready may not be stopped: it may have been ready for long.
     pub fn allow_stop(&mut self, run: RunId) -> bool {
         let step = run.task.step;
         let spec = self.workload.step_spec(step);
@@ -56,7 +57,7 @@
         left > 0
     }
 
-    /// Tasks of a step that are not at work.
+    /// Returns how many tasks of a step are not ready.
     fn unavailable(&self, step: StepId, spec: Option<&StepSpec>) -> u64 {
         let at_work = self
             .workload
--- a/crates/bh-workload/src/plan/explain.rs
+++ b/crates/bh-workload/src/plan/explain.rs
@@ -1,4 +1,4 @@
-//! Why a job is where it is.
+//! Explains the state of a job.
 
 use super::Planner;
 use super::Unit;
@@ -20,84 +20,84 @@
 use serde::Serialize;
 use std::sync::Arc;
 
-/// What is known of a job.
+/// State of a job, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobReport {
-    /// Its name.
+    /// Name of the job.
     pub job: String,
-    /// Its queue.
+    /// Name of its queue.
     pub queue: Arc<str>,
-    /// Rank of the queue.
+    /// Priority of the queue.
     pub priority: u32,
-    /// Whose it is.
+    /// Name of the customer, if known.
     pub customer: Option<Arc<str>>,
-    /// Whether its customer's guarantee covers it.
+    /// Whether the customer's guarantee covers the job.
     pub is_guaranteed: bool,
-    /// What its caller is told.
+    /// State that the caller sees.
     pub state: JobState,
-    /// Why it was given up, if it was.
+    /// Why the job was given up; `None` if it was not.
     pub given_up: Option<GiveUp>,
-    /// When it was accepted, in milliseconds since 1970.
+    /// When the job was accepted, in milliseconds since 1970.
     pub accepted_ms: u64,
-    /// Its steps that are not done.
+    /// Steps that are not done.
     pub steps: Vec<StepReport>,
 }
 
-/// What is known of one step.
+/// State of a step.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepReport {
-    /// `JOB.OCCURRENCE.STEP`.
+    /// Name of the step, `JOB.OCCURRENCE.STEP`.
     pub step: String,
-    /// Its tasks.
+    /// Number of tasks.
     pub tasks: u32,
-    /// Those that are done.
+    /// Number of tasks that are done.
     pub done: u32,
-    /// Failed runs, of the task with most of them.
+    /// Number of failed runs of one task; the maximum over the tasks.
     pub failures: u32,
-    /// Workers that crashed under one task, of the task with most of them.
+    /// Number of workers that crashed under one task; the maximum over the tasks.
     pub crashes: u32,
-    /// Where its runs are.
+    /// Recorded runs of the step.
     pub runs: Vec<RunReport>,
-    /// Why the others wait.
+    /// Why the tasks without a run wait.
     pub wait: Option<WaitReason>,
-    /// The earlier run that they wait for, the one that has been so for longest; `None` when they wait for none.
+    /// The earlier run that the tasks wait for, the one that has been in its phase for longest. `None` if they don't wait for a run.
     #[serde(default)]
     pub held_by: Option<BlockingRun>,
 }
 
-/// What is known of one run.
+/// State of a run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunReport {
-    /// `JOB.OCCURRENCE.STEP.INDEX#ATTEMPT`.
+    /// Name of the run, `JOB.OCCURRENCE.STEP.INDEX#ATTEMPT`.
     pub run: String,
-    /// Its worker.
+    /// Worker of the run.
     pub worker: Incarnation,
-    /// Last progress that the worker reported, in percent.
+    /// Progress in the worker's last report, in percent.
     pub percent: u64,
-    /// How old that report is, in milliseconds.
+    /// Age of that report, in milliseconds.
     pub report_age_ms: u64,
-    /// Whether it is being stopped.
+    /// Whether the run is being stopped.
     pub is_stopping: bool,
-    /// How far it has come; `None` from a core of an older version.
+    /// Phase of the run; `None` if the report comes from a core of an older version.
     #[serde(default)]
     pub phase: Option<RunPhase>,
 }
 
-/// The recorded run that work waits for.
+/// A recorded run that other tasks wait for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BlockingRun {
-    /// `JOB.OCCURRENCE.STEP.INDEX#ATTEMPT`.
+    /// Name of the run, `JOB.OCCURRENCE.STEP.INDEX#ATTEMPT`.
     pub run: String,
-    /// Its worker.
+    /// Worker of the run.
     pub worker: Incarnation,
-    /// How far it has come.
+    /// Phase of the run.
     pub phase: RunPhase,
-    /// For how long this leader has known it to be so, in milliseconds.
+    /// For how long this leader has known the run to be in this phase, in milliseconds.
     pub held_ms: u64,
 }
 
 impl Planner {
-    /// What is known of a job at `now_ms` of the leader's clock and `wall_ms` since 1970; `None` when there is no such job.
+    /// Returns the state of a job at `now_ms` on the leader's clock, which is `wall_ms` since 1970. Returns `None` for an unknown job.
     pub fn explain(
         &self,
         (now_ms, wall_ms): (u64, u64),
@@ -158,7 +158,7 @@
     }
 }
 
-/// Why a unit waits; `uncertain` gangs are left out of the plan.
+/// Returns why a unit waits. The planner leaves out `uncertain` gangs, which may have used up their attempts.
 pub(super) fn wait_of_unit(unit: &Unit, uncertain: bool, explainer: &WaitExplainer) -> WaitReason {
     if uncertain {
         WaitReason::UncertainFailures
@@ -167,7 +167,7 @@
     }
 }
 
-/// The report of a step; `None` when it is done.
+/// Returns the state of a step, or `None` if the step is done.
 fn step_report(
     (now_ms, wait): (u64, Option<WaitReason>),
     workload: &Workload,
--- a/crates/bh-workload/src/plan/failed_searches.rs
+++ b/crates/bh-workload/src/plan/failed_searches.rs
@@ -1,40 +1,43 @@
-//! What was looked for in vain during a pass.
+//! Searches for capacity that failed during a pass.
 
 use super::Unit;
 use crate::job::Resources;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Asks remembered of one class at most: those of a queue differ in size, and looking through more of them would cost as much as it saves.
+/// Maximum number of requests that are remembered for one class. The requests of a queue differ in size, and comparing with more of them
+/// would cost as much as it saves.
 const MAX_REQUESTS: usize = 32;
 
-/// An ask for room: so many tasks that need so much each.
+/// A request for capacity: `count` tasks that need `needs` each.
 struct Request {
     needs: Resources,
     count: u64,
 }
 
-/// Work that may be put on the same workers: its pool, the label that it asks for, and what else `C` tells apart.
+/// Class of units that may run on the same workers: pool, required label, and a key that depends on the kind of search.
 type Class<C> = (Arc<str>, Option<Arc<str>>, C);
 
-/// Asks for which there is no room.
+/// Requests for which there is too little capacity.
 ///
-/// Room only shrinks during a pass, so what did not fit will not, nor will anything that asks for as much or more. Without this memory a long
-/// queue in front of a full fleet costs a look at every worker for each job that waits. With it and runs that are looked up once, a pass over 540
-/// workers and 100 such jobs takes 8 ms instead of 65 (`cargo bench -p bh-workload --bench cost`).
+/// Available capacity only shrinks during a pass, so a request that failed would fail again, and so would any larger one. Without this
+/// cache, a long queue in front of a full fleet costs a scan of all workers for each waiting job. Together with collecting the recorded
+/// runs only once, it reduces the time of a pass over 540 workers and 100 such jobs from 65 ms to 8 ms (`cargo bench -p bh-workload --bench
+/// cost`).
 pub(super) struct FailedSearches<C> {
     requests: BTreeMap<Class<C>, Vec<Request>>,
 }
 
 impl<C: Ord + Clone> FailedSearches<C> {
-    /// Nothing was tried yet.
+    /// Creates an empty cache.
     pub fn new() -> Self {
         Self {
             requests: BTreeMap::new(),
         }
     }
 
-    /// Whether `count` tasks of `unit` surely find no room. Room that others are kept from is open to one that takes any.
+    /// Returns whether a search for `count` tasks of `unit` is known to fail. Relaxed units are never ruled out, because they may use
+    /// capacity that is closed to others.
     pub fn rules_out(&self, class: &C, unit: &Unit, count: u64) -> bool {
         if unit.relaxed {
             return false;
@@ -47,8 +50,8 @@
         })
     }
 
-    /// Notes that there is no room for `count` tasks of `unit`. A unit that not all workers of its class may take says nothing of others,
-    /// nor does one that waits for workers of its own.
+    /// Records that a search for `count` tasks of `unit` failed. Units that only some workers of their class accept are not recorded,
+    /// because their failure says nothing about other units. The same holds for units under which a worker has crashed.
     pub fn record(&mut self, class: C, unit: &Unit, count: u64) {
         let restricted = unit.permitted.is_some() || unit.spec.most_per_worker.is_some();
         if restricted || unit.is_suspect() || unit.relaxed {
@@ -62,7 +65,7 @@
         }
     }
 
-    /// Forgets all: there may be more room.
+    /// Removes all requests, for when capacity may have become available.
     pub fn clear(&mut self) {
         self.requests.clear();
     }
--- a/crates/bh-workload/src/plan/guaranteed.rs
+++ b/crates/bh-workload/src/plan/guaranteed.rs
@@ -1,4 +1,4 @@
-//! Which jobs a customer's guarantee covers.
+//! Determines the jobs that customers' guarantees cover.
 
 use crate::job::JobId;
 use crate::job::StepSpec;
@@ -8,13 +8,13 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Accelerators that a job takes at its widest.
+/// Returns the largest number of accelerators that a step of the job takes.
 pub fn peak_accelerators(job: &Job) -> u64 {
     let width = |step: &StepSpec| u64::from(step.count) * step.needs.accelerators;
     job.spec.steps.iter().map(width).max().unwrap_or(0)
 }
 
-/// Jobs of priority 0 that fit into their customers' guarantees, the earliest accepted first.
+/// Returns the jobs of priority 0 that fit into their customers' guarantees. Jobs that were accepted earlier take precedence.
 pub fn guaranteed_jobs(workload: &Workload) -> BTreeSet<JobId> {
     let Some(rules) = &workload.rules else {
         return BTreeSet::new();
--- a/crates/bh-workload/src/plan/hold_for_gang.rs
+++ b/crates/bh-workload/src/plan/hold_for_gang.rs
@@ -1,4 +1,4 @@
-//! Room kept for gangs that do not fit yet.
+//! Holds capacity for gangs that do not fit yet.
 
 use super::Unit;
 use super::pass::Pass;
@@ -11,9 +11,10 @@
 use std::sync::Arc;
 
 impl Pass<'_> {
-    /// Keeps the workers that are free soonest for a gang that does not fit yet: nobody after it in the order gets them. Without that
-    /// small tasks would take every place that becomes free, and a gang that needs several at once would never begin. A gang that
-    /// wants one rack has them kept in the rack that is free soonest. None is kept on workers to `avoid`, where the gang would not begin.
+    /// Holds the capacity that becomes free soonest for a gang that does not fit yet, so that no later unit in the order takes it. Without
+    /// this, small tasks would take each slot that becomes free, and a gang that needs several slots at once would never start. For a gang
+    /// that prefers one rack, the capacity is held in the rack that has enough of it soonest. Nothing is held on workers in `avoid`, where
+    /// the gang would not start.
     pub fn hold_for_gang(&mut self, unit: &Unit, avoid: &BTreeSet<Incarnation>) {
         let large_racks = if place::prefers_one_rack(unit) {
             place::large_enough_racks(unit, &self.rooms)
@@ -49,7 +50,8 @@
         }
     }
 
-    /// When each place for a task of `unit` on a worker is expected to be free, on the leader's clock in milliseconds.
+    /// Returns when each slot for a task of `unit` on a worker is expected to be free, on the leader's clock in milliseconds, with the
+    /// worker's position.
     fn future_places(
         &self,
         unit: &Unit,
@@ -59,22 +61,22 @@
         let room = &self.rooms[at];
         let most = room.max_tasks(unit);
         let mut places: Vec<(u64, usize)> = Vec::new();
-        let mut gained = Resources::default();
-        let mut add_places = |free_ms: u64, gained: &Resources| {
-            let count = unit.needs.count_in(&room.available_after(gained), most);
+        let mut freed = Resources::default();
+        let mut add_places = |free_ms: u64, freed: &Resources| {
+            let count = unit.needs.count_in(&room.available_after(freed), most);
             while u64::try_from(places.len()).is_ok_and(|known| known < count) {
                 places.push((free_ms, at));
             }
         };
-        add_places(self.now_ms, &gained);
+        add_places(self.now_ms, &freed);
         for (end_ms, needs) in ends {
-            gained.add(needs);
-            add_places(*end_ms, &gained);
+            freed.add(needs);
+            add_places(*end_ms, &freed);
         }
         places
     }
 
-    /// When each run of the worker at `at` is expected to end, the first one first, and what it takes. Looked up once for a pass.
+    /// Returns when each run on the worker at `at` is expected to end, in order, with its resources. The result is cached for the pass.
     fn cached_ends(&mut self, at: usize) -> Rc<[(u64, Resources)]> {
         if let Some(ends) = self.run_ends.get(&at) {
             return ends.clone();
@@ -84,7 +86,7 @@
         ends
     }
 
-    /// Services are left out: they go on until they are cancelled.
+    /// Computes the expected ends. Services are left out because they run until they are cancelled.
     fn expected_ends(&self, worker: &Incarnation) -> Vec<(u64, Resources)> {
         let (Some(recorded), Some(target)) =
             (self.workload.worker(worker), self.dispatcher.view(worker))
@@ -112,7 +114,7 @@
     }
 }
 
-/// The `count` places that are free first, and when they all are.
+/// Returns the `count` slots that become free first, and when the last of them does.
 fn earliest_places(mut places: Vec<(u64, usize)>, count: u64) -> Option<(u64, Vec<usize>)> {
     let count = usize::try_from(count).ok()?;
     places.sort_unstable();
--- a/crates/bh-workload/src/plan/last_pass.rs
+++ b/crates/bh-workload/src/plan/last_pass.rs
@@ -1,4 +1,4 @@
-//! What the last pass of planning left behind that explains why work waits.
+//! Outcome of the last planning pass, to explain why work waits.
 
 use super::Room;
 use super::Unit;
@@ -10,30 +10,31 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-/// What the last pass looked at and held back. It explains why work waits; no placement depends on it.
+/// What the last pass considered, started and withheld. It only serves to explain why work waits; no placement depends on it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LastPass {
-    /// Steps that it looked at.
+    /// Steps that the pass considered.
     pub considered: BTreeSet<StepId>,
-    /// Steps of which it planned starts.
+    /// Steps of which the pass started tasks.
     pub started: BTreeSet<StepId>,
-    /// What it promised to work that does not begin yet, or kept for gangs, by worker.
+    /// Resources that the pass reserved for waiting units or held for gangs, by worker.
     pub reserved_capacity: BTreeMap<Incarnation, Resources>,
-    /// Steps to which it promised that, the first in its order.
+    /// The first steps, by precedence, for which the pass reserved or held capacity.
     pub reserved_for: Vec<StepId>,
-    /// Workers that it kept for work of priority 0.
+    /// Workers that the pass kept for work of priority 0.
     pub urgent_only: BTreeSet<Incarnation>,
 }
 
 impl LastPass {
-    /// What a pass over `units` left in `rooms`, with the starts it planned and which steps wait with room promised to them.
+    /// Collects the outcome of a pass over `units` that left `rooms` and planned `starts`. `has_withheld` returns whether capacity is reserved or
+    /// held for a step.
     pub fn new(
         units: &[Unit],
         rooms: &[Room],
         starts: &[Start],
-        waits: impl Fn(StepId) -> bool,
+        has_withheld: impl Fn(StepId) -> bool,
     ) -> Self {
-        /// Steps that are remembered, at most.
+        /// Maximum number of steps in `reserved_for`.
         const MAX_REPORTED_STEPS: usize = 4;
         let reserved_capacity = rooms.iter().map(|room| {
             let mut reserved_capacity = room.reserved_capacity;
@@ -42,12 +43,12 @@
         });
         let urgent_only = rooms.iter().filter(|room| room.urgent_only);
         Self {
-            considered: collect::steps(units),
+            considered: collect::steps_of(units),
             started: starts.iter().map(|start| start.run.task.step).collect(),
             reserved_for: units
                 .iter()
                 .map(|unit| unit.step)
-                .filter(|step| waits(*step))
+                .filter(|step| has_withheld(*step))
                 .take(MAX_REPORTED_STEPS)
                 .collect(),
             reserved_capacity: reserved_capacity
--- a/crates/bh-workload/src/plan/leaving.rs
+++ b/crates/bh-workload/src/plan/leaving.rs
@@ -1,4 +1,4 @@
-//! Runs that cannot end on a worker that leaves.
+//! Finds runs that can't end before their worker leaves.
 
 use super::Runtimes;
 use super::collect::lateness_value;
@@ -12,14 +12,15 @@
 use bh_protocol::Incarnation;
 use std::collections::BTreeSet;
 
-/// Progress from which a run's pace is known well enough, in percent: it is reported in whole ones.
+/// Progress from which the pace of a run is known well enough, in percent. Progress is reported in whole percents.
 const MIN_PACE_PERCENT: u64 = 10;
 
-/// Runs of gangs on workers that leave before the gang can be done, with their workers, where that decides whether the callers are served in time.
+/// Returns runs of gangs on workers that leave before the gang can end, with their workers, if stopping them now gives the job a better
+/// chance to be on time.
 ///
-/// A worker that leaves takes its runs with it, and one whose end is announced at short notice goes without a word: a gang waits for the lease of each
-/// member that is lost so. Stopped at the notice, it begins elsewhere at once. A gang that would still be in time after that wait goes on, and so
-/// does what is too late either way: the worker may stay for longer than it must.
+/// A leaving worker takes its runs with it. One that leaves at short notice may do so without a word, and its gang then waits for the
+/// worker's lease to expire. If the gang is stopped at the notice, it restarts elsewhere at once. A gang that would be on time even after
+/// that wait is not stopped, and neither is one that is late either way, because the worker may stay longer than announced.
 pub fn cut_short(
     (now_ms, wall_ms): (u64, u64),
     workload: &Workload,
@@ -39,7 +40,7 @@
         .collect()
 }
 
-/// What is known at one time.
+/// State at the time of the check.
 struct Context<'a> {
     now_ms: u64,
     wall_ms: u64,
@@ -53,7 +54,7 @@
         let Some(target) = self.dispatcher.view(&worker.info.id) else {
             return Vec::new();
         };
-        // A worker that does not answer cannot be told to stop anything.
+        // A worker that does not answer can't be told to stop anything.
         let Some(leaves_ms) = target.leaves_ms.filter(|_| !target.is_failing()) else {
             return Vec::new();
         };
@@ -98,15 +99,16 @@
     }
 }
 
-/// When a run is expected to end, on the leader's clock in milliseconds: at its pace so far, once that is known, else by the usual time of its kind.
+/// Returns when a run is expected to end, on the leader's clock in milliseconds: by its pace so far if that is known, else by the usual run
+/// time.
 fn expected_end_ms(now_ms: u64, watch: &RunWatch, usual_ms: u64) -> u64 {
-    let began_ms = match watch.start {
+    let started_ms = match watch.start {
         StartPhase::Confirmed { at_ms } => at_ms,
         _ => now_ms,
     };
     if watch.percent >= MIN_PACE_PERCENT && !watch.was_unsure {
-        let reported_ms = watch.progress_ms.saturating_sub(began_ms);
-        return began_ms + reported_ms * 100 / watch.percent;
+        let reported_ms = watch.progress_ms.saturating_sub(started_ms);
+        return started_ms + reported_ms * 100 / watch.percent;
     }
-    began_ms + usual_ms
+    started_ms + usual_ms
 }
--- a/crates/bh-workload/src/plan/mod.rs
+++ b/crates/bh-workload/src/plan/mod.rs
@@ -3,7 +3,7 @@
 //! A few terms are also the names of metrics and of reasons that operators see:
 //!
 //! - *Room* is the free capacity of a worker.
-//! - A worker is *set aside* for a while after runs have failed on it.
+//! - A worker is *set aside* for a while after runs have failed on it or were very slow there.
 //! - A worker is *cold* for a while after it has started, and runs tasks more slowly during that time.
 //! - *Kept room* is free capacity that only work of priority 0 may use, so that it starts without delay.
 //! - Tasks wait *apart* when a worker has crashed under one of them: they wait for workers on which nothing else has just started, so that
--- a/crates/bh-workload/src/plan/overdue.rs
+++ b/crates/bh-workload/src/plan/overdue.rs
@@ -1,4 +1,4 @@
-//! Runs that stand still or take far longer than they should.
+//! Finds runs that make no progress or are much slower than expected.
 
 use super::Runtimes;
 use crate::dispatch::Dispatcher;
@@ -10,40 +10,40 @@
 use bh_protocol::Incarnation;
 use std::sync::Arc;
 
-/// Time without any progress after which a run is taken to stand still, in milliseconds, for short runs: workers are looked at every
-/// two seconds, and a lost look shall not cost a run.
+/// Time without progress after which a short run counts as stalled, in milliseconds. Workers are probed every two seconds, and a run must
+/// survive one lost probe.
 const STALL_TIMEOUT_MS: u64 = 2_600;
-/// Share of the expected time that is added to that, in percent, because progress is reported in whole percents.
+/// Share of the expected run time that is added to the stall timeout, in percent, because progress is reported in whole percents.
 const STALL_TIMEOUT_PERCENT: u64 = 5;
-/// Times the expected time after which a run is looked at for slowness, in percent.
+/// A run is checked for slowness after this share of its expected run time, in percent.
 const SLOW_AFTER_PERCENT: u64 = 200;
-/// Times the expected time that a run must still have before it, at its pace so far, to be begun anew elsewhere, in percent. Below that it is
-/// done sooner where it is.
+/// A slow run is restarted if its remaining time, at its pace so far, exceeds this share of the expected run time, in percent. Below that
+/// it ends sooner where it is.
 const SLOW_LEFT_PERCENT: u64 = 160;
 
-/// What is wrong with a run.
+/// Why a run is overdue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OverdueReason {
-    /// Its progress stands still.
+    /// The run makes no progress.
     Still,
-    /// At its pace it would be done sooner if it were begun anew elsewhere.
+    /// At its pace so far, the run would end sooner if it were restarted on another worker.
     Slow,
 }
 
-/// A run to begin anew elsewhere.
+/// A run to restart on another worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OverdueRun {
-    /// Worker it is on.
+    /// Worker of the run.
     pub worker: Incarnation,
     /// The run.
     pub run: RunId,
-    /// What is wrong.
+    /// Why the run is overdue.
     pub why: OverdueReason,
-    /// Whether it is one of a gang: then any member's worker may be the cause.
+    /// Whether the run is a member of a gang. In that case the worker of any member may be the cause.
     pub gang: bool,
 }
 
-/// All runs that are overdue at `now_ms`.
+/// Returns all runs that are overdue at `now_ms`.
 pub fn overdue(
     now_ms: u64,
     workload: &Workload,
@@ -55,7 +55,7 @@
         let Some(target) = dispatcher.view(&worker.info.id) else {
             continue;
         };
-        // A worker that does not answer tells nothing of its runs.
+        // A worker that does not answer reports no progress of its runs.
         if target.is_failing() {
             continue;
         }
@@ -75,8 +75,9 @@
             let slowdown = slowdown_percent(workload, dispatcher, *run, spec);
             let expected_ms =
                 runtimes.expected_ms(&job.queue.name, run.task.step, spec) * slowdown / 100;
-            // A declared time is off by factors, a gang is as slow as its slowest member, wherever that is, and what began on a worker that had
-            // just started was slow for a while.
+            // A run counts as slow only relative to a learnt run time, because declared ones are off by factors. Gangs are exempt because
+            // they are as slow as their slowest member on any worker, and runs that started on a cold worker because they were slow for a
+            // while.
             let learnt_ms = (!spec.gang && watch.since_ms >= target.cold_until_ms)
                 .then(|| runtimes.learnt_ms(&job.queue.name, run.task.step, spec))
                 .flatten()
@@ -99,7 +100,8 @@
     overdue
 }
 
-/// How much longer the run takes where it is because of its data or its gang's racks, in percent.
+/// Returns how long the run takes, relative to the usual time, because it is away from its data or because its gang is spread over racks.
+/// In percent.
 fn slowdown_percent(
     workload: &Workload,
     dispatcher: &Dispatcher,
@@ -129,7 +131,7 @@
     }
 }
 
-/// Whether the worker reported twice, some time apart, that nothing had been done meanwhile. Time without a report proves nothing.
+/// Returns whether two reports of the worker, some time apart, show no progress. A lack of reports proves nothing.
 fn has_stalled(reported_ms: u64, watch: &RunWatch, expected_ms: u64) -> bool {
     let StartPhase::Confirmed { at_ms } = watch.start else {
         return false;
@@ -143,14 +145,14 @@
         return false;
     };
     let ran_ms = now_ms.saturating_sub(at_ms);
-    // When a run began that an earlier leader ordered, or whose order had no answer, is not known.
+    // The start time of a run is unknown if a previous leader ordered it or if its start order had no answer.
     if watch.was_unsure {
         return false;
     }
     if watch.percent == 0 || ran_ms < learnt_ms * SLOW_AFTER_PERCENT / 100 {
         return false;
     }
-    // Progress is reckoned as of the report that brought it.
+    // The pace is computed at the time of the report that brought the last progress.
     let reported_ms = watch.progress_ms.saturating_sub(at_ms);
     let left_ms = reported_ms * (100 - watch.percent.min(100)) / watch.percent;
     left_ms > learnt_ms * SLOW_LEFT_PERCENT / 100
--- a/crates/bh-workload/src/plan/pass.rs
+++ b/crates/bh-workload/src/plan/pass.rs
@@ -144,7 +144,7 @@
         let Some(advice) = &unit.advised else {
             return;
         };
-        let anywhere = Unit {
+        let unrestricted = Unit {
             permitted: None,
             ..unit.clone()
         };
@@ -157,8 +157,8 @@
         let mut candidates: Vec<(u64, &Room)> = self
             .rooms
             .iter()
-            .filter(|room| room.accepts(&anywhere))
-            .map(|room| (places(&anywhere, room), room))
+            .filter(|room| room.accepts(&unrestricted))
+            .map(|room| (places(&unrestricted, room), room))
             .collect();
         candidates.sort_by_key(|(places, _)| std::cmp::Reverse(*places));
         let candidates = candidates.into_iter().map(|(_, room)| room.worker.clone());
--- a/crates/bh-workload/src/plan/place.rs
+++ b/crates/bh-workload/src/plan/place.rs
@@ -12,8 +12,8 @@
 pub type Placement = Vec<(usize, u64)>;
 
 /// How long a unit waits for a rack that it prefers, as a multiple of its expected run time. Elsewhere it takes three times as long and
-/// thus three times the capacity, so that waiting twice its run time is better for its caller and for everybody else. The rest is a margin,
-/// and the limit prevents starvation.
+/// thus three times the capacity, so waiting for at least twice its run time is better for its caller and for all others. The limit
+/// prevents starvation.
 const RACK_PATIENCE_RUNS: u64 = 4;
 /// How long guaranteed work waits for a preferred rack, in milliseconds. It must start within a few seconds, on any rack.
 const GUARANTEED_PATIENCE_MS: u64 = 1_200;
@@ -95,13 +95,13 @@
     if end_ms > unit.due_ms || end_ms + SPREAD_MARGIN_MS <= unit.due_ms {
         return false;
     }
-    let own = || {
+    let in_pool = || {
         rooms
             .iter()
             .filter(|room| room.usable && room.pool == unit.pool)
     };
-    let open: u64 = own().map(|room| room.available().accelerators).sum();
-    let all: u64 = own().map(|room| room.capacity.accelerators).sum();
+    let open: u64 = in_pool().map(|room| room.available().accelerators).sum();
+    let all: u64 = in_pool().map(|room| room.capacity.accelerators).sum();
     let left = open.saturating_sub(unit.needs.accelerators * unit.count());
     left * 100 >= all * MIN_OPEN_PERCENT
 }
--- a/crates/bh-workload/src/plan/planner.rs
+++ b/crates/bh-workload/src/plan/planner.rs
@@ -225,7 +225,7 @@
         for unit in units.iter_mut().filter(|unit| unit.advised.is_some()) {
             unit.permitted = Some(permissions.permitted(unit.step, now_ms));
         }
-        let waiting = collect::steps(&units);
+        let waiting = collect::steps_of(&units);
         isolate_suspects(now_ms, &mut units, isolated_since_ms);
         let mut pass = Pass::new(
             (now_ms, wall_ms),
@@ -257,8 +257,9 @@
             let stalled_long = stall_tracker.is_stalled_long(now_ms, unit.step);
             if unit.spec.gang {
                 let placement = pass.place_gang(unit, &avoid);
-                let anywhere = || pass.place_relaxed(unit, &avoid);
-                if let Some(placement) = placement.or_else(|| stalled_long.then(anywhere).flatten())
+                let place_relaxed = || pass.place_relaxed(unit, &avoid);
+                if let Some(placement) =
+                    placement.or_else(|| stalled_long.then(place_relaxed).flatten())
                 {
                     pass.start(unit, &placement);
                 } else if pass.try_preempt(reservations, unit) {
@@ -287,8 +288,8 @@
                 pass.try_preempt(reservations, &unit.without_first(placed));
             }
         }
-        let waits = |step| held_for.contains(&step) || reservations.contains_key(&step);
-        *last_pass = LastPass::new(&units, &pass.rooms, &pass.plan.starts, waits);
+        let has_withheld = |step| held_for.contains(&step) || reservations.contains_key(&step);
+        *last_pass = LastPass::new(&units, &pass.rooms, &pass.plan.starts, has_withheld);
         stall_tracker.record(
             now_ms,
             (&units, &last_pass.started),
@@ -352,8 +353,8 @@
     }
 }
 
-/// Removes gangs that may have no attempts left, from the leader's view: some of their attempts ended without a report and may have failed.
-/// The gangs wait until the workers report the outcome or the leases of the workers expire.
+/// Removes gangs that may have used up their attempts, because some attempts ended without a report and may have failed. The gangs wait
+/// until the workers report the outcome or the leases of the workers expire.
 fn drop_uncertain_gangs(
     now_ms: u64,
     units: &mut Vec<Unit>,
--- a/crates/bh-workload/src/plan/preempt.rs
+++ b/crates/bh-workload/src/plan/preempt.rs
@@ -1,4 +1,4 @@
-//! Makes room by stopping others.
+//! Preempts runs to make room for more important work.
 
 use super::PreemptionCandidate;
 use super::Unit;
@@ -16,15 +16,16 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-/// Work that may be thrown away for work of priority 0, as a multiple of its own. Such a job is worth some ten times as much for the
-/// room it takes as the work it displaces, and is late within a second or two; four leaves a margin for what the displaced jobs lose
-/// beside their work.
+/// Maximum work that may be lost for a unit of priority 0, as a multiple of the unit's own work. Such a unit is worth about ten times as
+/// much per capacity as the work that it displaces, and is late within a second or two. A factor of four leaves a margin for what the
+/// displaced jobs lose beside their work.
 const MAX_LOSS_FACTOR: u64 = 4;
-/// Time beyond the longest stop after which room that was reclaimed but has not become free is chosen anew, in milliseconds.
+/// Time beyond the longest stop after which a reservation is dropped if its capacity has not become free, in milliseconds. The planner then
+/// chooses other workers.
 const RESERVATION_GRACE_MS: u64 = 1_500;
 
 impl Pass<'_> {
-    /// Makes room for `unit` if it may displace others; returns whether it does.
+    /// Stops other runs to make room for `unit`, if it may preempt any, and adds a reservation. Returns whether it did.
     pub fn try_preempt(
         &mut self,
         reservations: &mut BTreeMap<StepId, Reservation>,
@@ -40,10 +41,10 @@
         true
     }
 
-    /// Makes room for work that a guarantee covers, for a service that misses a task, or for work that comes first of all and is worth
-    /// more than what is lost for it.
+    /// Stops runs to make room for guaranteed work, for a service that lacks a task, or for work of priority 0 that is worth more than the
+    /// work lost.
     fn preempt(&mut self, unit: &Unit) -> Option<Reservation> {
-        // Sound work is not stopped for what may crash the worker.
+        // Healthy runs are not stopped for a unit that may crash the worker.
         let is_urgent = unit.priority == 0 && unit.on_time && !unit.is_suspect();
         if !unit.guaranteed && !unit.spec.long_running && !is_urgent {
             return None;
@@ -74,7 +75,7 @@
             return None;
         }
         self.stop(&preemption_plan.evictions);
-        // What is stopped may leave more room than was claimed.
+        // The stopped runs may free more capacity than was reserved.
         self.failed_preemptions.clear();
         for (at, count) in &preemption_plan.placement {
             for _ in 0..*count {
@@ -92,7 +93,7 @@
         })
     }
 
-    /// Room for `unit` among what is open and what the runs in `all` take that give way to it.
+    /// Chooses the workers for `unit`, given the available capacity and the runs in `all` that yield to the unit.
     fn make_room(
         &self,
         unit: &Unit,
@@ -126,7 +127,8 @@
         }
     }
 
-    /// All recorded runs. Looked up once for a pass: each unit that asks for room would look up every run of the fleet again.
+    /// Collects all recorded runs. The result is cached for the pass, because otherwise each unit that tries to preempt would scan all runs
+    /// of the fleet.
     fn collect_candidates(&self) -> Vec<PreemptionCandidate> {
         let workers = self.workload.workers().filter_map(|worker| {
             let room = self.index.get(&worker.info.id)?;
@@ -170,12 +172,12 @@
             .map_or(u32::MAX, |job| self.workload.queue_of(job).priority)
     }
 
-    /// Work that is lost when a run is stopped, its gang's with it.
+    /// Returns the work that is lost when a run is stopped, together with its gang.
     fn loss(&self, run: RunId, ran_ms: u64, priority: u32) -> u64 {
         let Some(spec) = self.workload.step_spec(run.task.step) else {
             return 0;
         };
-        // A stop saves what was done; only the time to go on from there is lost.
+        // The progress is saved when the run is stopped, so only the time to restore it is lost.
         let lost_ms = if spec.checkpoints {
             ran_ms.min(self.dispatcher.timing().restore_ms)
         } else {
@@ -186,8 +188,8 @@
     }
 }
 
-/// What room is worth to a queue of this rank, as a multiple of the least: it falls with the square of the rank, as the values of the
-/// users' kinds of work do against the room they take.
+/// Returns how much capacity is worth to a queue of this priority, as a multiple of the lowest value. It falls with the square of the rank,
+/// which is how users value the kinds of work relative to their capacity.
 fn room_value(priority: u32) -> u64 {
     const HIGHEST: u64 = 9;
     let rank = u64::from(priority).saturating_add(1);
--- a/crates/bh-workload/src/plan/preemption.rs
+++ b/crates/bh-workload/src/plan/preemption.rs
@@ -1,4 +1,4 @@
-//! Makes room for work that a guarantee covers.
+//! Chooses runs to stop so that a unit fits.
 
 use super::Placement;
 use super::Room;
@@ -13,31 +13,31 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// A recorded run, for whom it may be stopped, and what that would cost.
+/// A recorded run that may be preempted, and the cost of stopping it.
 #[derive(Clone, Debug)]
 pub struct PreemptionCandidate {
     /// The run.
     pub run: RunId,
     /// Position of its worker among the rooms.
     pub room: usize,
-    /// What it takes.
+    /// Resources that the run takes.
     pub needs: Resources,
-    /// Work lost if it is stopped, in thousandths of core-milliseconds; 0 when it is being stopped already.
+    /// Work lost if the run is stopped, in thousandths of core-milliseconds; 0 if it is already being stopped.
     pub loss: u64,
-    /// Whether it is being stopped already.
+    /// Whether the run is already being stopped.
     pub stopping: bool,
-    /// Whether a guarantee covers it.
+    /// Whether a guarantee covers its job.
     pub guaranteed: bool,
-    /// Whether it serves callers of its own for as long as it lasts.
+    /// Whether the run is a task of a service.
     pub is_service: bool,
-    /// Whether only so many of its step may be missing at a time.
+    /// Whether its step limits how many of its tasks may be unavailable at the same time.
     pub has_disruption_limit: bool,
-    /// Rank of its queue.
+    /// Priority of its queue.
     pub priority: u32,
 }
 
 impl PreemptionCandidate {
-    /// Whether the run gives way to `unit`.
+    /// Returns whether the run may be stopped for `unit`.
     pub fn yields_to(&self, unit: &Unit) -> bool {
         if self.guaranteed {
             return false;
@@ -47,28 +47,28 @@
     }
 }
 
-/// Room made by stopping borrowers.
+/// A choice of workers for a unit and of runs to stop there.
 #[derive(Clone, Debug, Default)]
 pub struct Preemption {
-    /// Where the unit goes.
+    /// Workers for the unit.
     pub placement: Placement,
     /// Runs to stop.
     pub evictions: BTreeSet<RunId>,
-    /// Work that is lost with them, in thousandths of core-milliseconds.
+    /// Work lost with the stopped runs, in thousandths of core-milliseconds.
     pub loss: u64,
 }
 
-/// Why no room can be made.
+/// Why no choice is possible.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PreemptionFailure {
-    /// There is too little even if all borrowers are stopped.
+    /// There is too little capacity even if all candidates are stopped.
     NoRoom,
-    /// There is too little in any one rack that suits.
+    /// There is too little capacity in each of the preferred racks.
     NoRack,
 }
 
-/// Chooses workers for the whole unit as if all borrowers could be stopped, those first where least work is lost. With `waits` a unit
-/// that wants one rack is not spread over several.
+/// Chooses workers for the whole unit as if all candidates could be stopped, preferring workers where the least work is lost. If `waits`, a
+/// unit that prefers one rack is not spread over several.
 pub fn plan_preemption(
     unit: &Unit,
     rooms: &[Room],
@@ -93,7 +93,7 @@
         BTreeSet::new()
     };
     let in_rack = cheapest_in_one_rack(unit, &offers, rooms, &large_racks);
-    // Spread over racks the unit is so slow that it is late; that is for later, when its bound to begin comes near.
+    // Spread over several racks, the unit would be late. That is only done when the latest time for its start is near.
     if in_rack.is_none() && !large_racks.is_empty() && waits {
         return Err(PreemptionFailure::NoRack);
     }
@@ -108,7 +108,7 @@
     })
 }
 
-/// The cheapest choice within one of the racks in `able`.
+/// Returns the cheapest choice within one of the racks in `large_racks`.
 fn cheapest_in_one_rack(
     unit: &Unit,
     offers: &[Offer],
@@ -128,7 +128,7 @@
         .min_by_key(|chosen| chosen.1)
 }
 
-/// What a worker could take, and what that would cost.
+/// How many tasks a worker could take, and the cost of that.
 #[derive(Clone, Debug)]
 struct Offer {
     room: usize,
@@ -137,7 +137,7 @@
     loss: u64,
 }
 
-/// The borrowers of each of `rooms` rooms, those first that are cheapest to stop.
+/// Groups the candidates by worker, the cheapest to stop first. `rooms` is the number of workers.
 fn by_room<'a>(
     rooms: usize,
     candidates: &[&'a PreemptionCandidate],
@@ -159,15 +159,15 @@
     candidates: &[&PreemptionCandidate],
 ) -> Option<Offer> {
     let most = room.max_tasks(unit);
-    let mut gained = Resources::default();
+    let mut freed = Resources::default();
     let (mut places, mut loss) = (unit.needs.count_in(&room.available(), most), 0);
     for candidate in candidates {
         if places >= most {
             break;
         }
-        gained.add(&candidate.needs);
+        freed.add(&candidate.needs);
         loss += candidate.loss;
-        places = unit.needs.count_in(&room.available_after(&gained), most);
+        places = unit.needs.count_in(&room.available_after(&freed), most);
     }
     (places > 0).then_some(Offer {
         room: index,
@@ -208,31 +208,31 @@
 ) -> BTreeSet<RunId> {
     let mut stopped: BTreeSet<RunId> = BTreeSet::new();
     for (index, count) in placement {
-        let own = &by_room[*index];
-        let mut gained = Resources::default();
-        for candidate in own {
+        let on_worker = &by_room[*index];
+        let mut freed = Resources::default();
+        for candidate in on_worker {
             if candidate.stopping || stopped.contains(&candidate.run) {
-                gained.add(&candidate.needs);
+                freed.add(&candidate.needs);
             }
         }
-        for candidate in own {
+        for candidate in on_worker {
             let places = unit
                 .needs
-                .count_in(&rooms[*index].available_after(&gained), *count);
+                .count_in(&rooms[*index].available_after(&freed), *count);
             if places >= *count {
                 break;
             }
             if candidate.stopping || stopped.contains(&candidate.run) {
                 continue;
             }
-            gained.add(&candidate.needs);
+            freed.add(&candidate.needs);
             stopped.extend(with_gang(candidate.run, workload));
         }
     }
     stopped
 }
 
-/// A run and the members of its gang: stopping one ends them all, so all their room is gained.
+/// Returns the run and the other members of its gang. Stopping one member ends all of them and frees the resources of all.
 fn with_gang(run: RunId, workload: &Workload) -> Vec<RunId> {
     let gang = workload
         .step_spec(run.task.step)
--- a/crates/bh-workload/src/plan/preemption_candidates.rs
+++ b/crates/bh-workload/src/plan/preemption_candidates.rs
@@ -1,10 +1,10 @@
-//! All recorded runs of a pass.
+//! All recorded runs as candidates for preemption.
 
 use super::PreemptionCandidate;
 use crate::job::RunId;
 use std::collections::BTreeMap;
 
-/// All recorded runs, to be found by their names.
+/// Preemption candidates, indexed by run.
 pub(super) struct PreemptionCandidates {
     pub runs: Vec<PreemptionCandidate>,
     by_run: BTreeMap<RunId, usize>,
--- a/crates/bh-workload/src/plan/reservation.rs
+++ b/crates/bh-workload/src/plan/reservation.rs
@@ -1,12 +1,12 @@
-//! Room that is being made on chosen workers.
+//! Reservation of capacity that is being freed for a unit.
 
 use bh_protocol::Incarnation;
 
-/// Room that is being made for a unit.
+/// Capacity on chosen workers that is reserved for a unit while other runs stop there.
 #[derive(Clone, Debug)]
 pub(super) struct Reservation {
-    /// Workers and number of tasks.
+    /// Workers, with the number of tasks for each.
     pub places: Vec<(Incarnation, u64)>,
-    /// When the claim lapses, on the leader's clock in milliseconds.
+    /// When the reservation is dropped, on the leader's clock in milliseconds.
     pub until_ms: u64,
 }
--- a/crates/bh-workload/src/plan/room.rs
+++ b/crates/bh-workload/src/plan/room.rs
@@ -226,10 +226,10 @@
         self.available_after(&Resources::default())
     }
 
-    /// Returns the resources that would be available after runs that take `more` have ended. On a worker that has shrunk, the first of them
+    /// Returns the resources that would be available after runs that take `ended` have ended. On a worker that has shrunk, the first of them
     /// free nothing.
-    pub fn available_after(&self, more: &Resources) -> Resources {
-        let mut gained = *more;
+    pub fn available_after(&self, ended: &Resources) -> Resources {
+        let mut gained = *ended;
         gained.subtract(&self.excess);
         let mut available = self.free;
         available.add(&gained);
@@ -258,10 +258,10 @@
         } else {
             unit.count()
         };
-        let there = self.runs.get(&unit.step).copied().unwrap_or(0);
+        let already_here = self.runs.get(&unit.step).copied().unwrap_or(0);
         unit.spec
             .most_on_worker()
-            .saturating_sub(there)
+            .saturating_sub(already_here)
             .min(at_once)
     }
 
--- a/crates/bh-workload/src/plan/runnable.rs
+++ b/crates/bh-workload/src/plan/runnable.rs
@@ -1,4 +1,4 @@
-//! Work whose turn has come and of which nothing runs.
+//! Surveys the steps that could run but have nothing running.
 
 use super::BlockingRun;
 use super::Planner;
@@ -24,7 +24,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Steps of which a survey tells why they wait, at most: the cost of one is that of a look at every worker.
+/// Maximum number of steps for which a survey finds the reason to wait. Each of them costs a scan of all workers.
 const MAX_SURVEYED_STEPS: usize = 512;
 
 /// Tasks of one step that wait for the same reason.
@@ -32,30 +32,31 @@
 pub struct RunnableStep {
     /// The step.
     pub step: StepId,
-    /// The tasks.
+    /// Number of tasks.
     pub tasks: u64,
-    /// Why they wait.
+    /// Why the tasks wait.
     pub wait: WaitReason,
-    /// The recorded run that they wait for, the one that has been so for longest.
+    /// The recorded run that the tasks wait for, the one that has been in its phase for longest.
     pub held_by: Option<BlockingRun>,
-    /// When its job was accepted, or the occurrence was due, in milliseconds since 1970.
+    /// When the job was accepted or the occurrence was due, in milliseconds since 1970.
     pub ready_ms: u64,
-    /// Runs of the job that have ended with a result: when this grows, something of it has run.
+    /// Number of runs of the job that have ended with a result. If the number has grown since an earlier survey, some task has run in
+    /// between.
     pub results: u64,
-    /// What tells whether the job stands still.
+    /// Figures that tell whether the job is stalled.
     pub stall_check: StallCheck,
 }
 
-/// All work whose turn has come and of which nothing runs.
+/// All steps that could run but have nothing running.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Survey {
-    /// Steps and why they wait; a step of which some tasks are recorded and others wait for room is there twice.
+    /// The steps. A step appears twice if some of its tasks have recorded runs and others wait for capacity.
     pub steps: Vec<RunnableStep>,
-    /// Steps beyond those of which the reason was looked up.
+    /// Number of further steps for which the reason was not determined.
     pub left_out: usize,
 }
 
-/// A recorded run and how far it has come.
+/// A recorded run and its phase.
 struct KnownRun<'a> {
     run: RunId,
     worker: &'a Incarnation,
@@ -63,14 +64,14 @@
     since_ms: u64,
 }
 
-/// Workers by what is known to run on them.
+/// The workers and what is known to run on them.
 struct Fleet<'a> {
     runs: BTreeMap<StepId, Vec<KnownRun<'a>>>,
-    /// Runs at work, by job.
+    /// Number of running tasks, by job.
     running: BTreeMap<JobId, u64>,
-    /// Workers that may stay, what they have free beside the runs that take room, and runs there by step.
+    /// Workers that stay, with their capacity beyond what the runs there occupy.
     free: Vec<(&'a Worker, Resources)>,
-    /// In use and in all, by pool.
+    /// Resources in use and total resources, by pool.
     pools: BTreeMap<Arc<str>, (Resources, Resources)>,
 }
 
@@ -115,7 +116,8 @@
         fleet
     }
 
-    /// What tells whether a job of which `tasks` could run stands still. No more places are counted than that takes.
+    /// Returns the figures that tell whether a job with `tasks` runnable tasks is stalled. Stops counting slots once there are enough of
+    /// them.
     fn stall_check(&self, job: JobId, pool: &Arc<str>, spec: &StepSpec, tasks: u64) -> StallCheck {
         let needs = spec.reserved();
         let enough = tasks.saturating_mul(StallCheck::TIMES_PLACES);
@@ -143,7 +145,7 @@
     }
 }
 
-/// Runs of a job that have ended with a result.
+/// Returns the number of runs of a job that have ended with a result.
 fn results(job: &Job) -> u64 {
     let of_step = job.steps.iter().map(|step| {
         let failures: u64 = step.tasks.iter().map(|task| u64::from(task.failures)).sum();
@@ -153,7 +155,8 @@
 }
 
 impl Planner {
-    /// All work whose turn has come at `now_ms` of the leader's clock and `wall_ms` since 1970, and of which nothing is known to run.
+    /// Returns all steps that could run at `now_ms` on the leader's clock, which is `wall_ms` since 1970, but have nothing running as far
+    /// as is known.
     pub fn survey(
         &self,
         (now_ms, wall_ms): (u64, u64),
@@ -235,7 +238,8 @@
     }
 }
 
-/// Steps of a job that are due, unblocked and not done, and since when they could have begun for all that is recorded, in milliseconds since 1970.
+/// Returns the steps of a job that are due, unblocked and not done. Each comes with the time since which its job or occurrence was due, in
+/// milliseconds since 1970.
 fn runnable_steps(
     id: JobId,
     job: &Job,
--- a/crates/bh-workload/src/plan/runtimes.rs
+++ b/crates/bh-workload/src/plan/runtimes.rs
@@ -1,21 +1,21 @@
-//! How long tasks really take.
+//! Learns how long tasks take.
 
 use crate::job::StepId;
 use crate::job::StepSpec;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Runs of a kind after which what was learnt is trusted more than what was declared. Fewer say little of a spread.
+/// Minimum number of runs of a kind before its learnt run time replaces the declared one. With fewer runs, the variance means little.
 const MIN_TRUSTED_RUNS: f64 = 4.0;
-/// Expected time of a task of which nothing was declared or learnt, in milliseconds.
+/// Expected run time of a task without a declared or learnt time, in milliseconds.
 const DEFAULT_RUNTIME_MS: u64 = 5_000;
-/// Steps remembered at a time; older ones are forgotten first.
+/// Maximum number of steps that are remembered. The first in the order of their identifiers are forgotten first.
 const MAX_STEPS: usize = 2_048;
 
-/// What tasks are told apart by: queue and image.
+/// Kind of task: queue and image.
 type Kind = (Arc<str>, Option<Arc<str>>);
 
-/// Mean and spread of logarithms: run times vary by factors, not by amounts.
+/// Mean and variance of logarithms. Run times vary by factors, not by amounts.
 #[derive(Clone, Copy, Debug, Default)]
 struct LogStats {
     count: f64,
@@ -26,9 +26,9 @@
 impl LogStats {
     fn record(&mut self, value: f64) {
         self.count += 1.0;
-        let before = value - self.mean;
-        self.mean += before / self.count;
-        self.squares += before * (value - self.mean);
+        let delta = value - self.mean;
+        self.mean += delta / self.count;
+        self.squares += delta * (value - self.mean);
     }
 
     fn variance(&self) -> f64 {
@@ -36,29 +36,29 @@
     }
 }
 
-/// What was seen of one kind.
+/// Statistics of one kind of task.
 #[derive(Clone, Copy, Debug, Default)]
 struct KindStats {
-    /// Logarithm of the time in milliseconds.
+    /// Logarithm of the run time in milliseconds.
     time: LogStats,
-    /// Logarithm of the time against the declared one.
+    /// Logarithm of the ratio of actual to declared run time.
     ratio: LogStats,
 }
 
 /// Learnt run times.
 ///
-/// Declared times may be right but for a factor, or as good as drawn by lot: whichever of real time and real-to-declared ratio has
-/// spread less among the runs of a kind predicts the next one better. Tasks of one step are alike, so once one of them has ended its
-/// time says most about the others.
+/// Declared run times may be proportional to the actual ones, or may be little more than random. Of the run time and its ratio to the
+/// declared time, the one that varies less among the runs of a kind is the better predictor. All tasks of a step are alike, so once one of
+/// them has ended, its run time is the best predictor for the others.
 #[derive(Clone, Debug, Default)]
 pub struct Runtimes {
     kinds: BTreeMap<Kind, KindStats>,
-    /// Sum of the times in milliseconds, and their number.
+    /// Sum of the run times in milliseconds, and their number, by step.
     steps: BTreeMap<StepId, (u64, u64)>,
 }
 
 impl Runtimes {
-    /// Notes that a task of `queue` took `took_ms`.
+    /// Records that a task of `queue` took `took_ms`.
     pub fn record(&mut self, queue: &Arc<str>, step: StepId, spec: &StepSpec, took_ms: u64) {
         if self.steps.len() >= MAX_STEPS {
             self.steps.pop_first();
@@ -80,7 +80,7 @@
             .or_default()
     }
 
-    /// Expected run time of a task of `queue`, in milliseconds.
+    /// Returns the expected run time of a task of `queue`, in milliseconds: learnt, else declared, else a default.
     pub fn expected_ms(&self, queue: &Arc<str>, step: StepId, spec: &StepSpec) -> u64 {
         let declared_ms = if spec.declared_ms > 0 {
             spec.declared_ms
@@ -90,7 +90,7 @@
         self.learnt_ms(queue, step, spec).unwrap_or(declared_ms)
     }
 
-    /// The same in so far as it is learnt, not only declared.
+    /// Returns the learnt run time of a task of `queue`, in milliseconds, or `None` if too little is known.
     pub fn learnt_ms(&self, queue: &Arc<str>, step: StepId, spec: &StepSpec) -> Option<u64> {
         if let Some((sum_ms, count)) = self.steps.get(&step) {
             return Some((sum_ms / count).max(1));
--- a/crates/bh-workload/src/plan/speeds.rs
+++ b/crates/bh-workload/src/plan/speeds.rs
@@ -1,24 +1,24 @@
-//! Which data centres and workers are slower than others.
+//! Learns which data centres and workers are slow.
 
 use bh_protocol::Incarnation;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Runs on a worker or in a data centre before its speed is told apart from chance.
+/// Minimum number of runs before a speed is trusted to be more than chance.
 const MIN_TRUSTED_RUNS: f64 = 6.0;
-/// Weight of the newest run once there are enough: a worker may turn slow, and well again.
+/// Minimum weight of the newest run in the mean, so that the mean follows workers that become slow or recover.
 const MIN_NEWEST_WEIGHT: f64 = 0.15;
-/// Times as long as elsewhere from which a worker counts as slow. Between sound workers of one deployment factors up to one and a half
-/// were seen.
+/// A worker is slow if its runs take at least this many times as long as expected. Among healthy workers of one deployment, factors of up
+/// to 1.5 occur.
 const SLOW_FACTOR: f64 = 2.5;
 
-/// Runs on a worker before it may count as slow: one may be long by chance.
+/// Minimum number of runs before a worker can count as slow. A single run may be long by chance.
 const MIN_SLOW_RUNS: f64 = 2.0;
-/// Time without a run after which a slow worker is tried again, in milliseconds. It gets no work while it counts as slow, so nothing else
-/// would show that it is well again; trying one that is not costs two slow runs each time.
+/// Time without a run after which a slow worker gets work again, in milliseconds. A slow worker gets no work, so nothing else would show
+/// that it has recovered. If it has not, each attempt costs two slow runs.
 const SLOW_TTL_MS: u64 = 15_000;
 
-/// Mean logarithm of real against expected run times.
+/// Mean logarithm of the ratio of actual to expected run time.
 #[derive(Clone, Copy, Debug, Default)]
 struct RelativeRuntime {
     runs: f64,
@@ -34,12 +34,12 @@
         self.mean += (value - self.mean) * (1.0 / self.runs).max(MIN_NEWEST_WEIGHT);
     }
 
-    /// Whether runs take so long that this is no chance.
+    /// Returns whether runs take so long that it can't be chance.
     fn is_slow(&self) -> bool {
         self.runs >= MIN_SLOW_RUNS && self.mean > SLOW_FACTOR.ln()
     }
 
-    /// Whether it has not been tried for so long that what is known of it says little.
+    /// Returns whether the last run is so long ago that the mean says little.
     fn is_expired(&self, now_ms: u64) -> bool {
         now_ms >= self.last_ms + SLOW_TTL_MS
     }
@@ -49,7 +49,7 @@
     }
 }
 
-/// Learnt paces, by data centre and by worker.
+/// Learnt speeds, by data centre and by worker.
 #[derive(Clone, Debug, Default)]
 pub struct Speeds {
     data_centres: BTreeMap<Arc<str>, RelativeRuntime>,
@@ -57,7 +57,7 @@
 }
 
 impl Speeds {
-    /// Notes a run that ended at `now_ms` and took `took_ms` where `expected_ms` was expected. `worker` is left out for a gang, whose
+    /// Records a run that ended at `now_ms` and took `took_ms` instead of `expected_ms`. `worker` is `None` for a member of a gang, because
     /// members wait for the slowest of them.
     pub fn record(
         &mut self,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// How many times as long as in the fastest data centre runs take in this one, in percent.
+    /// Returns the run time in a data centre relative to the fastest one, in percent.
     pub fn data_centre_percent(&self, data_centre: &str) -> u64 {
         let fastest = self
             .data_centres
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Whether runs on this worker take far longer than expected, as far as is known at `now_ms`.
+    /// Returns whether runs on this worker take much longer than expected, as far as is known at `now_ms`.
     pub fn is_slow(&self, worker: &Incarnation, now_ms: u64) -> bool {
         self.workers
             .get(worker)
@@ -109,7 +109,7 @@
     }
 }
 
-/// A factor as percent, in steps of ten so that chance decides nothing.
+/// Converts a factor to percent, in steps of ten so that small random differences have no effect.
 fn rounded_percent(factor: f64) -> u64 {
     #[expect(
         clippy::cast_possible_truncation,
--- a/crates/bh-workload/src/plan/stall_check.rs
+++ b/crates/bh-workload/src/plan/stall_check.rs
@@ -1,28 +1,28 @@
-//! When work stands still though it could run.
+//! Rule for jobs that are stalled although there is capacity for them.
 
 use crate::job::Resources;
 
-/// One piece of work whose turn has come, and the capacity of those that may run it. The figures may be the leader's or the workers' own.
+/// A runnable step and the capacity of the workers that may run it. The figures may come from the leader or from the workers themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StallCheck {
-    /// Runs of the whole job that are at work.
+    /// Number of running tasks of the whole job.
     pub runs: u64,
-    /// Tasks that could run.
+    /// Number of runnable tasks of the step.
     pub tasks: u64,
-    /// Places for such tasks that no run at work takes.
+    /// Number of slots for such tasks that no running task takes.
     pub places: u64,
-    /// What runs at work take of the pool.
+    /// Resources that running tasks take in the pool.
     pub in_use: Resources,
-    /// What the pool has.
+    /// Total resources of the pool.
     pub capacity: Resources,
 }
 
 impl StallCheck {
-    /// Times the places that the tasks take which must be there.
+    /// Minimum number of slots for a stall, as a multiple of the number of tasks.
     pub const TIMES_PLACES: u64 = 2;
 
-    /// Whether nothing of the job runs while there is room for the work twice over and under half of the pool is in use, its cores and
-    /// accelerators weighed as the users value them.
+    /// Returns whether the job is stalled: nothing of it runs, there is capacity for the tasks twice over, and less than half of the pool
+    /// is in use. Cores and accelerators are weighted as in [`Resources::weight`].
     pub fn is_stalled(&self) -> bool {
         self.runs == 0
             && self.tasks > 0
--- a/crates/bh-workload/src/plan/stall_tracker.rs
+++ b/crates/bh-workload/src/plan/stall_tracker.rs
@@ -1,4 +1,4 @@
-//! Since when work waits beside free room.
+//! Tracks how long units have waited beside free capacity.
 
 use super::Room;
 use super::StallCheck;
@@ -13,35 +13,36 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Time beside ample room after which a unit begins wherever it may, in milliseconds. Callers bear a second more; recording and ordering its runs
-/// takes part of that.
+/// How long a unit may wait beside ample capacity before it starts on any eligible worker, in milliseconds. Callers tolerate one second
+/// more, part of which passes while its runs are recorded and ordered.
 const STALL_PATIENCE_MS: u64 = 2_000;
-/// Time for which the room may be short in between, in milliseconds. Where much else waits, runs that end and begin take it and leave it all the time.
+/// How long the capacity may be too small in between without ending the stall, in milliseconds. Where much other work waits, runs that
+/// start and end take and free capacity all the time.
 const GAP_TOLERANCE_MS: u64 = 1_000;
 
-/// A wait beside ample room, on the leader's clock in milliseconds.
+/// A period of waiting beside ample capacity, on the leader's clock in milliseconds.
 #[derive(Clone, Copy, Debug)]
 struct StallPeriod {
     since_ms: u64,
-    /// When the room was last ample.
+    /// When the capacity was last ample.
     ample_ms: u64,
 }
 
-/// Waits beside ample room: of steps of jobs of which nothing runs, and of services, which miss each of their tasks.
+/// Periods of waiting beside ample capacity, of steps of jobs that have nothing running, and of services that lack a task.
 #[derive(Clone, Debug, Default)]
 pub(super) struct StallTracker {
     periods: BTreeMap<StepId, StallPeriod>,
 }
 
 impl StallTracker {
-    /// Whether a step has waited so for too long.
+    /// Returns whether a step has waited beside ample capacity for too long.
     pub fn is_stalled_long(&self, now_ms: u64, step: StepId) -> bool {
         let period = self.periods.get(&step);
         period.is_some_and(|period| now_ms >= period.since_ms + STALL_PATIENCE_MS)
     }
 
-    /// Notes which units wait beside ample room once a pass has decided what begins. Those in `begun` do not wait, but one whose start comes to nothing
-    /// goes on with its wait.
+    /// Records which units wait beside ample capacity after a pass has decided what starts. Units in `started` do not wait now, but if
+    /// their start fails, the period that had begun before continues.
     pub fn record(
         &mut self,
         now_ms: u64,
@@ -69,7 +70,7 @@
     }
 }
 
-/// Jobs with recorded runs on workers that answer. What is on the others may have ended long before the record says so.
+/// Returns the jobs with recorded runs on workers that answer. Runs on other workers may have ended long before the record shows it.
 fn running_jobs(workload: &Workload, dispatcher: &Dispatcher) -> BTreeSet<JobId> {
     let answers = |worker: &&Worker| dispatcher.answers(&worker.info.id);
     let workers = workload.workers().filter(answers);
@@ -77,7 +78,7 @@
     runs.map(|run| run.task.step.job).collect()
 }
 
-/// What is in use of each pool, and what it has.
+/// Resources in use and total resources, by pool.
 type Pools = BTreeMap<Arc<str>, (Resources, Resources)>;
 
 fn pools(rooms: &[Room]) -> Pools {
@@ -92,7 +93,8 @@
     pools
 }
 
-/// Whether a unit waits beside ample room, whoever that is kept for. Of tasks that need not begin together one is enough.
+/// Returns whether a unit waits beside ample capacity, including capacity that is held or kept for others. For a unit that is not a gang,
+/// capacity for one task is ample.
 fn waits_beside_free_capacity(unit: &Unit, rooms: &[Room], pools: &Pools) -> bool {
     let (in_use, capacity) = pools.get(&unit.pool).copied().unwrap_or_default();
     let mut stall_check = StallCheck {
@@ -102,11 +104,11 @@
         in_use,
         capacity,
     };
-    // A service is missed however full the pool is.
+    // A service lacks the task however busy the pool is.
     if unit.spec.long_running {
         stall_check.in_use = Resources::default();
     }
-    // Most pools are too busy for any of their work to be looked up.
+    // Most pools are so busy that the scan of their workers can be skipped.
     if !stall_check.is_stalled() {
         return false;
     }
--- a/crates/bh-workload/src/plan/unusable_reason.rs
+++ b/crates/bh-workload/src/plan/unusable_reason.rs
@@ -1,4 +1,4 @@
-//! Why a worker gets no new work.
+//! Reasons why a worker gets no new work.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,30 +7,31 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UnusableReason {
-    /// It is leaving.
+    /// The worker is draining.
     Draining,
-    /// Another incarnation of it is recorded.
+    /// Another incarnation of the worker is recorded.
     Replaced,
-    /// Its data centre is under evacuation.
+    /// The worker's data centre is being evacuated.
     Evacuated,
-    /// A task under which a worker has crashed has just begun there.
+    /// A task under which a worker has crashed before has just started on the worker.
     BesideSuspect,
-    /// The upkeep of its VM is next.
+    /// The worker's VM is next for upkeep.
     Emptied,
-    /// Runs there take much longer than elsewhere.
+    /// Runs on the worker take much longer than expected.
     Slow,
-    /// It has not answered its latest order, or the core that carried one was lost.
+    /// The worker has not answered its latest order, or the core that carried an order to it was lost.
     Silent,
-    /// It has not been heard of, or not lately.
+    /// The leader has heard nothing from the worker, or nothing recent.
     Unheard,
-    /// It has not answered a look since it started.
+    /// The worker has not answered a probe since it started.
     Unverified,
-    /// Runs have failed there.
+    /// Runs have failed on the worker.
     SetAside,
 }
 
 impl UnusableReason {
-    /// Whether it ends once the worker is heard or time has passed, without the worker being replaced or anything ordered by operators.
+    /// Returns whether the state ends by itself, once the worker is heard from or some time has passed, without a replacement of the worker
+    /// or an order by an operator.
     pub fn is_temporary(self) -> bool {
         match self {
             UnusableReason::Draining | UnusableReason::Replaced | UnusableReason::Evacuated => {
--- a/crates/bh-workload/src/plan/urgent_headroom.rs
+++ b/crates/bh-workload/src/plan/urgent_headroom.rs
@@ -1,4 +1,4 @@
-//! Room kept free for work of priority 0 that has not come yet.
+//! Free capacity that is kept for work of priority 0 that has not arrived yet.
 
 use super::Room;
 use super::Unit;
@@ -8,45 +8,45 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Weight of the newest arrival in the mean.
+/// Weight of the newest arrival in the means.
 const NEWEST_WEIGHT: f64 = 0.1;
-/// Time whose arrivals the kept room holds beside that of stops, in milliseconds: about what it takes until room comes free by itself, half of a
-/// short run.
+/// The headroom covers the arrivals of this time, in milliseconds, plus those of [`COVERED_STOPS`]. It is about the time until capacity
+/// becomes free by itself, which is half of a short run.
 const COVERED_ARRIVALS_MS: u64 = 1_200;
-/// Longest stops that are added to that. Urgent jobs have a second or two to begin; where stopping others for them takes most of that, room must be
-/// free before they come.
+/// Number of longest stops whose arrivals the headroom covers too. Urgent jobs must start within a second or two. Where stopping other runs
+/// takes most of that, capacity must be free before they arrive.
 const COVERED_STOPS: u64 = 2;
-/// Jobs that the kept room holds at least: two or three at once come by chance, however rarely they come.
+/// Minimum number of jobs for which there is headroom. Two or three may arrive at once by chance, however rare they are.
 const MIN_JOBS: f64 = 3.0;
-/// Jobs whose room is taken to make up [`EXPECTED_PERCENT`] before the first ones have come.
+/// Number of jobs that are assumed to take up [`INITIAL_POOL_PERCENT`] before the first ones arrive.
 const INITIAL_JOBS: f64 = 5.0;
-/// Time between them until then, in milliseconds; about what is seen on the users' sites.
+/// Time that is assumed between arrivals before the first ones, in milliseconds; typical of the users' sites.
 const INITIAL_GAP_MS: f64 = 400.0;
-/// Time without an arrival after which no room is kept, in milliseconds.
+/// Time without an arrival after which there is no headroom any more, in milliseconds.
 const ARRIVAL_TIMEOUT_MS: u64 = 15_000;
-/// Largest share of a pool that is kept free, in percent.
+/// Maximum share of a pool that is kept free, in percent.
 const MAX_POOL_PERCENT: u64 = 30;
-/// Share of a pool that is kept before the first arrival, in percent; about what two of the users' sites come to keep.
+/// Share of a pool that is kept free before the first arrival, in percent; about what two of the users' sites arrive at.
 const INITIAL_POOL_PERCENT: u64 = 20;
-/// Times as many accelerators as are still wanted that a worker may have open to be kept for them.
+/// A worker is kept only if its available accelerators are at most this many times those still wanted.
 const MAX_OVERSHOOT_FACTOR: u64 = 2;
-/// Jobs remembered at a time.
+/// Maximum number of jobs that are remembered at the same time.
 const MAX_SEEN_JOBS: usize = 1_024;
 
-/// Arrivals of work of priority 0 in one pool.
+/// Statistics of arrivals of priority 0 in one pool.
 #[derive(Clone, Debug, Default)]
 struct Arrivals {
-    /// Mean accelerators of a job.
+    /// Mean number of accelerators of a job.
     accelerators: f64,
-    /// Mean time between two of them, in milliseconds.
+    /// Mean time between two arrivals, in milliseconds.
     gap_ms: f64,
-    /// When the last one came, on the leader's clock in milliseconds.
+    /// When the last job arrived, on the leader's clock in milliseconds.
     last_ms: u64,
 }
 
 impl Arrivals {
-    /// Mean jobs that the kept room shall hold where a stop takes `stop_ms` at most. It follows how often they come: a fixed number is too much
-    /// when they are rare, and far too little in a burst or in a large pool.
+    /// Returns for how many jobs there should be headroom if a stop takes at most `stop_ms`. The number follows the arrival rate: a fixed
+    /// number would be too large for rare arrivals, and far too small for a burst or a large pool.
     fn target_jobs(&self, stop_ms: u64) -> f64 {
         #[expect(clippy::cast_precision_loss, reason = "far below 2^53")]
         let covered_ms = (COVERED_ARRIVALS_MS + COVERED_STOPS * stop_ms) as f64;
@@ -54,7 +54,7 @@
     }
 }
 
-/// What has come lately.
+/// Recent arrivals of priority 0, and the headroom that they call for.
 #[derive(Clone, Debug, Default)]
 pub struct UrgentHeadroom {
     seen_jobs: BTreeSet<JobId>,
@@ -62,8 +62,8 @@
 }
 
 impl UrgentHeadroom {
-    /// Expects work of priority 0 in the pools that have a queue for it and where none has come yet: what fills a pool at the start
-    /// would have to be stopped for the first such jobs.
+    /// Assumes arrivals in the pools that have a queue of priority 0 and where none have been seen. Otherwise the work that fills a pool at
+    /// the start would have to be stopped for the first urgent jobs.
     pub fn assume_arrivals(&mut self, elected_ms: u64, workload: &Workload, rooms: &[Room]) {
         let Some(rules) = &workload.rules else {
             return;
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Learns from the units that wait.
+    /// Learns from the waiting units.
     pub fn record_arrivals(&mut self, now_ms: u64, units: &[Unit]) {
         if self.seen_jobs.len() > MAX_SEEN_JOBS {
             self.seen_jobs.clear();
@@ -113,17 +113,17 @@
         }
     }
 
-    /// Marks the rooms that only work of priority 0 may use: those with most free, in the rack that has most free. A stop takes `stop_ms` at
-    /// most.
+    /// Marks the workers that only work of priority 0 may use: those with the most available accelerators, in the rack with the most. A
+    /// stop takes at most `stop_ms`.
     pub fn mark_rooms(&self, (now_ms, stop_ms): (u64, u64), rooms: &mut [Room]) {
         for (pool, arrivals) in &self.pools {
             if now_ms >= arrivals.last_ms + ARRIVAL_TIMEOUT_MS {
                 continue;
             }
-            let own = |room: &&Room| room.usable && room.pool == *pool;
+            let in_pool = |room: &&Room| room.usable && room.pool == *pool;
             let total: u64 = rooms
                 .iter()
-                .filter(own)
+                .filter(in_pool)
                 .map(|room| room.capacity.accelerators)
                 .sum();
             #[expect(
@@ -134,28 +134,29 @@
             let wanted = (arrivals.accelerators * arrivals.target_jobs(stop_ms)) as u64;
             let mut left = wanted.min(total * MAX_POOL_PERCENT / 100);
             let mut racks: BTreeMap<Arc<str>, u64> = BTreeMap::new();
-            for room in rooms.iter().filter(own) {
+            for room in rooms.iter().filter(in_pool) {
                 *racks.entry(room.rack.clone()).or_default() += room.available().accelerators;
             }
             let mut order: Vec<usize> = (0..rooms.len())
-                .filter(|at| own(&&rooms[*at]) && rooms[*at].available().accelerators > 0)
+                .filter(|at| in_pool(&&rooms[*at]) && rooms[*at].available().accelerators > 0)
                 .collect();
             order.sort_by_key(|at| {
                 let room = &rooms[*at];
                 let rack = racks.get(&room.rack).copied().unwrap_or(0);
-                let open = room.available().accelerators;
+                let available = room.available().accelerators;
                 (
                     room.runtime_percent,
                     std::cmp::Reverse(rack),
-                    std::cmp::Reverse(open),
+                    std::cmp::Reverse(available),
                     *at,
                 )
             });
             for at in order {
-                // A whole worker for much less than it has would take more from others than it gives: in a pool of few workers none is kept.
-                let open = rooms[at].available().accelerators;
-                if open <= left * MAX_OVERSHOOT_FACTOR {
-                    left = left.saturating_sub(open);
+                // Keeping a whole worker for much less than it has would take more from other work than it gives. In a pool of few workers,
+                // none is kept.
+                let available = rooms[at].available().accelerators;
+                if available <= left * MAX_OVERSHOOT_FACTOR {
+                    left = left.saturating_sub(available);
                     rooms[at].urgent_only = true;
                 }
             }
--- a/crates/bh-workload/src/plan/wait_explainer.rs
+++ b/crates/bh-workload/src/plan/wait_explainer.rs
@@ -1,4 +1,4 @@
-//! Why a unit finds no place, as the last pass left the workers.
+//! Explains why a unit has not been placed.
 
 use super::Planner;
 use super::Room;
@@ -15,34 +15,34 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Workers as they are now, with what the last pass held back.
+/// The current workers, combined with the capacity that the last pass withheld.
 pub(super) struct WaitExplainer<'a> {
     planner: &'a Planner,
     dispatcher: &'a Dispatcher,
     now_ms: u64,
     wall_ms: u64,
-    /// All of them.
+    /// All workers.
     rooms: Vec<Room>,
-    /// The same without what was promised to waiting work.
+    /// All workers, without what the last pass reserved or held for waiting units.
     after_reservations: Vec<Room>,
-    /// The same without those kept for work of priority 0.
+    /// The same, also without the workers kept for work of priority 0.
     after_headroom: Vec<Room>,
-    /// Those that can't be used for a while, as if they could.
+    /// Workers that are temporarily unusable, marked as usable.
     recoverable: Vec<Room>,
 }
 
-/// Places for tasks of `unit` in `rooms`.
+/// Returns how many of the unit's tasks can be placed in `rooms`.
 fn places(unit: &Unit, rooms: &[Room], avoid: &BTreeSet<Incarnation>) -> u64 {
     rooms.iter().map(|room| room.places(unit, avoid)).sum()
 }
 
-/// Places without which nothing of a unit begins: a gang needs all of them, of other tasks some begin if there are any.
+/// Returns how many slots a unit needs for any of it to start: a gang needs all of them, other tasks start one by one.
 fn min_places(unit: &Unit) -> u64 {
     if unit.spec.gang { unit.count() } else { 1 }
 }
 
 impl<'a> WaitExplainer<'a> {
-    /// The workers at a time of the leader's clock and of the wall clock, both in milliseconds.
+    /// Creates the view of the workers at a time on the leader's clock and on the wall clock, both in milliseconds.
     pub fn new(
         planner: &'a Planner,
         (now_ms, wall_ms): (u64, u64),
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Why a unit is not placed.
+    /// Returns why a unit is not placed.
     pub fn wait(&self, unit: &Unit) -> WaitReason {
         if let Some(reservation) = self.planner.reservations.get(&unit.step) {
             let workers = reservation.places.len();
@@ -123,7 +123,7 @@
         self.withheld_wait(&isolated)
     }
 
-    /// Why a unit for which there are places enough is not placed.
+    /// Returns why a unit is not placed although there are enough slots for it.
     fn withheld_wait(&self, unit: &Unit) -> WaitReason {
         let last = &self.planner.last_pass;
         if last.started.contains(&unit.step) {
@@ -144,7 +144,7 @@
         if waits_for_rack {
             return WaitReason::Rack;
         }
-        // What was promised to the unit itself is told as wanting a rack, or as a claim.
+        // What is held for the unit itself has been reported above as waiting for a rack or as a reservation.
         let left = places(unit, &self.after_reservations, &avoid);
         if left < min_places {
             let to = last.reserved_for.iter().map(ToString::to_string).collect();
@@ -160,7 +160,7 @@
         WaitReason::Placing
     }
 
-    /// Why no worker admits a unit.
+    /// Returns why no worker accepts a unit.
     fn no_worker_wait(&self, unit: &Unit) -> WaitReason {
         let is_eligible = |room: &&Room| room.is_eligible(unit);
         let evacuated = self.rooms.iter().filter(|room| room.evacuated);
@@ -180,17 +180,18 @@
         WaitReason::Evacuated { data_centres }
     }
 
-    /// Whether the unit would have places on workers that its adviser was not asked about, or whose permission has run out.
+    /// Returns [`WaitReason::Advice`] if the unit would have enough slots on workers about which its adviser has not been asked, or whose
+    /// permission has expired.
     fn adviser_wait(&self, unit: &Unit) -> Option<WaitReason> {
         let advice = unit.advised.as_ref()?;
-        let anywhere = Unit {
+        let unrestricted = Unit {
             permitted: None,
             ..unit.clone()
         };
-        if places(&anywhere, &self.rooms, &BTreeSet::new()) < unit.count() {
+        if places(&unrestricted, &self.rooms, &BTreeSet::new()) < unit.count() {
             return None;
         }
-        let candidates = self.rooms.iter().filter(|room| room.accepts(&anywhere));
+        let candidates = self.rooms.iter().filter(|room| room.accepts(&unrestricted));
         let candidates = candidates.map(|room| room.worker.clone());
         self.dispatcher
             .permissions
@@ -198,7 +199,8 @@
             .map(|_| WaitReason::Advice)
     }
 
-    /// Whether the unit would have places enough if the workers that can't be used could be; `free` are those on the others.
+    /// Returns [`WaitReason::WorkersUnusable`] if the unit would have enough slots if temporarily unusable workers were usable. `free` is
+    /// the number of slots on the other workers.
     fn unusable_wait(&self, unit: &Unit, free: u64) -> Option<WaitReason> {
         let none = BTreeSet::new();
         let mut by_cause: BTreeMap<UnusableReason, u64> = BTreeMap::new();
--- a/crates/bh-workload/src/plan/wait_reason.rs
+++ b/crates/bh-workload/src/plan/wait_reason.rs
@@ -1,4 +1,4 @@
-//! Why tasks wait.
+//! Reasons why tasks wait.
 
 use super::UnusableReason;
 use crate::dispatch::RunPhase;
@@ -11,70 +11,70 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WaitReason {
-    /// Their time has not come.
+    /// The occurrence is not due yet.
     NotDue {
-        /// When it comes, in milliseconds since 1970.
+        /// When it is due, in milliseconds since 1970.
         due_ms: u64,
     },
     /// Earlier steps are not done.
     EarlierSteps {
-        /// Their positions.
+        /// Positions of these steps.
         steps: Vec<u32>,
     },
-    /// Some of a gang's earlier runs may still go on.
+    /// Earlier runs of the gang may still be running.
     EarlierRuns,
-    /// Their runs are recorded, and none is known to be at work.
+    /// Runs of the tasks are recorded, but none is known to be running.
     Ordered {
-        /// How far the run has come that has been so for longest.
+        /// Phase of the run that has been in its phase for longest.
         phase: RunPhase,
     },
-    /// A gang that must not begin before it is known whether earlier attempts of it have failed: it may have no attempt left.
+    /// It is unknown whether earlier attempts of the gang have failed, and if they have, the gang has no attempts left.
     UncertainFailures,
-    /// All workers that may run them are in data centres under evacuation.
+    /// All workers that may run the tasks are in data centres that are being evacuated.
     Evacuated {
         /// The data centres.
         data_centres: BTreeSet<Arc<str>>,
     },
-    /// No worker that can be used now may run them: label, pool, or the adviser.
+    /// No worker that is usable now may run the tasks, because of their label, their pool or the adviser.
     NoWorkerAllowed,
-    /// The workers that may run them are too small.
+    /// The workers that may run the tasks are too small.
     NoWorkerLargeEnough,
-    /// The adviser has not said yet whether more workers may run them.
+    /// The adviser has not yet answered whether more workers may run the tasks.
     Advice,
-    /// Workers have room that get no new work now.
+    /// There is enough room if workers that get no new work now are counted.
     WorkersUnusable {
-        /// Places on such workers.
+        /// Number of slots on such workers.
         places: u64,
-        /// Why most of these places can't be used.
+        /// Why most of these slots can't be used.
         why: UnusableReason,
     },
-    /// Room is being made by stopping others.
+    /// Other runs are being stopped to make room.
     RoomIsMade {
-        /// On so many workers.
+        /// Number of workers on which room is being made.
         workers: usize,
     },
-    /// There are fewer places free than tasks.
+    /// There are fewer free slots than tasks.
     NoRoom {
-        /// Tasks.
+        /// Number of tasks.
         tasks: u64,
-        /// Places.
+        /// Number of free slots.
         places: u64,
     },
-    /// There is room, but the last plan promised it to other work.
+    /// There is room, but the last plan reserved or held it for other work.
     RoomPromised {
-        /// Places that are left.
+        /// Number of slots left.
         places: u64,
-        /// The first of the steps that it was promised to, `JOB.OCCURRENCE.STEP`.
+        /// The first steps for which it was reserved or held, `JOB.OCCURRENCE.STEP`.
         to: Vec<String>,
     },
     /// There is room, but the last plan kept it for work of priority 0.
     RoomKept {
-        /// Places that are left.
+        /// Number of slots left.
         places: u64,
     },
-    /// A worker has crashed under one of the tasks, which wait for a while for workers on which nothing has just begun.
+    /// A worker has crashed under one of the tasks. For a while they wait for workers on which nothing has just started.
     Apart {
-        /// Workers that crashed.
+        /// Number of workers that crashed.
         crashes: u32,
     },
     /// There is room only on workers on which the tasks have failed or were slow.
@@ -82,20 +82,20 @@
         /// Number of these workers.
         workers: usize,
     },
-    /// There is room, but not in a rack in which they are fast.
+    /// There is room, but not in a rack in which the tasks run at full speed.
     Rack,
-    /// Their starts are planned and are being recorded.
+    /// Starts of the tasks are planned and are being recorded.
     StartRecording,
-    /// There is room, but no plan was made since they could begin.
+    /// There is room, but no plan has been made since the tasks became ready.
     NotPlanned,
-    /// Nothing of them is recorded as running or waiting, though they are not done.
+    /// The tasks are not done, but are recorded neither as running nor as waiting.
     Unexplained,
-    /// There are places enough; taken by work that comes first, or by the tasks at the next plan.
+    /// There are enough slots. Either more important work takes them, or the tasks start at the next plan.
     Placing,
 }
 
 impl WaitReason {
-    /// Every reason that work may wait for whose turn has come, as [`WaitReason::reason`] names it.
+    /// All results of [`WaitReason::reason`] for work that is due and not blocked by earlier steps.
     pub const REASONS: [&'static str; 28] = [
         "earlier_runs",
         "start_unsent",
@@ -127,7 +127,7 @@
         "placing",
     ];
 
-    /// Short name of the reason, for metrics and logs.
+    /// Returns a short name of the reason, for metrics and logs.
     pub fn reason(&self) -> &'static str {
         match self {
             WaitReason::NotDue { .. } => "not_due",
@@ -137,7 +137,7 @@
                 RunPhase::Unsent => "start_unsent",
                 RunPhase::InFlight => "start_in_flight",
                 RunPhase::Unsure => "start_unsure",
-                // Never told of work of which nothing runs.
+                // Not reported, because a step with a running task does not wait.
                 RunPhase::Running => "running",
                 RunPhase::Unreported => "run_unreported",
                 RunPhase::Silent => "worker_silent",
--- a/crates/bh-workload/src/rules/rules.rs
+++ b/crates/bh-workload/src/rules/rules.rs
@@ -27,7 +27,7 @@
     /// Returns the first reason why the rules are invalid, or `None` if they are valid.
     pub fn problem(&self) -> Option<String> {
         let pools: BTreeSet<&str> = self.pools.iter().map(|pool| &*pool.name).collect();
-        let mut places = BTreeSet::new();
+        let mut routes = BTreeSet::new();
         for queue in &self.queues {
             if !pools.contains(&*queue.pool) {
                 return Some(format!(
@@ -35,7 +35,7 @@
                     queue.name, queue.pool
                 ));
             }
-            if !places.insert((&queue.host, &queue.path_prefix)) {
+            if !routes.insert((&queue.host, &queue.path_prefix)) {
                 return Some(format!(
                     "two queues share `{}{}`",
                     queue.host, queue.path_prefix
@@ -47,8 +47,8 @@
         }
         let mut keys = BTreeSet::new();
         for customer in &self.customers {
-            let own: BTreeSet<&Arc<str>> = customer.keys.iter().collect();
-            if own.into_iter().any(|key| !keys.insert(key)) {
+            let own_keys: BTreeSet<&Arc<str>> = customer.keys.iter().collect();
+            if own_keys.into_iter().any(|key| !keys.insert(key)) {
                 return Some(format!(
                     "customer `{}` shares a key with another",
                     customer.name
@@ -78,7 +78,7 @@
     pub fn customer_of_key(&self, key: &str) -> Option<&Arc<Customer>> {
         self.customers
             .iter()
-            .find(|customer| customer.keys.iter().any(|own| &**own == key))
+            .find(|customer| customer.keys.iter().any(|own_key| &**own_key == key))
     }
 
     /// Returns the number of accelerators that the customer `name` is guaranteed; 0 for an unknown customer.
