--- a/crates/bh-workload/src/plan/hold_for_gang.rs
+++ b/crates/bh-workload/src/plan/hold_for_gang.rs
@@ -59,11 +59,11 @@
         ends: &[(u64, Resources)],
     ) -> Vec<(u64, usize)> {
         let room = &self.rooms[at];
-        let most = room.max_tasks(unit);
+        let max_tasks = room.max_tasks(unit);
         let mut places: Vec<(u64, usize)> = Vec::new();
         let mut freed = Resources::default();
         let mut add_places = |free_ms: u64, freed: &Resources| {
-            let count = unit.needs.count_in(&room.available_after(freed), most);
+            let count = unit.needs.count_in(&room.available_after(freed), max_tasks);
             while u64::try_from(places.len()).is_ok_and(|known| known < count) {
                 places.push((free_ms, at));
             }
--- a/crates/bh-workload/src/plan/pass.rs
+++ b/crates/bh-workload/src/plan/pass.rs
@@ -36,6 +36,7 @@
     pub(super) guaranteed: &'a BTreeSet<JobId>,
     /// Workers and their free capacity. The pass updates them as it places work.
     pub rooms: Vec<Room>,
+    /// Position of each worker in `rooms`.
     pub(super) index: BTreeMap<Incarnation, usize>,
     /// All recorded runs, collected when the first unit tries to preempt others.
     pub(super) preemption_candidates: Option<PreemptionCandidates>,
--- a/crates/bh-workload/src/plan/planner.rs
+++ b/crates/bh-workload/src/plan/planner.rs
@@ -1,4 +1,4 @@
-//! The planner of the leader.
+//! The planner, which decides what starts and what stops.
 
 use super::OverdueReason;
 use super::OverdueRun;
@@ -41,7 +41,7 @@
 /// wait longer.
 const MAX_ISOLATION_WAIT_MS: u64 = 2_000;
 
-/// Plans the leader's work.
+/// Decides for the leader which tasks start on which workers, and which runs stop.
 ///
 /// What the planner learns is lost when its leader loses the leadership, and the next leader learns it again.
 #[derive(Clone, Debug, Default)]
@@ -365,7 +365,7 @@
     units.retain(|unit| !is_uncertain(unit.step, &unheard, workload));
 }
 
-/// Returns whether a gang would exceed its allowed failures if all its attempts in `unheard`, which ended without a report, have failed.
+/// Returns whether a gang has used up its attempts if all its attempts in `unheard`, which ended without a report, have failed.
 pub(super) fn is_uncertain(
     step: StepId,
     unheard: &BTreeMap<StepId, BTreeSet<u32>>,
--- a/crates/bh-workload/src/plan/preemption.rs
+++ b/crates/bh-workload/src/plan/preemption.rs
@@ -158,16 +158,18 @@
     room: &Room,
     candidates: &[&PreemptionCandidate],
 ) -> Option<Offer> {
-    let most = room.max_tasks(unit);
+    let max_tasks = room.max_tasks(unit);
     let mut freed = Resources::default();
-    let (mut places, mut loss) = (unit.needs.count_in(&room.available(), most), 0);
+    let (mut places, mut loss) = (unit.needs.count_in(&room.available(), max_tasks), 0);
     for candidate in candidates {
-        if places >= most {
+        if places >= max_tasks {
             break;
         }
         freed.add(&candidate.needs);
         loss += candidate.loss;
-        places = unit.needs.count_in(&room.available_after(&freed), most);
+        places = unit
+            .needs
+            .count_in(&room.available_after(&freed), max_tasks);
     }
     (places > 0).then_some(Offer {
         room: index,
