--- a/crates/bh-workload/src/plan/mod.rs
+++ b/crates/bh-workload/src/plan/mod.rs
@@ -7,7 +7,7 @@
 //! - A worker is *cold* for a while after it has started, and runs tasks more slowly during that time.
 //! - *Kept room* is free capacity that only work of priority 0 may use, so that it starts without delay.
 //! - Tasks wait *apart* when a worker has crashed under one of them: they wait for workers on which nothing else has just started, so that
-//! a further crash can be attributed.
+//!   a further crash can be attributed.
 
 mod collect;
 mod decided;
--- a/crates/bh-workload/src/plan/pass.rs
+++ b/crates/bh-workload/src/plan/pass.rs
@@ -38,7 +38,7 @@
     pub rooms: Vec<Room>,
     /// Position of each worker in `rooms`.
     pub(super) index: BTreeMap<Incarnation, usize>,
-    /// All recorded runs, collected when the first unit tries to preempt others.
+    /// All recorded runs, collected when the first unit attempts to preempt others.
     pub(super) preemption_candidates: Option<PreemptionCandidates>,
     /// Expected end and resources of the runs on each worker, computed on first use.
     pub(super) run_ends: BTreeMap<usize, Rc<[(u64, Resources)]>>,
--- a/crates/bh-workload/src/plan/preempt.rs
+++ b/crates/bh-workload/src/plan/preempt.rs
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Collects all recorded runs. The result is cached for the pass, because otherwise each unit that tries to preempt would scan all runs
+    /// Collects all recorded runs. The result is cached for the pass, because otherwise each unit that attempts to preempt would scan all runs
     /// of the fleet.
     fn collect_candidates(&self) -> Vec<PreemptionCandidate> {
         let workers = self.workload.workers().filter_map(|worker| {
