--- a/crates/bh-workload/src/plan/planner.rs
+++ b/crates/bh-workload/src/plan/planner.rs
@@ -257,9 +257,9 @@
             let stalled_long = stall_tracker.is_stalled_long(now_ms, unit.step);
             if unit.spec.gang {
                 let placement = pass.place_gang(unit, &avoid);
-                let place_relaxed = || pass.place_relaxed(unit, &avoid);
+                let relaxed_placement = || pass.place_relaxed(unit, &avoid);
                 if let Some(placement) =
-                    placement.or_else(|| stalled_long.then(place_relaxed).flatten())
+                    placement.or_else(|| stalled_long.then(relaxed_placement).flatten())
                 {
                     pass.start(unit, &placement);
                 } else if pass.try_preempt(reservations, unit) {
