--- a/crates/bh-control/src/core/leader_loop.rs
+++ b/crates/bh-control/src/core/leader_loop.rs
@@ -14,7 +14,7 @@
 use super::upkeep;
 use bh_net::runtime::within_ms;
 use bh_workload::dispatch::Dispatcher;
-use bh_workload::plan::Overdue;
+use bh_workload::plan::OverdueReason;
 use bh_workload::plan::Planner;
 use bh_workload::state::Command;
 use bh_workload::state::Workload;
@@ -208,7 +208,7 @@
         log::info!(run = late.run.to_string(), worker = late.worker.to_string(), why:? = late.why; "run begun anew elsewhere");
         leadership.dispatcher.request_stop(&late.worker, late.run);
         // A worker on which a run makes no progress is likely to do the same to the next run.
-        if late.why == Overdue::Still && !late.gang {
+        if late.why == OverdueReason::Still && !late.gang {
             leadership.dispatcher.set_aside(now_ms, &late.worker);
         }
     }
--- a/crates/bh-control/src/core/surveys.rs
+++ b/crates/bh-control/src/core/surveys.rs
@@ -4,7 +4,7 @@
 use super::job_stall::JobStall;
 use super::leadership::Leadership;
 use crate::observe::Metrics;
-use bh_workload::plan::Wait;
+use bh_workload::plan::WaitReason;
 use std::rc::Rc;
 
 /// Minimum time between surveys, in milliseconds: short compared with the seconds after which a wait is worth reporting.
@@ -87,7 +87,7 @@
 /// Sets the gauges to the values of the last survey. On a core that does not lead they are 0.
 pub(super) fn set_gauges(leadership: Option<&Leadership>, metrics: &Metrics) {
     let tracker = leadership.map(|leadership| &leadership.runnable);
-    for reason in Wait::REASONS {
+    for reason in WaitReason::REASONS {
         let tasks = tracker.and_then(|tracker| tracker.tasks.get(reason));
         let label = ("reason", reason);
         metrics.gauge_with("runnable_tasks", label, tasks.copied().unwrap_or(0));
--- a/crates/bh-control/tests/job_stalls.rs
+++ b/crates/bh-control/tests/job_stalls.rs
@@ -11,13 +11,13 @@
 use bh_protocol::Incarnation;
 use bh_workload::dispatch::RunPhase;
 use bh_workload::job::JobId;
-use bh_workload::job::Needs;
+use bh_workload::job::Resources;
 use bh_workload::job::StepId;
-use bh_workload::plan::Holder;
+use bh_workload::plan::BlockingRun;
 use bh_workload::plan::RunnableStep;
-use bh_workload::plan::Standing;
+use bh_workload::plan::StallCheck;
 use bh_workload::plan::Survey;
-use bh_workload::plan::Wait;
+use bh_workload::plan::WaitReason;
 use rstest::rstest;
 
 const SURVEY_MS: u64 = 500;
@@ -31,10 +31,10 @@
             step: 0,
         },
         tasks: 2,
-        wait: Wait::Ordered {
+        wait: WaitReason::Ordered {
             phase: RunPhase::Unreported,
         },
-        held_by: Some(Holder {
+        held_by: Some(BlockingRun {
             run: format!("{}.0.0.0#1", JobId(job)),
             worker: Incarnation::parse("w00").unwrap(),
             phase: RunPhase::Unreported,
@@ -42,14 +42,14 @@
         }),
         ready_ms: 0,
         results: 0,
-        standing: Standing {
+        stall_check: StallCheck {
             runs: 0,
             tasks: 2,
             places: 4,
-            in_use: Needs::default(),
-            capacity: Needs {
+            in_use: Resources::default(),
+            capacity: Resources {
                 cpu_millis: 8,
-                ..Needs::default()
+                ..Resources::default()
             },
         },
     }
@@ -97,10 +97,10 @@
 
 /// Guards against the end of a stall being reported with the wrong cause.
 #[rstest]
-#[case::it_runs(RunnableStep { standing: Standing { runs: 1, ..step(1).standing }, ..step(1) }, StallEnd::Runs)]
+#[case::it_runs(RunnableStep { stall_check: StallCheck { runs: 1, ..step(1).stall_check }, ..step(1) }, StallEnd::Runs)]
 #[case::it_has_run(RunnableStep { results: 1, ..step(1) }, StallEnd::Runs)]
 #[case::less_room(
-    RunnableStep { standing: Standing { places: 3, ..step(1).standing }, ..step(1) },
+    RunnableStep { stall_check: StallCheck { places: 3, ..step(1).stall_check }, ..step(1) },
     StallEnd::LessRoom
 )]
 fn the_cause_of_an_end_is_told(#[case] last: RunnableStep, #[case] cause: StallEnd) {
@@ -168,7 +168,7 @@
 fn waits_are_summed_by_reason_and_have_an_age() {
     let mut tracker = RunnableTracker::new();
     let room = RunnableStep {
-        wait: Wait::NoRoom {
+        wait: WaitReason::NoRoom {
             tasks: 2,
             places: 0,
         },
--- a/crates/bh-workload/src/dispatch/worker_reconciler.rs
+++ b/crates/bh-workload/src/dispatch/worker_reconciler.rs
@@ -13,7 +13,7 @@
 use super::order::RETRY_MS;
 use super::pacing;
 use super::pacing::SHARED_PROBE_WAIT_MS;
-use crate::job::Needs;
+use crate::job::Resources;
 use crate::job::RunId;
 use crate::job::StepId;
 use crate::state::End;
@@ -293,7 +293,7 @@
     /// A worker that does not check its capacity would start them anyway, and everything on it would slow down or be killed.
     fn excess_runs(&self, target: &Target) -> BTreeSet<RunId> {
         let mut excess_runs = BTreeSet::new();
-        if self.worker.excess() == Needs::default() {
+        if self.worker.excess() == Resources::default() {
             return excess_runs;
         }
         let is_confirmed = |run: &RunId| target.runs.get(run).is_some_and(RunState::is_confirmed);
@@ -307,7 +307,7 @@
             if is_confirmed(run) {
                 continue;
             }
-            if needs.fits(&free) {
+            if needs.fits_in(&free) {
                 free.subtract(needs);
             } else {
                 excess_runs.insert(*run);
--- a/crates/bh-workload/src/plan/availability.rs
+++ b/crates/bh-workload/src/plan/disruption_budget.rs
@@ -1,4 +1,4 @@
-//! How many tasks of a service may be missing.
+//! Limits on how many tasks of a service are unavailable at the same time.
 
 use crate::dispatch::Dispatcher;
 use crate::dispatch::RunState;
@@ -10,20 +10,20 @@
 use bh_protocol::Incarnation;
 use std::collections::BTreeMap;
 
-/// Progress that a task of a service reports once it is wholly at work, in percent.
-const AT_WORK_PERCENT: u64 = 100;
+/// Progress that a task of a service reports when it is ready to serve, in percent.
+const READY_PERCENT: u64 = 100;
 
-/// Which tasks of services may be stopped without more of them missing than their callers bear.
-pub struct Availability<'a> {
+/// Decides which tasks of services may be stopped without exceeding the limits that their callers state.
+pub struct DisruptionBudget<'a> {
     workload: &'a Workload,
     dispatcher: &'a Dispatcher,
     stopping: &'a [(Incarnation, RunId)],
-    /// Tasks that may still be stopped, by step.
-    left: BTreeMap<StepId, u64>,
+    /// Number of tasks that may still be stopped, by step.
+    remaining: BTreeMap<StepId, u64>,
 }
 
-impl<'a> Availability<'a> {
-    /// With `stopping` as good as stopped.
+impl<'a> DisruptionBudget<'a> {
+    /// Creates a budget that counts the runs in `stopping` as stopped.
     pub fn new(
         workload: &'a Workload,
         dispatcher: &'a Dispatcher,
@@ -33,44 +33,45 @@
             workload,
             dispatcher,
             stopping,
-            left: BTreeMap::new(),
+            remaining: BTreeMap::new(),
         }
     }
 
-    /// Whether a run may be stopped, and counts it as stopped if so. A run of which this leader does not know that it is at work may not:
-    /// it may have been for long.
-    pub fn may_miss(&mut self, run: RunId) -> bool {
+    /// Returns whether a run may be stopped, and if so counts it as stopped.
+    ///
+    /// In a step with a limit, a run that this leader has not seen ready may not be stopped: it may have been ready for long.
+    pub fn allow_stop(&mut self, run: RunId) -> bool {
         let step = run.task.step;
         let spec = self.workload.step_spec(step);
         let Some(most) = spec.and_then(|spec| spec.most_unavailable) else {
             return true;
         };
-        if !self.is_at_work(run) {
+        if !self.is_available(run) {
             return false;
         }
-        let left = match self.left.get(&step) {
+        let left = match self.remaining.get(&step) {
             Some(left) => *left,
-            None => u64::from(most).saturating_sub(self.missing(step, spec)),
+            None => u64::from(most).saturating_sub(self.unavailable(step, spec)),
         };
-        self.left.insert(step, left.saturating_sub(1));
+        self.remaining.insert(step, left.saturating_sub(1));
         left > 0
     }
 
-    /// Tasks of a step that are not at work.
-    fn missing(&self, step: StepId, spec: Option<&StepSpec>) -> u64 {
+    /// Returns how many tasks of a step are not ready.
+    fn unavailable(&self, step: StepId, spec: Option<&StepSpec>) -> u64 {
         let at_work = self
             .workload
             .workers()
             .flat_map(|worker| worker.runs.keys())
-            .filter(|run| run.task.step == step && self.is_at_work(**run))
+            .filter(|run| run.task.step == step && self.is_available(**run))
             .count();
         let all = spec.map_or(0, |spec| u64::from(spec.count));
         all.saturating_sub(u64::try_from(at_work).unwrap_or(u64::MAX))
     }
 
-    fn is_at_work(&self, run: RunId) -> bool {
+    fn is_available(&self, run: RunId) -> bool {
         let at_work = |run_state: &RunState| {
-            run_state.percent >= AT_WORK_PERCENT
+            run_state.percent >= READY_PERCENT
                 && !run_state.stop_requested
                 && matches!(run_state.start, StartPhase::Confirmed { .. })
         };
--- a/crates/bh-workload/src/plan/explain.rs
+++ b/crates/bh-workload/src/plan/explain.rs
@@ -1,12 +1,12 @@
-//! Why a job is where it is.
+//! Explains the state of a job.
 
 use super::Planner;
 use super::Unit;
-use super::Wait;
+use super::WaitReason;
 use super::collect;
-use super::entitled_jobs;
-use super::outlook::Outlook;
+use super::guaranteed_jobs;
 use super::planner::is_uncertain;
+use super::wait_explainer::WaitExplainer;
 use crate::dispatch::Dispatcher;
 use crate::dispatch::RunPhase;
 use crate::job::JobId;
@@ -20,84 +20,84 @@
 use serde::Serialize;
 use std::sync::Arc;
 
-/// What is known of a job.
+/// State of a job, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobReport {
-    /// Its name.
+    /// Name of the job.
     pub job: String,
-    /// Its queue.
+    /// Name of its queue.
     pub queue: Arc<str>,
-    /// Rank of the queue.
+    /// Priority of the queue.
     pub priority: u32,
-    /// Whose it is.
+    /// Name of the customer, if known.
     pub customer: Option<Arc<str>>,
-    /// Whether its customer's guarantee covers it.
+    /// Whether the customer's guarantee covers the job.
     pub is_guaranteed: bool,
-    /// What its caller is told.
+    /// State that the caller sees.
     pub state: JobState,
-    /// Why it was given up, if it was.
+    /// Why the job was given up; `None` if it was not.
     pub given_up: Option<GiveUp>,
-    /// When it was accepted, in milliseconds since 1970.
+    /// When the job was accepted, in milliseconds since 1970.
     pub accepted_ms: u64,
-    /// Its steps that are not done.
+    /// Steps that are not done.
     pub steps: Vec<StepReport>,
 }
 
-/// What is known of one step.
+/// State of a step.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepReport {
-    /// `JOB.OCCURRENCE.STEP`.
+    /// Name of the step, `JOB.OCCURRENCE.STEP`.
     pub step: String,
-    /// Its tasks.
+    /// Number of tasks.
     pub tasks: u32,
-    /// Those that are done.
+    /// Number of tasks that are done.
     pub done: u32,
-    /// Failed runs, of the task with most of them.
+    /// Number of failed runs of one task; the maximum over the tasks.
     pub failures: u32,
-    /// Workers that crashed under one task, of the task with most of them.
+    /// Number of workers that crashed under one task; the maximum over the tasks.
     pub crashes: u32,
-    /// Where its runs are.
+    /// Recorded runs of the step.
     pub runs: Vec<RunReport>,
-    /// Why the others wait.
-    pub wait: Option<Wait>,
-    /// The earlier run that they wait for, the one that has been so for longest; `None` when they wait for none.
+    /// Why the tasks without a run wait.
+    pub wait: Option<WaitReason>,
+    /// The earlier run that the tasks wait for, the one that has been in its phase for longest. `None` if they don't wait for a run.
     #[serde(default)]
-    pub held_by: Option<Holder>,
+    pub held_by: Option<BlockingRun>,
 }
 
-/// What is known of one run.
+/// State of a run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunReport {
-    /// `JOB.OCCURRENCE.STEP.INDEX#ATTEMPT`.
+    /// Name of the run, `JOB.OCCURRENCE.STEP.INDEX#ATTEMPT`.
     pub run: String,
-    /// Its worker.
+    /// Worker of the run.
     pub worker: Incarnation,
-    /// Last progress that the worker reported, in percent.
+    /// Progress in the worker's last report, in percent.
     pub percent: u64,
-    /// How old that report is, in milliseconds.
+    /// Age of that report, in milliseconds.
     pub report_age_ms: u64,
-    /// Whether it is being stopped.
+    /// Whether the run is being stopped.
     pub is_stopping: bool,
-    /// How far it has come; `None` from a core of an older version.
+    /// Phase of the run; `None` if the report comes from a core of an older version.
     #[serde(default)]
     pub phase: Option<RunPhase>,
 }
 
-/// The recorded run that work waits for.
+/// A recorded run that other tasks wait for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Holder {
-    /// `JOB.OCCURRENCE.STEP.INDEX#ATTEMPT`.
+pub struct BlockingRun {
+    /// Name of the run, `JOB.OCCURRENCE.STEP.INDEX#ATTEMPT`.
     pub run: String,
-    /// Its worker.
+    /// Worker of the run.
     pub worker: Incarnation,
-    /// How far it has come.
+    /// Phase of the run.
     pub phase: RunPhase,
-    /// For how long this leader has known it to be so, in milliseconds.
+    /// For how long this leader has known the run to be in this phase, in milliseconds.
     pub held_ms: u64,
 }
 
 impl Planner {
-    /// What is known of a job at `now_ms` of the leader's clock and `wall_ms` since 1970; `None` when there is no such job.
+    /// Returns the state of a job at `now_ms` on the leader's clock, which is `wall_ms` since 1970. Returns `None` for an unknown job.
     pub fn explain(
         &self,
         (now_ms, wall_ms): (u64, u64),
@@ -107,15 +107,15 @@
     ) -> Option<JobReport> {
         let job = workload.job(id)?;
         let queue = workload.queue_of(job);
-        let entitled = entitled_jobs(workload);
+        let guaranteed = guaranteed_jobs(workload);
         let units = collect::collect(
             workload,
             &self.runtimes,
-            &entitled,
+            &guaranteed,
             (wall_ms, dispatcher.timing().remote_percent),
         );
         let unheard = dispatcher.unheard_attempts(now_ms);
-        let outlook = Outlook::new(self, (now_ms, wall_ms), workload, dispatcher);
+        let explainer = WaitExplainer::new(self, (now_ms, wall_ms), workload, dispatcher);
         let mut steps = Vec::new();
         for occurrence in 0..job.spec.occurrences() {
             for (spec, position) in job.spec.steps.iter().zip(0..) {
@@ -130,15 +130,15 @@
                 }
                 let wait = if wall_ms < job.spec.due_ms(occurrence).unwrap_or(0) {
                     let due_ms = job.spec.due_ms(occurrence).unwrap_or(0);
-                    Some(Wait::NotDue { due_ms })
+                    Some(WaitReason::NotDue { due_ms })
                 } else if !job.is_unblocked(step) {
                     let steps = spec.after.clone();
-                    Some(Wait::EarlierSteps { steps })
+                    Some(WaitReason::EarlierSteps { steps })
                 } else if let Some(unit) = &unit {
                     let uncertain = is_uncertain(step, &unheard, workload);
-                    Some(wait_of_unit(unit, uncertain, &outlook))
+                    Some(wait_of_unit(unit, uncertain, &explainer))
                 } else {
-                    job.is_broken_gang(step).then_some(Wait::EarlierRuns)
+                    job.is_broken_gang(step).then_some(WaitReason::EarlierRuns)
                 };
                 let times = (now_ms, wait);
                 steps.extend(step_report(times, workload, dispatcher, step));
@@ -149,7 +149,7 @@
             queue: queue.name.clone(),
             priority: queue.priority,
             customer: job.customer.clone(),
-            is_guaranteed: entitled.contains(&id),
+            is_guaranteed: guaranteed.contains(&id),
             state: job.state(),
             given_up: job.given_up,
             accepted_ms: job.accepted_ms,
@@ -158,18 +158,18 @@
     }
 }
 
-/// Why a unit waits; `uncertain` gangs are left out of the plan.
-pub(super) fn wait_of_unit(unit: &Unit, uncertain: bool, outlook: &Outlook) -> Wait {
+/// Returns why a unit waits. The planner leaves out `uncertain` gangs, which may have used up their attempts.
+pub(super) fn wait_of_unit(unit: &Unit, uncertain: bool, explainer: &WaitExplainer) -> WaitReason {
     if uncertain {
-        Wait::UncertainFailures
+        WaitReason::UncertainFailures
     } else {
-        outlook.wait(unit)
+        explainer.wait(unit)
     }
 }
 
-/// The report of a step; `None` when it is done.
+/// Returns the state of a step, or `None` if the step is done.
 fn step_report(
-    (now_ms, wait): (u64, Option<Wait>),
+    (now_ms, wait): (u64, Option<WaitReason>),
     workload: &Workload,
     dispatcher: &Dispatcher,
     step: StepId,
@@ -179,7 +179,7 @@
         return None;
     }
     let mut runs = Vec::new();
-    let mut holder: Option<Holder> = None;
+    let mut blocking: Option<BlockingRun> = None;
     for worker in workload.workers() {
         let target = dispatcher.view(&worker.info.id);
         for run in worker.runs.keys().filter(|run| run.task.step == step) {
@@ -187,9 +187,11 @@
             let at = (&worker.info.id, *run);
             let (phase, since_ms) = RunPhase::of(now_ms, workload, dispatcher, at);
             let held_ms = now_ms.saturating_sub(since_ms);
-            let longest = holder.as_ref().is_none_or(|other| held_ms > other.held_ms);
-            if wait == Some(Wait::EarlierRuns) && longest {
-                holder = Some(Holder {
+            let longest = blocking
+                .as_ref()
+                .is_none_or(|other| held_ms > other.held_ms);
+            if wait == Some(WaitReason::EarlierRuns) && longest {
+                blocking = Some(BlockingRun {
                     run: run.to_string(),
                     worker: worker.info.id.clone(),
                     phase,
@@ -217,6 +219,6 @@
         crashes: crashes.unwrap_or(0),
         runs,
         wait,
-        held_by: holder,
+        held_by: blocking,
     })
 }
--- a/crates/bh-workload/src/plan/last_pass.rs
+++ b/crates/bh-workload/src/plan/last_pass.rs
@@ -1,59 +1,60 @@
-//! What the last pass of planning left behind that explains why work waits.
+//! Outcome of the last planning pass, to explain why work waits.
 
 use super::Room;
 use super::Unit;
 use super::collect;
-use crate::job::Needs;
+use crate::job::Resources;
 use crate::job::StepId;
 use crate::state::Start;
 use bh_protocol::Incarnation;
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-/// What the last pass looked at and held back. It explains why work waits; no placement depends on it.
+/// What the last pass considered, started and withheld. It only serves to explain why work waits; no placement depends on it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LastPass {
-    /// Steps that it looked at.
-    pub looked_at: BTreeSet<StepId>,
-    /// Steps of which it planned starts.
+    /// Steps that the pass considered.
+    pub considered: BTreeSet<StepId>,
+    /// Steps of which the pass started tasks.
     pub started: BTreeSet<StepId>,
-    /// What it promised to work that does not begin yet, or kept for gangs, by worker.
-    pub promised: BTreeMap<Incarnation, Needs>,
-    /// Steps to which it promised that, the first in its order.
-    pub promised_to: Vec<StepId>,
-    /// Workers that it kept for work of priority 0.
-    pub kept: BTreeSet<Incarnation>,
+    /// Resources that the pass reserved for waiting units or held for gangs, by worker.
+    pub reserved_capacity: BTreeMap<Incarnation, Resources>,
+    /// The first steps, by precedence, for which the pass reserved or held capacity.
+    pub reserved_for: Vec<StepId>,
+    /// Workers that the pass kept for work of priority 0.
+    pub urgent_only: BTreeSet<Incarnation>,
 }
 
 impl LastPass {
-    /// What a pass over `units` left in `rooms`, with the starts it planned and which steps wait with room promised to them.
+    /// Collects the outcome of a pass over `units` that left `rooms` and planned `starts`. `has_withheld` returns whether capacity is reserved or
+    /// held for a step.
     pub fn new(
         units: &[Unit],
         rooms: &[Room],
         starts: &[Start],
-        waits: impl Fn(StepId) -> bool,
+        has_withheld: impl Fn(StepId) -> bool,
     ) -> Self {
-        /// Steps that are remembered, at most.
-        const MOST_STEPS: usize = 4;
-        let promised = rooms.iter().map(|room| {
-            let mut promised = room.promised;
-            promised.add(&room.held);
-            (room.worker.clone(), promised)
+        /// Maximum number of steps in `reserved_for`.
+        const MAX_REPORTED_STEPS: usize = 4;
+        let reserved_capacity = rooms.iter().map(|room| {
+            let mut reserved_capacity = room.reserved_capacity;
+            reserved_capacity.add(&room.held_for_gangs);
+            (room.worker.clone(), reserved_capacity)
         });
-        let kept = rooms.iter().filter(|room| room.kept);
+        let urgent_only = rooms.iter().filter(|room| room.urgent_only);
         Self {
-            looked_at: collect::steps(units),
+            considered: collect::steps_of(units),
             started: starts.iter().map(|start| start.run.task.step).collect(),
-            promised_to: units
+            reserved_for: units
                 .iter()
                 .map(|unit| unit.step)
-                .filter(|step| waits(*step))
-                .take(MOST_STEPS)
+                .filter(|step| has_withheld(*step))
+                .take(MAX_REPORTED_STEPS)
                 .collect(),
-            promised: promised
-                .filter(|(_, promised)| *promised != Needs::default())
+            reserved_capacity: reserved_capacity
+                .filter(|(_, reserved_capacity)| *reserved_capacity != Resources::default())
                 .collect(),
-            kept: kept.map(|room| room.worker.clone()).collect(),
+            urgent_only: urgent_only.map(|room| room.worker.clone()).collect(),
         }
     }
 }
--- a/crates/bh-workload/src/plan/leaving.rs
+++ b/crates/bh-workload/src/plan/leaving.rs
@@ -1,4 +1,4 @@
-//! Runs that cannot end on a worker that leaves.
+//! Finds runs that can't end before their worker leaves.
 
 use super::Runtimes;
 use super::collect::lateness_value;
@@ -12,14 +12,15 @@
 use bh_protocol::Incarnation;
 use std::collections::BTreeSet;
 
-/// Progress from which a run's pace is known well enough, in percent: it is reported in whole ones.
-const KNOWN_PERCENT: u64 = 10;
+/// Progress from which the pace of a run is known well enough, in percent. Progress is reported in whole percents.
+const MIN_PACE_PERCENT: u64 = 10;
 
-/// Runs of gangs on workers that leave before the gang can be done, with their workers, where that decides whether the callers are served in time.
+/// Returns runs of gangs on workers that leave before the gang can end, with their workers, if stopping them now gives the job a better
+/// chance to be on time.
 ///
-/// A worker that leaves takes its runs with it, and one whose end is announced at short notice goes without a word: a gang waits for the lease of each
-/// member that is lost so. Stopped at the notice, it begins elsewhere at once. A gang that would still be in time after that wait goes on, and so
-/// does what is too late either way: the worker may stay for longer than it must.
+/// A leaving worker takes its runs with it. One that leaves at short notice may do so without a word, and its gang then waits for the
+/// worker's lease to expire. If the gang is stopped at the notice, it restarts elsewhere at once. A gang that would be on time even after
+/// that wait is not stopped, and neither is one that is late either way, because the worker may stay longer than announced.
 pub fn cut_short(
     (now_ms, wall_ms): (u64, u64),
     workload: &Workload,
@@ -27,7 +28,7 @@
     runtimes: &Runtimes,
 ) -> BTreeSet<(Incarnation, RunId)> {
     let leaving = workload.workers().filter(|worker| worker.draining);
-    let look = Look {
+    let context = Context {
         now_ms,
         wall_ms,
         workload,
@@ -35,12 +36,12 @@
         runtimes,
     };
     leaving
-        .flat_map(|worker| look.cut_short_on(worker))
+        .flat_map(|worker| context.cut_short_on(worker))
         .collect()
 }
 
-/// What is known at one time.
-struct Look<'a> {
+/// State at the time of the check.
+struct Context<'a> {
     now_ms: u64,
     wall_ms: u64,
     workload: &'a Workload,
@@ -48,12 +49,12 @@
     runtimes: &'a Runtimes,
 }
 
-impl Look<'_> {
+impl Context<'_> {
     fn cut_short_on(&self, worker: &Worker) -> Vec<(Incarnation, RunId)> {
         let Some(target) = self.dispatcher.view(&worker.info.id) else {
             return Vec::new();
         };
-        // A worker that does not answer cannot be told to stop anything.
+        // A worker that does not answer can't be told to stop anything.
         let Some(runs_until_ms) = target.runs_until_ms.filter(|_| !target.is_silent()) else {
             return Vec::new();
         };
@@ -83,12 +84,12 @@
         }
         let queue = &job.queue.name;
         let usual_ms = self.runtimes.expected_ms(queue, run.task.step, spec);
-        if ends_ms(self.now_ms, run_state, usual_ms) <= runs_until_ms {
+        if expected_end_ms(self.now_ms, run_state, usual_ms) <= runs_until_ms {
             return false;
         }
         let timing = self.dispatcher.timing();
-        let anew_ms = self.wall_ms + timing.stop_timeout_ms + usual_ms;
-        let lost_ms =
+        let restarted_end_ms = self.wall_ms + timing.stop_timeout_ms + usual_ms;
+        let lost_end_ms =
             self.wall_ms + runs_until_ms.saturating_sub(self.now_ms) + timing.lease_ms + usual_ms;
         let queue = self.workload.queue_of(job);
         let objective_ms = objective_ms(run.task.step.job, job, queue, self.runtimes);
@@ -97,19 +98,20 @@
             .due_ms(run.task.step.occurrence)
             .unwrap_or(job.accepted_ms);
         let value = |end_ms| lateness_value(end_ms, ready_ms, objective_ms);
-        value(anew_ms) > value(lost_ms)
+        value(restarted_end_ms) > value(lost_end_ms)
     }
 }
 
-/// When a run is expected to end, on the leader's clock in milliseconds: at its pace so far, once that is known, else by the usual time of its kind.
-fn ends_ms(now_ms: u64, run_state: &RunState, usual_ms: u64) -> u64 {
-    let began_ms = match run_state.start {
+/// Returns when a run is expected to end, on the leader's clock in milliseconds: by its pace so far if that is known, else by the usual run
+/// time.
+fn expected_end_ms(now_ms: u64, run_state: &RunState, usual_ms: u64) -> u64 {
+    let started_ms = match run_state.start {
         StartPhase::Confirmed { at_ms } => at_ms,
         _ => now_ms,
     };
-    if run_state.percent >= KNOWN_PERCENT && !run_state.was_unconfirmed {
-        let reported_ms = run_state.progress_ms.saturating_sub(began_ms);
-        return began_ms + reported_ms * 100 / run_state.percent;
+    if run_state.percent >= MIN_PACE_PERCENT && !run_state.was_unconfirmed {
+        let reported_ms = run_state.progress_ms.saturating_sub(started_ms);
+        return started_ms + reported_ms * 100 / run_state.percent;
     }
-    began_ms + usual_ms
+    started_ms + usual_ms
 }
--- a/crates/bh-workload/src/plan/mod.rs
+++ b/crates/bh-workload/src/plan/mod.rs
@@ -1,54 +1,63 @@
-//! Decides what runs where.
+//! Placement: decides which task runs on which worker, and explains why tasks wait.
+//!
+//! A few terms are also the names of metrics and of reasons that operators see:
+//!
+//! - *Room* is the free capacity of a worker.
+//! - A worker is *set aside* for a while after runs have failed on it or were very slow there.
+//! - A worker is *cold* for a while after it has started, and runs tasks more slowly during that time.
+//! - *Kept room* is free capacity that only work of priority 0 may use, so that it starts without delay.
+//! - Tasks wait *apart* when a worker has crashed under one of them: they wait for workers on which nothing else has just started, so that
+//!   a further crash can be attributed.
 
-mod availability;
-mod borrowers;
-mod claim;
 mod collect;
 mod decided;
-mod entitled;
-mod evict;
+mod disruption_budget;
 mod explain;
-mod keep_room;
+mod failed_searches;
+mod guaranteed;
+mod hold_for_gang;
 mod last_pass;
 mod leaving;
-mod make_room;
-mod outlook;
 mod overdue;
 mod pass;
 mod place;
 mod planner;
-mod reserve;
+mod preempt;
+mod preemption;
+mod preemption_candidates;
+mod reservation;
 mod room;
 mod runnable;
 mod runtimes;
 mod speeds;
-mod standing;
-mod standing_since;
-mod tried;
+mod stall_check;
+mod stall_tracker;
 mod unit;
-mod unusable;
-mod wait;
+mod unusable_reason;
+mod urgent_headroom;
+mod wait_explainer;
+mod wait_reason;
 
-pub use availability::Availability;
 pub use decided::Plan;
-pub use decided::Unclaimed;
-pub use entitled::entitled_jobs;
-pub use entitled::widest;
-pub use evict::Borrower;
-pub use explain::Holder;
+pub use decided::ReleaseReason;
+pub use disruption_budget::DisruptionBudget;
+pub use explain::BlockingRun;
 pub use explain::JobReport;
 pub use explain::RunReport;
 pub use explain::StepReport;
-pub use overdue::Overdue;
+pub use guaranteed::guaranteed_jobs;
+pub use guaranteed::peak_accelerators;
+pub use overdue::OverdueReason;
 pub use overdue::OverdueRun;
 pub use place::Placement;
 pub use planner::Planner;
+pub use preemption::PreemptionCandidate;
 pub use room::Room;
 pub use runnable::RunnableStep;
 pub use runnable::Survey;
 pub use runtimes::Runtimes;
 pub use speeds::Speeds;
-pub use standing::Standing;
+pub use stall_check::StallCheck;
 pub use unit::Unit;
-pub use unusable::Unusable;
-pub use wait::Wait;
+pub use unusable_reason::UnusableReason;
+pub use wait_reason::WaitReason;
--- a/crates/bh-workload/src/plan/pass.rs
+++ b/crates/bh-workload/src/plan/pass.rs
@@ -1,20 +1,20 @@
-//! One pass of planning.
+//! One pass of the planner.
 
 use super::Placement;
 use super::Plan;
+use super::ReleaseReason;
 use super::Room;
 use super::Runtimes;
 use super::Speeds;
-use super::Unclaimed;
 use super::Unit;
-use super::borrowers::Borrowers;
-use super::claim::Claim;
+use super::failed_searches::FailedSearches;
 use super::place;
-use super::place::Unplaced;
-use super::tried::Tried;
+use super::place::PlacementFailure;
+use super::preemption_candidates::PreemptionCandidates;
+use super::reservation::Reservation;
 use crate::dispatch::Dispatcher;
 use crate::job::JobId;
-use crate::job::Needs;
+use crate::job::Resources;
 use crate::job::RunId;
 use crate::job::StepId;
 use crate::job::TaskId;
@@ -25,40 +25,42 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// One pass of planning.
+/// State of one pass of the planner.
 pub(super) struct Pass<'a> {
     pub(super) now_ms: u64,
     pub(super) wall_ms: u64,
     pub(super) workload: &'a Workload,
     pub(super) dispatcher: &'a Dispatcher,
     pub(super) runtimes: &'a Runtimes,
-    /// Jobs that guarantees cover.
-    pub(super) entitled: &'a BTreeSet<JobId>,
-    /// Workers as this pass sees them.
+    /// Jobs that are covered by a customer's guarantee.
+    pub(super) guaranteed: &'a BTreeSet<JobId>,
+    /// Workers and their free capacity. The pass updates them as it places work.
     pub rooms: Vec<Room>,
+    /// Position of each worker in `rooms`.
     pub(super) index: BTreeMap<Incarnation, usize>,
-    /// Recorded runs, once somebody asks for room that they take.
-    pub(super) borrowers: Option<Borrowers>,
-    /// When runs of each worker are expected to end, once somebody asks.
-    pub(super) ends: BTreeMap<usize, Rc<[(u64, Needs)]>>,
-    /// What finds no free room; told apart by whether it may use kept room.
-    pub(super) unplaceable: Tried<bool>,
-    /// What finds no room even if all were stopped that give way to it; told apart by guarantee, service and priority.
-    pub(super) unclaimable: Tried<(bool, bool, u32)>,
-    /// What was decided so far.
+    /// All recorded runs, collected when the first unit attempts to preempt others.
+    pub(super) preemption_candidates: Option<PreemptionCandidates>,
+    /// Expected end and resources of the runs on each worker, computed on first use.
+    pub(super) run_ends: BTreeMap<usize, Rc<[(u64, Resources)]>>,
+    /// Placements that failed for lack of free capacity, by whether the unit may use the urgent headroom.
+    pub(super) failed_placements: FailedSearches<bool>,
+    /// Preemptions that failed because stopping every run that yields would not free enough, by guarantee, service and priority of the
+    /// unit.
+    pub(super) failed_preemptions: FailedSearches<(bool, bool, u32)>,
+    /// Decisions made so far.
     pub plan: Plan,
 }
 
 impl<'a> Pass<'a> {
-    /// A pass at a time of the leader's clock and of the wall clock, both in milliseconds.
+    /// Starts a pass at a time on the leader's clock and on the wall clock, both in milliseconds.
     pub fn new(
         (now_ms, wall_ms): (u64, u64),
         workload: &'a Workload,
         dispatcher: &'a Dispatcher,
         (runtimes, speeds): (&'a Runtimes, &Speeds),
-        entitled: &'a BTreeSet<JobId>,
+        guaranteed: &'a BTreeSet<JobId>,
     ) -> Self {
-        let rooms = Room::of_all(workload, dispatcher, speeds, now_ms);
+        let rooms = Room::for_all_workers(workload, dispatcher, speeds, now_ms);
         let index = rooms
             .iter()
             .enumerate()
@@ -70,76 +72,80 @@
             workload,
             dispatcher,
             runtimes,
-            entitled,
+            guaranteed,
             rooms,
             index,
-            borrowers: None,
-            ends: BTreeMap::new(),
-            unplaceable: Tried::new(),
-            unclaimable: Tried::new(),
+            preemption_candidates: None,
+            run_ends: BTreeMap::new(),
+            failed_placements: FailedSearches::new(),
+            failed_preemptions: FailedSearches::new(),
             plan: Plan::default(),
         }
     }
 
-    /// Drops claims that have become pointless.
-    pub fn drop_claims(
+    /// Drops reservations that are no longer needed, have timed out or include an unusable worker.
+    pub fn drop_stale_reservations(
         &mut self,
-        claims: &mut BTreeMap<StepId, Claim>,
+        reservations: &mut BTreeMap<StepId, Reservation>,
         waiting: &BTreeSet<StepId>,
     ) {
         let (now_ms, rooms, index) = (self.now_ms, &self.rooms, &self.index);
         let usable = |worker: &Incarnation| index.get(worker).is_some_and(|at| rooms[*at].usable);
-        let unclaimed = &mut self.plan.unclaimed;
-        claims.retain(|step, claim| {
+        let released = &mut self.plan.released;
+        reservations.retain(|step, reservation| {
             let why = if !waiting.contains(step) {
-                Unclaimed::NotWaiting
-            } else if now_ms >= claim.until_ms {
-                Unclaimed::TooSlow
-            } else if !claim.places.iter().all(|(worker, _)| usable(worker)) {
-                Unclaimed::WorkerUnusable
+                ReleaseReason::NotWaiting
+            } else if now_ms >= reservation.until_ms {
+                ReleaseReason::TooSlow
+            } else if !reservation.places.iter().all(|(worker, _)| usable(worker)) {
+                ReleaseReason::WorkerUnusable
             } else {
                 return true;
             };
-            unclaimed.push((*step, why));
+            released.push((*step, why));
             false
         });
     }
 
-    /// Takes the claimed room away from everybody else.
-    pub fn hold_claims(&mut self, claims: &BTreeMap<StepId, Claim>, units: &[Unit]) {
+    /// Takes the reserved capacity off what other units can use.
+    pub fn apply_reservations(
+        &mut self,
+        reservations: &BTreeMap<StepId, Reservation>,
+        units: &[Unit],
+    ) {
         for unit in units {
-            let Some(claim) = claims.get(&unit.step) else {
+            let Some(reservation) = reservations.get(&unit.step) else {
                 continue;
             };
-            for (worker, count) in &claim.places {
+            for (worker, count) in &reservation.places {
                 if let Some(at) = self.index.get(worker) {
                     for _ in 0..*count {
-                        self.rooms[*at].promised.add(&unit.needs);
+                        self.rooms[*at].reserved_capacity.add(&unit.needs);
                     }
                 }
             }
         }
     }
 
-    /// The claimed places, once all of them are free.
-    pub fn placement_of(&self, claim: &Claim, unit: &Unit) -> Option<Placement> {
-        claim
+    /// Returns the reserved placement once all its capacity is free.
+    pub fn reserved_placement(&self, reservation: &Reservation, unit: &Unit) -> Option<Placement> {
+        reservation
             .places
             .iter()
             .map(|(worker, count)| {
                 let at = *self.index.get(worker)?;
-                let fits = unit.needs.times_in(&self.rooms[at].free, *count) >= *count;
+                let fits = unit.needs.count_in(&self.rooms[at].free, *count) >= *count;
                 fits.then_some((at, *count))
             })
             .collect()
     }
 
-    /// Asks the unit's adviser about more workers when those it allows have not enough room.
-    pub fn ask(&mut self, unit: &Unit) {
+    /// Asks the unit's adviser about more workers if the permitted ones have too little capacity.
+    pub fn ask_adviser(&mut self, unit: &Unit) {
         let Some(advice) = &unit.advised else {
             return;
         };
-        let anywhere = Unit {
+        let unrestricted = Unit {
             permitted: None,
             ..unit.clone()
         };
@@ -152,8 +158,8 @@
         let mut candidates: Vec<(u64, &Room)> = self
             .rooms
             .iter()
-            .filter(|room| room.admits(&anywhere))
-            .map(|room| (places(&anywhere, room), room))
+            .filter(|room| room.accepts(&unrestricted))
+            .map(|room| (places(&unrestricted, room), room))
             .collect();
         candidates.sort_by_key(|(places, _)| std::cmp::Reverse(*places));
         let candidates = candidates.into_iter().map(|(_, room)| room.worker.clone());
@@ -164,31 +170,32 @@
         self.plan.questions.extend(question);
     }
 
-    /// Finds workers for a whole gang; `None` when it shall wait.
+    /// Finds workers for a whole gang. Returns `None` if the gang must wait.
     pub fn place_gang(&mut self, unit: &Unit, avoid: &BTreeSet<Incarnation>) -> Option<Placement> {
-        let class = unit.may_use_kept();
-        if self.unplaceable.covers(&class, unit, unit.count()) {
+        let class = unit.may_use_headroom();
+        if self.failed_placements.rules_out(&class, unit, unit.count()) {
             return None;
         }
         match place::place_gang(unit, &self.rooms, avoid, self.wall_ms) {
             Ok(placement) => Some(placement),
             Err(why) => {
-                if why == Unplaced::NoRoom && avoid.is_empty() {
-                    self.unplaceable.note(class, unit, unit.count());
+                if why == PlacementFailure::NoRoom && avoid.is_empty() {
+                    self.failed_placements.record(class, unit, unit.count());
                 }
                 None
             }
         }
     }
 
-    /// Finds workers for a unit that has stood still for long, whatever they are kept for; those that it avoids only where no others are left.
-    pub fn place_anywhere(
+    /// Finds workers for a unit that has been stalled for long, without regard to capacity that is held or kept for others. Workers in
+    /// `avoid` are used only if there are no others.
+    pub fn place_relaxed(
         &mut self,
         unit: &Unit,
         avoid: &BTreeSet<Incarnation>,
     ) -> Option<Placement> {
         let unit = Unit {
-            takes_any: true,
+            relaxed: true,
             ..unit.clone()
         };
         let none = BTreeSet::new();
@@ -201,40 +208,40 @@
         })
     }
 
-    /// Finds workers for as many of a unit's tasks as may begin now.
+    /// Finds workers for as many of the unit's tasks as can start now.
     pub fn place_tasks(&mut self, unit: &Unit, avoid: &BTreeSet<Incarnation>) -> Placement {
-        /// What did not even find this many places.
+        /// Smallest number of tasks for which the search has failed.
         const ONE: u64 = 1;
-        let class = unit.may_use_kept();
-        if self.unplaceable.covers(&class, unit, ONE) {
+        let class = unit.may_use_headroom();
+        if self.failed_placements.rules_out(&class, unit, ONE) {
             return Placement::new();
         }
         let placement = place::place_tasks(unit, &self.rooms, avoid, self.wall_ms);
-        // One that has a rack of its own may only have waited for that.
+        // A unit that prefers a rack may only be waiting for it.
         let no_room = placement.is_empty() && unit.spec.near_rack.is_none();
         if no_room && avoid.is_empty() {
-            self.unplaceable.note(class, unit, ONE);
+            self.failed_placements.record(class, unit, ONE);
         }
         placement
     }
 
-    /// Starts a unit in room that was promised to it.
-    pub fn start_promised(&mut self, unit: &Unit, placement: &Placement) {
+    /// Starts a unit on the capacity that was reserved for it.
+    pub fn start_reserved(&mut self, unit: &Unit, placement: &Placement) {
         for (at, count) in placement {
             for _ in 0..*count {
-                self.rooms[*at].promised.subtract(&unit.needs);
+                self.rooms[*at].reserved_capacity.subtract(&unit.needs);
             }
         }
         self.start(unit, placement);
     }
 
-    /// Starts a unit where it was placed.
+    /// Starts the unit's tasks on the workers of the placement.
     pub fn start(&mut self, unit: &Unit, placement: &Placement) {
         let mut tasks = unit.indices.iter().zip(&unit.attempts);
         for (at, count) in placement {
-            self.rooms[*at].just_begun = true;
+            self.rooms[*at].has_recent_start = true;
             self.rooms[*at].usable &= !unit.is_suspect();
-            self.rooms[*at].aside &= !unit.is_suspect();
+            self.rooms[*at].set_aside &= !unit.is_suspect();
             for _ in 0..*count {
                 self.rooms[*at].free.subtract(&unit.needs);
                 let Some((index, attempt)) = tasks.next() else {
--- a/crates/bh-workload/src/plan/planner.rs
+++ b/crates/bh-workload/src/plan/planner.rs
@@ -1,21 +1,21 @@
-//! Decides what runs where.
+//! The planner, which decides what starts and what stops.
 
-use super::Overdue;
+use super::OverdueReason;
 use super::OverdueRun;
 use super::Plan;
 use super::Room;
 use super::Runtimes;
 use super::Speeds;
 use super::Unit;
-use super::claim::Claim;
 use super::collect;
-use super::entitled_jobs;
+use super::guaranteed_jobs;
 use super::last_pass::LastPass;
 use super::leaving;
 use super::overdue::overdue;
 use super::pass::Pass;
-use super::reserve::Reserve;
-use super::standing_since::StandingSince;
+use super::reservation::Reservation;
+use super::stall_tracker::StallTracker;
+use super::urgent_headroom::UrgentHeadroom;
 use crate::dispatch::Dispatcher;
 use crate::dispatch::StartPhase;
 use crate::job::JobId;
@@ -30,42 +30,45 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Gangs that do not fit yet and have room kept for them at a time, at least; in a larger fleet one for each rack. One would let the next large gang
-/// starve behind it; many in a small fleet would leave much of it idle. Few in a large fleet let those starve that want most of a rack: room comes
-/// free in some rack all the time, and smaller work takes it.
-const FEWEST_KEPT_GANGS: usize = 8;
+/// Minimum number of waiting gangs for which capacity is held at the same time. A fleet with more racks than this holds capacity for one
+/// gang per rack. With one gang at a time, the next large gang would starve behind it. With many in a small fleet, much of the fleet would
+/// be idle. With few in a large fleet, gangs that need most of a rack would starve, because capacity becomes free in some rack all the time
+/// and smaller work takes it.
+const MIN_HELD_GANGS: usize = 8;
 
-/// How long work under which a worker has crashed waits for workers on which nothing has just begun, in milliseconds. Reports come every
-/// second or two, so that one is found within this time unless something begins everywhere all the time; and a service that misses a task
-/// must not wait for longer.
-const APART_PATIENCE_MS: u64 = 2_000;
+/// How long a unit under which a worker has crashed waits for workers without recent starts, in milliseconds. Workers report every second
+/// or two, so such a worker is found within this time unless tasks start everywhere all the time. A service that misses a task must not
+/// wait longer.
+const MAX_ISOLATION_WAIT_MS: u64 = 2_000;
 
-/// The leader's plan. What it has learnt is lost with the leadership and learnt again.
+/// Decides for the leader which tasks start on which workers, and which runs stop.
+///
+/// What the planner learns is lost when its leader loses the leadership, and the next leader learns it again.
 #[derive(Clone, Debug, Default)]
 pub struct Planner {
     pub(super) runtimes: Runtimes,
     pub(super) speeds: Speeds,
-    reserve: Reserve,
-    pub(super) claims: BTreeMap<StepId, Claim>,
-    /// Workers on which a task failed; it tries others first.
+    headroom: UrgentHeadroom,
+    pub(super) reservations: BTreeMap<StepId, Reservation>,
+    /// Workers on which a task failed. The next attempt of the task prefers other workers.
     pub(super) failed_on: BTreeMap<TaskId, BTreeSet<Incarnation>>,
-    /// Tasks that were begun anew because they were slow. One that is as slow elsewhere takes that long, and begun anew each time it would
-    /// never end.
-    was_slow: BTreeSet<TaskId>,
-    /// Since when work under which a worker has crashed waits, on the leader's clock in milliseconds.
-    apart_since_ms: BTreeMap<StepId, u64>,
-    /// What the last pass left behind, to explain why work waits.
+    /// Tasks that were restarted because they were slow. They are restarted for this reason only once: a task that is as slow on every
+    /// worker would never end otherwise.
+    restarted_slow: BTreeSet<TaskId>,
+    /// Since when each unit under which a worker has crashed waits, on the leader's clock in milliseconds.
+    isolated_since_ms: BTreeMap<StepId, u64>,
+    /// Outcome of the last pass, to explain why work waits.
     pub(super) last_pass: LastPass,
-    standing_since: StandingSince,
+    stall_tracker: StallTracker,
 }
 
 impl Planner {
-    /// A planner that has learnt nothing.
+    /// Creates a planner that has learnt nothing.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Learns from ends that are about to be recorded.
+    /// Learns from ends of runs that are about to be recorded.
     pub fn note_ends(
         &mut self,
         now_ms: u64,
@@ -83,15 +86,21 @@
                 }
                 EndKind::Done => {
                     self.failed_on.remove(&end.run.task);
-                    self.was_slow.remove(&end.run.task);
-                    self.note_done(now_ms, end, workload, dispatcher);
+                    self.restarted_slow.remove(&end.run.task);
+                    self.learn_from_done(now_ms, end, workload, dispatcher);
                 }
                 _ => {}
             }
         }
     }
 
-    fn note_done(&mut self, now_ms: u64, end: &End, workload: &Workload, dispatcher: &Dispatcher) {
+    fn learn_from_done(
+        &mut self,
+        now_ms: u64,
+        end: &End,
+        workload: &Workload,
+        dispatcher: &Dispatcher,
+    ) {
         let step = end.run.task.step;
         let Some(job) = workload.job(step.job) else {
             return;
@@ -105,7 +114,7 @@
         let run_state = dispatcher
             .view(&end.worker)
             .and_then(|target| target.runs.get(&end.run));
-        // When a run began that an earlier leader ordered, or whose order had no answer, is not known.
+        // The start time of a run is unknown if a previous leader ordered it or if its start order had no answer.
         let Some(run_state) = run_state.filter(|run_state| !run_state.was_unconfirmed) else {
             return;
         };
@@ -123,23 +132,23 @@
         let cold = dispatcher
             .view(&end.worker)
             .is_some_and(|target| at_ms < target.cold_until_ms);
-        // Runs that went on from a checkpoint, away from their data, or on a worker that had just started, say little about the usual time.
+        // Runs that resumed from a checkpoint, ran far from their data or started on a cold worker say little about the usual run time.
         if resumed || away || cold {
             return;
         }
         let took_ms = now_ms.saturating_sub(at_ms);
         let expected_ms = self.runtimes.expected_ms(&job.queue.name, step, spec);
-        let alone = (!spec.gang).then_some(&end.worker);
-        self.speeds.note(
+        let single_worker = (!spec.gang).then_some(&end.worker);
+        self.speeds.record(
             &worker.info.data_centre,
-            alone,
+            single_worker,
             now_ms,
             (took_ms, expected_ms),
         );
-        self.runtimes.note(&job.queue.name, step, spec, took_ms);
+        self.runtimes.record(&job.queue.name, step, spec, took_ms);
     }
 
-    /// Runs to begin anew elsewhere. The workers they are on are not tried again for the same tasks.
+    /// Returns the runs to restart on other workers. Their tasks avoid the current workers from now on.
     pub fn overdue(
         &mut self,
         now_ms: u64,
@@ -147,17 +156,21 @@
         dispatcher: &Dispatcher,
     ) -> Vec<OverdueRun> {
         let mut overdue = overdue(now_ms, workload, dispatcher, &self.runtimes);
-        overdue.retain(|late| late.why == Overdue::Still || self.was_slow.insert(late.run.task));
-        for late in &overdue {
+        overdue.retain(|overdue_run| {
+            overdue_run.why == OverdueReason::Still
+                || self.restarted_slow.insert(overdue_run.run.task)
+        });
+        for overdue_run in &overdue {
             self.failed_on
-                .entry(late.run.task)
+                .entry(overdue_run.run.task)
                 .or_default()
-                .insert(late.worker.clone());
+                .insert(overdue_run.worker.clone());
         }
         overdue
     }
 
-    /// Runs to stop because their workers leave before they can end, at a time of the leader's clock and of the wall clock, both in milliseconds.
+    /// Returns the runs to stop because their workers leave before the runs can end. `times` are the leader's clock and the wall clock,
+    /// both in milliseconds.
     pub fn cut_short(
         &self,
         times: (u64, u64),
@@ -167,20 +180,21 @@
         leaving::cut_short(times, workload, dispatcher, &self.runtimes)
     }
 
-    /// Time within which a job is on time, in milliseconds, by the run times learnt so far; `None` when it is not known.
+    /// Returns the time in which a job must be done to be on time, in milliseconds, based on the run times learnt so far. Returns `None`
+    /// for an unknown job.
     pub fn objective_ms(&self, workload: &Workload, id: JobId) -> Option<u64> {
         let job = workload.job(id)?;
         let queue = workload.queue_of(job);
         Some(collect::objective_ms(id, job, queue, &self.runtimes))
     }
 
-    /// Whether the next plan at `now_ms` would keep a unit apart.
-    pub(super) fn keeps_apart(&self, now_ms: u64, unit: &Unit) -> bool {
-        let since_ms = self.apart_since_ms.get(&unit.step).copied();
-        unit.is_suspect() && is_patient(now_ms, since_ms.unwrap_or(now_ms))
+    /// Returns whether a plan at `now_ms` would make `unit` wait for workers without recent starts.
+    pub(super) fn isolates(&self, now_ms: u64, unit: &Unit) -> bool {
+        let since_ms = self.isolated_since_ms.get(&unit.step).copied();
+        unit.is_suspect() && is_isolation_pending(now_ms, since_ms.unwrap_or(now_ms))
     }
 
-    /// What shall happen at `now_ms` of the leader's clock and `wall_ms` since 1970.
+    /// Plans what starts and what stops at `now_ms` on the leader's clock, which is `wall_ms` since 1970.
     pub fn plan(
         &mut self,
         now_ms: u64,
@@ -191,89 +205,92 @@
         let Self {
             runtimes,
             speeds,
-            reserve,
-            claims,
+            headroom,
+            reservations,
             failed_on,
-            was_slow: _,
-            apart_since_ms,
+            restarted_slow: _,
+            isolated_since_ms,
             last_pass,
-            standing_since,
+            stall_tracker,
         } = self;
-        let entitled = entitled_jobs(workload);
+        let guaranteed = guaranteed_jobs(workload);
         let mut units = collect::collect(
             workload,
             runtimes,
-            &entitled,
+            &guaranteed,
             (wall_ms, dispatcher.timing().remote_percent),
         );
-        hold_uncertain_gangs(now_ms, &mut units, workload, dispatcher);
+        drop_uncertain_gangs(now_ms, &mut units, workload, dispatcher);
         let permissions = &dispatcher.permissions;
         for unit in units.iter_mut().filter(|unit| unit.advised.is_some()) {
             unit.permitted = Some(permissions.permitted(unit.step, now_ms));
         }
-        let waiting = collect::steps(&units);
-        keep_apart(now_ms, &mut units, apart_since_ms);
+        let waiting = collect::steps_of(&units);
+        isolate_suspects(now_ms, &mut units, isolated_since_ms);
         let mut pass = Pass::new(
             (now_ms, wall_ms),
             workload,
             dispatcher,
             (runtimes, speeds),
-            &entitled,
+            &guaranteed,
         );
-        pass.drop_claims(claims, &waiting);
-        pass.hold_claims(claims, &units);
-        reserve.expect(dispatcher.elected_ms(), workload, &pass.rooms);
-        reserve.note(now_ms, &units);
+        pass.drop_stale_reservations(reservations, &waiting);
+        pass.apply_reservations(reservations, &units);
+        headroom.assume_arrivals(dispatcher.elected_ms(), workload, &pass.rooms);
+        headroom.record_arrivals(now_ms, &units);
         let stop_ms = dispatcher.timing().stop_timeout_ms;
-        reserve.keep((now_ms, stop_ms), &mut pass.rooms);
-        let mut kept = 0;
-        let mut kept_for = BTreeSet::new();
+        headroom.mark_rooms((now_ms, stop_ms), &mut pass.rooms);
+        let mut held_gangs = 0;
+        let mut held_for = BTreeSet::new();
         let racks: BTreeSet<&Arc<str>> = pass.rooms.iter().map(|room| &room.rack).collect();
-        let most_kept = racks.len().max(FEWEST_KEPT_GANGS);
+        let max_held_gangs = racks.len().max(MIN_HELD_GANGS);
         for unit in &units {
-            if let Some(claim) = claims.get(&unit.step) {
-                if let Some(placement) = pass.placement_of(claim, unit) {
-                    pass.start_promised(unit, &placement);
-                    claims.remove(&unit.step);
+            if let Some(reservation) = reservations.get(&unit.step) {
+                if let Some(placement) = pass.reserved_placement(reservation, unit) {
+                    pass.start_reserved(unit, &placement);
+                    reservations.remove(&unit.step);
                 }
                 continue;
             }
-            pass.ask(unit);
-            let avoid = avoided(failed_on, unit, &pass.rooms);
-            let stood_long = standing_since.is_long(now_ms, unit.step);
+            pass.ask_adviser(unit);
+            let avoid = avoided_workers(failed_on, unit, &pass.rooms);
+            let stalled_long = stall_tracker.is_stalled_long(now_ms, unit.step);
             if unit.spec.gang {
                 let placement = pass.place_gang(unit, &avoid);
-                let anywhere = || pass.place_anywhere(unit, &avoid);
-                if let Some(placement) = placement.or_else(|| stood_long.then(anywhere).flatten()) {
+                let relaxed_placement = || pass.place_relaxed(unit, &avoid);
+                if let Some(placement) =
+                    placement.or_else(|| stalled_long.then(relaxed_placement).flatten())
+                {
                     pass.start(unit, &placement);
-                } else if pass.claim(claims, unit) {
+                } else if pass.try_preempt(reservations, unit) {
                     continue;
-                } else if kept < most_kept {
-                    kept += 1;
-                    kept_for.insert(unit.step);
-                    pass.keep_room(unit, &avoid);
+                } else if held_gangs < max_held_gangs {
+                    held_gangs += 1;
+                    held_for.insert(unit.step);
+                    pass.hold_for_gang(unit, &avoid);
                 }
                 continue;
             }
             let mut placement = pass.place_tasks(unit, &avoid);
-            if placement.is_empty() && stood_long {
-                // The others may go on waiting for what suits them, but those of a service are missed one by one.
-                let least = if unit.spec.long_running {
+            if placement.is_empty() && stalled_long {
+                // Of a step that is not a service, one task is enough for the job to make progress, and the others may wait for better
+                // workers. A service lacks each task that doesn't run.
+                let subset = if unit.spec.long_running {
                     unit.clone()
                 } else {
                     unit.first_task()
                 };
-                placement = pass.place_anywhere(&least, &avoid).unwrap_or_default();
+                placement = pass.place_relaxed(&subset, &avoid).unwrap_or_default();
             }
             let placed = placement.iter().map(|(_, count)| count).sum();
             pass.start(unit, &placement);
             if placed < unit.count() {
-                pass.claim(claims, &unit.without_first(placed));
+                pass.try_preempt(reservations, &unit.without_first(placed));
             }
         }
-        let waits = |step| kept_for.contains(&step) || claims.contains_key(&step);
-        *last_pass = LastPass::new(&units, &pass.rooms, &pass.plan.starts, waits);
-        standing_since.note(
+        let has_withheld = |step| held_for.contains(&step) || reservations.contains_key(&step);
+        *last_pass = LastPass::new(&units, &pass.rooms, &pass.plan.starts, has_withheld);
+        stall_tracker.record(
             now_ms,
             (&units, &last_pass.started),
             &pass.rooms,
@@ -283,29 +300,31 @@
     }
 }
 
-/// Whether work under which a worker has crashed, and that has waited since `since_ms`, still waits for workers on which nothing has just begun.
-fn is_patient(now_ms: u64, since_ms: u64) -> bool {
-    now_ms < since_ms + APART_PATIENCE_MS
+/// Returns whether a unit under which a worker has crashed, and which has waited since `since_ms`, still waits for workers without recent
+/// starts.
+fn is_isolation_pending(now_ms: u64, since_ms: u64) -> bool {
+    now_ms < since_ms + MAX_ISOLATION_WAIT_MS
 }
 
-/// Notes which units wait for workers of their own.
-fn keep_apart(now_ms: u64, units: &mut [Unit], since_ms: &mut BTreeMap<StepId, u64>) {
+/// Marks the units under which a worker has crashed as isolated for as long as they wait for workers without recent starts.
+fn isolate_suspects(now_ms: u64, units: &mut [Unit], since_ms: &mut BTreeMap<StepId, u64>) {
     let before = std::mem::take(since_ms);
     for unit in units.iter_mut().filter(|unit| unit.is_suspect()) {
         let since = before.get(&unit.step).copied().unwrap_or(now_ms);
         since_ms.insert(unit.step, since);
-        unit.apart = is_patient(now_ms, since);
+        unit.isolated = is_isolation_pending(now_ms, since);
     }
 }
 
-/// Workers that a unit's tasks failed on, unless those left that may run it could not hold it if they were empty.
-pub(super) fn avoided(
+/// Returns the workers on which tasks of the unit have failed. Returns none if the other workers that accept the unit could not hold it
+/// even if they were empty.
+pub(super) fn avoided_workers(
     failed_on: &BTreeMap<TaskId, BTreeSet<Incarnation>>,
     unit: &Unit,
     rooms: &[Room],
 ) -> BTreeSet<Incarnation> {
     let mut avoid = BTreeSet::new();
-    if unit.takes_any {
+    if unit.relaxed {
         return avoid;
     }
     for index in &unit.indices {
@@ -322,21 +341,21 @@
     }
     let others = rooms
         .iter()
-        .filter(|room| room.admits(unit) && !avoid.contains(&room.worker));
+        .filter(|room| room.accepts(unit) && !avoid.contains(&room.worker));
     let places: u64 = others
-        .map(|room| unit.needs.times_in(&room.capacity, room.most(unit)))
+        .map(|room| unit.needs.count_in(&room.capacity, room.max_tasks(unit)))
         .fold(0, u64::saturating_add);
-    let least = if unit.spec.gang { unit.count() } else { 1 };
-    if places >= least {
+    let min_places = if unit.spec.gang { unit.count() } else { 1 };
+    if places >= min_places {
         avoid
     } else {
         BTreeSet::new()
     }
 }
 
-/// Leaves out gangs that would be begun after their last allowed failure if every attempt that is over unheard turns out to have failed. They wait until
-/// the workers say so, or their leases have run out.
-fn hold_uncertain_gangs(
+/// Removes gangs that may have used up their attempts, because some attempts ended without a report and may have failed. The gangs wait
+/// until the workers report the outcome or the leases of the workers expire.
+fn drop_uncertain_gangs(
     now_ms: u64,
     units: &mut Vec<Unit>,
     workload: &Workload,
@@ -346,7 +365,7 @@
     units.retain(|unit| !is_uncertain(unit.step, &unheard, workload));
 }
 
-/// Whether a gang would be begun after its last allowed failure if every one of its `unheard` attempts turns out to have failed.
+/// Returns whether a gang has used up its attempts if all its attempts in `unheard`, which ended without a report, have failed.
 pub(super) fn is_uncertain(
     step: StepId,
     unheard: &BTreeMap<StepId, BTreeSet<u32>>,
--- a/crates/bh-workload/src/plan/room.rs
+++ b/crates/bh-workload/src/plan/room.rs
@@ -1,13 +1,13 @@
-//! Workers as the planner sees them.
+//! Free capacity of a worker, as the planner sees it.
 
 use super::Speeds;
 use super::Unit;
-use super::Unusable;
+use super::UnusableReason;
 use crate::dispatch::Dispatcher;
 use crate::dispatch::RunState;
 use crate::dispatch::Target;
 use crate::dispatch::isolation_ms;
-use crate::job::Needs;
+use crate::job::Resources;
 use crate::job::StepId;
 use crate::state::Task;
 use crate::state::Worker;
@@ -17,18 +17,19 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// What has just begun on a worker.
-struct Begun {
-    /// Whether anything has.
+/// Starts on a worker that are so recent that they may still crash it.
+struct RecentStarts {
+    /// Whether there are any.
     any: bool,
-    /// Whether a task has under which a worker crashed before: nothing else may begin there until it was seen at work.
+    /// Whether one of them is a task under which a worker has crashed before. Nothing else may start on the worker until the task has run
+    /// for a while.
     suspect: bool,
 }
 
-impl Begun {
-    /// What has just begun on `worker`, of which `target` is known.
+impl RecentStarts {
+    /// Collects the recent starts on `worker`. `target` is what the leader knows about the worker, if anything.
     fn new(worker: &Worker, target: Option<&Target>, workload: &Workload) -> Self {
-        let mut begun = Self {
+        let mut recent = Self {
             any: false,
             suspect: false,
         };
@@ -36,114 +37,123 @@
             let run_state = target.and_then(|target| target.runs.get(run));
             let run_time_ms = run_state.map_or(0, RunState::run_time_ms);
             let crashes = workload.task(run.task).map_or(0, Task::all_crashes);
-            begun.any |= run_state.is_none_or(RunState::has_just_started);
-            begun.suspect |= run_time_ms < isolation_ms(crashes);
+            recent.any |= run_state.is_none_or(RunState::has_just_started);
+            recent.suspect |= run_time_ms < isolation_ms(crashes);
         }
-        begun
+        recent
     }
 }
 
-/// Free room of one worker.
+/// A worker, its free capacity, and what the planner must know to place tasks on it.
 #[derive(Clone, Debug)]
 pub struct Room {
-    /// The worker.
+    /// Identity of the worker.
     pub worker: Incarnation,
-    /// Its rack.
+    /// Rack of the worker.
     pub rack: Arc<str>,
-    /// Its pool.
+    /// Pool of the worker.
     pub pool: Arc<str>,
-    /// Its data centre.
+    /// Data centre of the worker.
     pub data_centre: Arc<str>,
-    /// Whether its data centre is under evacuation.
+    /// Whether the data centre is being evacuated.
     pub evacuated: bool,
-    /// Its labels.
+    /// Labels of the worker.
     pub labels: Vec<Arc<str>>,
-    /// What it has in all.
-    pub capacity: Needs,
-    /// What no recorded run takes.
-    pub free: Needs,
-    /// What recorded runs take beyond what it has, since it has shrunk.
-    pub excess: Needs,
-    /// What is promised to work that waits for it, free already or not.
-    pub promised: Needs,
-    /// What is kept for gangs that do not fit yet, free already or not.
-    pub held: Needs,
-    /// Recorded runs by step.
+    /// Total resources of the worker.
+    pub capacity: Resources,
+    /// Resources that no recorded run takes.
+    pub free: Resources,
+    /// Resources that recorded runs take beyond the capacity, after the worker has shrunk.
+    pub excess: Resources,
+    /// Resources reserved for units that wait for other runs to stop. Some of them may still be in use.
+    pub reserved_capacity: Resources,
+    /// Resources held for gangs that do not fit yet. Some of them may still be in use.
+    pub held_for_gangs: Resources,
+    /// Number of recorded runs, by step.
     pub runs: BTreeMap<StepId, u64>,
-    /// Times as long as in the fastest data centre that runs take here, in percent.
-    pub pace_percent: u64,
-    /// Speed at which tasks that only use idle processors work here, in percent.
+    /// Run time here relative to the fastest data centre, in percent.
+    pub runtime_percent: u64,
+    /// Speed, in percent, at which tasks that use only idle processors run here.
     pub fill_percent: u64,
-    /// Whether only work of priority 0 may use it, and gangs that are late unless they begin soon.
-    pub kept: bool,
-    /// Whether something has just begun there, which may yet crash the worker.
-    pub just_begun: bool,
-    /// Whether it is slow since it has just started.
+    /// Whether the worker is kept for work of priority 0 and for gangs that must start soon to be on time.
+    pub urgent_only: bool,
+    /// Whether a task has just started here that may still crash the worker.
+    pub has_recent_start: bool,
+    /// Whether the worker has started recently, and therefore runs tasks slowly.
     pub cold: bool,
-    /// Whether it may be given work now.
+    /// Whether the worker gets new work.
     pub usable: bool,
-    /// Why it may not, before the pass.
-    pub unusable: Option<Unusable>,
-    /// Whether it could be, but is left to itself since it fails what it is given, or is slow.
-    pub aside: bool,
+    /// Why the worker got no new work when the pass began; `None` if it did.
+    pub unusable: Option<UnusableReason>,
+    /// Whether the only reason that the worker gets no new work is that runs failed there or took too long.
+    pub set_aside: bool,
 }
 
-/// Whether so many workers are set aside that what they were given is the likelier cause. Left out, they stand idle for half a minute and more
-/// while work waits.
-fn are_many_aside(workload: &Workload, dispatcher: &Dispatcher, now_ms: u64) -> bool {
-    /// Share of the workers that may be at fault at a time, in percent.
-    const AT_FAULT_PERCENT: usize = 34;
-    dispatcher.count_set_aside(now_ms) * 100 > workload.worker_count() * AT_FAULT_PERCENT
+/// Returns whether so many workers are set aside that the work is more likely at fault than the workers. If they were all left out, they
+/// would be idle for half a minute or longer while work waits.
+fn too_many_set_aside(workload: &Workload, dispatcher: &Dispatcher, now_ms: u64) -> bool {
+    /// Maximum share of workers that are plausibly at fault at the same time, in percent.
+    const MAX_SET_ASIDE_PERCENT: usize = 34;
+    dispatcher.count_set_aside(now_ms) * 100 > workload.worker_count() * MAX_SET_ASIDE_PERCENT
 }
 
-/// Why the worker behind `target` can't be given work, as far as its answers tell.
-fn not_ready(target: &Target, dispatcher: &Dispatcher, now_ms: u64) -> Option<Unusable> {
+/// Returns why the worker behind `target` gets no new work, judged by its answers to orders and probes.
+fn not_ready_reason(
+    target: &Target,
+    dispatcher: &Dispatcher,
+    now_ms: u64,
+) -> Option<UnusableReason> {
     if target.is_silent() || target.carrier_lost {
-        Some(Unusable::Silent)
+        Some(UnusableReason::Silent)
     } else if !target.answers() {
-        Some(Unusable::Unheard)
+        Some(UnusableReason::Unheard)
     } else if !target.is_verified() {
-        Some(Unusable::Unverified)
+        Some(UnusableReason::Unverified)
     } else if !target.is_current(now_ms, dispatcher.timing()) {
-        Some(Unusable::Unheard)
+        Some(UnusableReason::Unheard)
     } else {
         None
     }
 }
 
 impl Room {
-    /// The room of `worker` at `now_ms`.
+    /// Creates the view of `worker` at `now_ms`.
     fn new(
         worker: &Worker,
         workload: &Workload,
         dispatcher: &Dispatcher,
         speeds: &Speeds,
-        (now_ms, none_aside): (u64, bool),
+        (now_ms, ignore_set_aside): (u64, bool),
     ) -> Self {
         let view = dispatcher.view(&worker.info.id);
-        let begun = Begun::new(worker, view, workload);
+        let recent = RecentStarts::new(worker, view, workload);
         let evacuated = workload.is_evacuated(&worker.info);
         let unusable = if worker.draining {
-            Some(Unusable::Draining)
+            Some(UnusableReason::Draining)
         } else if workload.has_other_incarnation(&worker.info.id) {
-            Some(Unusable::Replaced)
+            Some(UnusableReason::Replaced)
         } else if evacuated {
-            Some(Unusable::Evacuated)
-        } else if begun.suspect {
-            Some(Unusable::BesideSuspect)
+            Some(UnusableReason::Evacuated)
+        } else if recent.suspect {
+            Some(UnusableReason::BesideSuspect)
         } else if dispatcher.is_emptied(&worker.info.id) {
-            Some(Unusable::Emptied)
-        } else if let Some(why) = view.map_or(Some(Unusable::Unheard), |target| {
-            not_ready(target, dispatcher, now_ms)
+            Some(UnusableReason::Emptied)
+        } else if let Some(why) = view.map_or(Some(UnusableReason::Unheard), |target| {
+            not_ready_reason(target, dispatcher, now_ms)
         }) {
             Some(why)
         } else if speeds.is_slow(&worker.info.id, now_ms) {
-            Some(Unusable::Slow)
+            Some(UnusableReason::Slow)
         } else {
-            let is_aside = |target: &Target| !none_aside && now_ms < target.set_aside_until_ms;
-            view.is_some_and(is_aside).then_some(Unusable::SetAside)
+            let is_aside =
+                |target: &Target| !ignore_set_aside && now_ms < target.set_aside_until_ms;
+            view.is_some_and(is_aside)
+                .then_some(UnusableReason::SetAside)
         };
-        let aside = matches!(unusable, Some(Unusable::Slow | Unusable::SetAside));
+        let set_aside = matches!(
+            unusable,
+            Some(UnusableReason::Slow | UnusableReason::SetAside)
+        );
         let mut runs = BTreeMap::new();
         for run in worker.runs.keys() {
             *runs.entry(run.task.step).or_default() += 1;
@@ -158,51 +168,51 @@
             capacity: worker.info.capacity,
             free: worker.free(),
             excess: worker.excess(),
-            promised: Needs::default(),
-            held: Needs::default(),
+            reserved_capacity: Resources::default(),
+            held_for_gangs: Resources::default(),
             runs,
             fill_percent: view.map_or(100, |target| target.fill_pace.percent()),
-            kept: false,
-            just_begun: begun.any,
+            urgent_only: false,
+            has_recent_start: recent.any,
             cold: view.is_some_and(|target| now_ms < target.cold_until_ms),
-            pace_percent: speeds.percent(&worker.info.data_centre),
+            runtime_percent: speeds.data_centre_percent(&worker.info.data_centre),
             usable: unusable.is_none(),
             unusable,
-            aside,
+            set_aside,
         }
     }
 
-    /// The rooms of all workers.
-    pub fn of_all(
+    /// Creates the views of all workers.
+    pub fn for_all_workers(
         workload: &Workload,
         dispatcher: &Dispatcher,
         speeds: &Speeds,
         now_ms: u64,
     ) -> Vec<Room> {
-        let times = (now_ms, are_many_aside(workload, dispatcher, now_ms));
+        let times = (now_ms, too_many_set_aside(workload, dispatcher, now_ms));
         let workers = workload.workers();
         workers
             .map(|worker| Room::new(worker, workload, dispatcher, speeds, times))
             .collect()
     }
 
-    /// Whether the worker has the label that a step asks for.
+    /// Returns whether the worker has the label that a step requires.
     fn has_label(&self, label: Option<&Arc<str>>) -> bool {
         label.is_none_or(|label| self.labels.contains(label))
     }
 
-    /// Whether it could be given work now, left to itself or not.
+    /// Returns whether the worker gets new work, or would if it were not set aside.
     pub fn is_reachable(&self) -> bool {
-        self.usable || self.aside
+        self.usable || self.set_aside
     }
 
-    /// Whether tasks of a unit may be here at all, whatever room there is.
-    pub fn admits(&self, unit: &Unit) -> bool {
-        (self.usable || self.aside && unit.takes_any) && self.suits(unit)
+    /// Returns whether the worker may run tasks of the unit now, without regard to its free capacity.
+    pub fn accepts(&self, unit: &Unit) -> bool {
+        (self.usable || self.set_aside && unit.relaxed) && self.is_eligible(unit)
     }
 
-    /// Whether tasks of a unit may be here once the worker can be given work.
-    pub fn suits(&self, unit: &Unit) -> bool {
+    /// Returns whether the worker may run tasks of the unit while it is usable: its pool and labels match, and the adviser permits it.
+    pub fn is_eligible(&self, unit: &Unit) -> bool {
         self.pool == unit.pool
             && self.has_label(unit.spec.required_label.as_ref())
             && unit
@@ -211,61 +221,66 @@
                 .is_none_or(|permitted| permitted.contains(&self.worker))
     }
 
-    /// What is free, and neither promised nor kept.
-    pub fn open(&self) -> Needs {
-        self.open_with(&Needs::default())
+    /// Returns the resources that are free and neither reserved nor held.
+    pub fn available(&self) -> Resources {
+        self.available_after(&Resources::default())
     }
 
-    /// What would be open if runs that take `more` were gone as well. On a worker that has shrunk the first of them leave no room.
-    pub fn open_with(&self, more: &Needs) -> Needs {
-        let mut gained = *more;
+    /// Returns the resources that would be available after runs that take `ended` have ended. On a worker that has shrunk, the first of them
+    /// free nothing.
+    pub fn available_after(&self, ended: &Resources) -> Resources {
+        let mut gained = *ended;
         gained.subtract(&self.excess);
-        let mut open = self.free;
-        open.add(&gained);
-        open.subtract(&self.promised);
-        open.subtract(&self.held);
-        open
+        let mut available = self.free;
+        available.add(&gained);
+        available.subtract(&self.reserved_capacity);
+        available.subtract(&self.held_for_gangs);
+        available
     }
 
-    /// What is open to a unit.
-    fn open_to(&self, unit: &Unit) -> Needs {
-        if !unit.takes_any {
-            return self.open();
+    /// Returns the resources that are available to the unit. A relaxed unit also gets what is held for gangs.
+    fn available_to(&self, unit: &Unit) -> Resources {
+        if !unit.relaxed {
+            return self.available();
         }
-        let mut open = self.free;
-        open.subtract(&self.promised);
-        open
+        let mut available = self.free;
+        available.subtract(&self.reserved_capacity);
+        available
     }
 
-    /// How many more of a unit's tasks may be on this worker, whatever room it has: those already there count.
-    pub fn most(&self, unit: &Unit) -> u64 {
-        // Two on one worker that crashes would tell nothing of either.
+    /// Returns how many more tasks of the unit this worker may run, without regard to its free capacity. Tasks of the step that are already
+    /// here count towards the limits.
+    pub fn max_tasks(&self, unit: &Unit) -> u64 {
+        // If two suspect tasks ran on a worker that crashes, the crash could be attributed to neither.
         let suspect = unit.is_suspect() && !unit.spec.gang;
-        let at_once = if suspect || self.takes_one_by_one(unit) {
+        let at_once = if suspect || self.starts_one_at_a_time(unit) {
             1
         } else {
             unit.count()
         };
-        let there = self.runs.get(&unit.step).copied().unwrap_or(0);
+        let already_here = self.runs.get(&unit.step).copied().unwrap_or(0);
         unit.spec
             .most_on_worker()
-            .saturating_sub(there)
+            .saturating_sub(already_here)
             .min(at_once)
     }
 
-    /// Whether tasks of a unit begin here one after the other. A worker that has just started and is filled at once is slow for all that it got, while
-    /// others stand idle a moment later. A gang begins together or not at all, and what a guarantee covers must begin in time.
-    fn takes_one_by_one(&self, unit: &Unit) -> bool {
-        self.cold && !unit.spec.gang && !unit.entitled && !unit.takes_any
+    /// Returns whether tasks of the unit start on this worker one at a time. A cold worker that is filled at once is slow for all its new
+    /// tasks, while other workers become idle a moment later. Gangs are exempt because they start as a whole, and guaranteed work because
+    /// it must start in time.
+    fn starts_one_at_a_time(&self, unit: &Unit) -> bool {
+        self.cold && !unit.spec.gang && !unit.guaranteed && !unit.relaxed
     }
 
-    /// How many of a unit's tasks may be placed here now.
+    /// Returns how many of the unit's tasks can be placed here now.
     pub fn places(&self, unit: &Unit, avoid: &BTreeSet<Incarnation>) -> u64 {
-        let kept = self.kept && !unit.may_use_kept();
-        let unclear = self.just_begun && (unit.apart || self.takes_one_by_one(unit));
-        if !self.admits(unit) || kept || unclear || avoid.contains(&self.worker) {
+        let excluded = self.urgent_only && !unit.may_use_headroom();
+        let too_recent =
+            self.has_recent_start && (unit.isolated || self.starts_one_at_a_time(unit));
+        if !self.accepts(unit) || excluded || too_recent || avoid.contains(&self.worker) {
             return 0;
         }
-        unit.needs.times_in(&self.open_to(unit), self.most(unit))
+        unit.needs
+            .count_in(&self.available_to(unit), self.max_tasks(unit))
     }
 }
--- /dev/null
+++ b/crates/bh-workload/src/plan/unusable_reason.rs
@@ -0,0 +1,49 @@
+//! Reasons why a worker gets no new work.
+
+use serde::Deserialize;
+use serde::Serialize;
+
+/// Why a worker gets no new work.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum UnusableReason {
+    /// The worker is draining.
+    Draining,
+    /// Another incarnation of the worker is recorded.
+    Replaced,
+    /// The worker's data centre is being evacuated.
+    Evacuated,
+    /// A task under which a worker has crashed before has just started on the worker.
+    BesideSuspect,
+    /// The worker's VM is next for upkeep.
+    Emptied,
+    /// Runs on the worker take much longer than expected.
+    Slow,
+    /// The worker has not answered its latest order, or the core that carried an order to it was lost.
+    Silent,
+    /// The leader has heard nothing from the worker, or nothing recent.
+    Unheard,
+    /// The worker has not answered a probe since it started.
+    Unverified,
+    /// Runs have failed on the worker.
+    SetAside,
+}
+
+impl UnusableReason {
+    /// Returns whether the state ends by itself, once the worker is heard from or some time has passed, without a replacement of the worker
+    /// or an order by an operator.
+    pub fn is_temporary(self) -> bool {
+        match self {
+            UnusableReason::Draining | UnusableReason::Replaced | UnusableReason::Evacuated => {
+                false
+            }
+            UnusableReason::BesideSuspect
+            | UnusableReason::Emptied
+            | UnusableReason::Slow
+            | UnusableReason::Silent
+            | UnusableReason::Unheard
+            | UnusableReason::Unverified
+            | UnusableReason::SetAside => true,
+        }
+    }
+}
--- a/crates/bh-workload/src/rules/mod.rs
+++ b/crates/bh-workload/src/rules/mod.rs
@@ -1,4 +1,4 @@
-//! The operator's rules.
+//! The operator's rules: queues, pools and customers.
 
 mod customer;
 mod pool;
@@ -11,6 +11,6 @@
 
 pub use customer::Customer;
 pub use pool::Pool;
-pub use queue::Advice;
+pub use queue::AdviserTiming;
 pub use queue::Queue;
 pub use rules::Rules;
--- a/crates/bh-workload/src/state/worker.rs
+++ b/crates/bh-workload/src/state/worker.rs
@@ -1,6 +1,6 @@
 //! A worker incarnation in the record.
 
-use crate::job::Needs;
+use crate::job::Resources;
 use crate::job::RunId;
 use crate::job::StepId;
 use bh_protocol::Incarnation;
@@ -29,7 +29,7 @@
     /// Labels, including its rack.
     pub labels: Vec<Arc<str>>,
     /// Its current capacity.
-    pub capacity: Needs,
+    pub capacity: Resources,
     /// Sequence number of the heartbeat that reported this; increases during the worker's life.
     #[serde(default)]
     pub sequence: u64,
@@ -70,7 +70,7 @@
     pub draining: bool,
     /// Runs that are recorded there and not known to have ended, with the resources that each takes.
     #[serde(with = "crate::pairs")]
-    pub runs: BTreeMap<RunId, Needs>,
+    pub runs: BTreeMap<RunId, Resources>,
     /// Gang members that are recorded as lost although the worker runs and its lease had not expired. The worker may still report to the
     /// leader that they failed.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
@@ -97,8 +97,8 @@
     }
 
     /// Resources that recorded runs take beyond the capacity of the worker, which may have decreased since they started.
-    pub fn excess(&self) -> Needs {
-        let mut excess = Needs::default();
+    pub fn excess(&self) -> Resources {
+        let mut excess = Resources::default();
         for needs in self.runs.values() {
             excess.add(needs);
         }
@@ -107,7 +107,7 @@
     }
 
     /// Capacity that recorded runs leave free. A run counts until its end is known: it may still use the worker while it is being stopped.
-    pub fn free(&self) -> Needs {
+    pub fn free(&self) -> Resources {
         let mut free = self.info.capacity;
         for needs in self.runs.values() {
             free.subtract(needs);
--- a/crates/bh-workload/src/upkeep/wave_scheduler.rs
+++ b/crates/bh-workload/src/upkeep/wave_scheduler.rs
@@ -6,7 +6,7 @@
 use crate::dispatch::Dispatcher;
 use crate::dispatch::Timing;
 use crate::job::RunId;
-use crate::plan::Availability;
+use crate::plan::DisruptionBudget;
 use crate::state::Command;
 use crate::state::VmUpkeep;
 use crate::state::Wave;
@@ -153,12 +153,12 @@
             let wave = workload.wave(emptying.wave);
             wave.is_some_and(|wave| wave.vms.get(vm) == Some(&VmUpkeep::Waiting))
         });
-        let mut services = Availability::new(workload, dispatcher, &[]);
+        let mut budget = DisruptionBudget::new(workload, dispatcher, &[]);
         for (vm, emptying) in &self.emptying {
             let worker = workload.worker_on(vm);
             match worker.filter(|worker| !worker.runs.is_empty()) {
                 Some(worker) if now_ms >= emptying.stop_at_ms => {
-                    actions.extend(stop_actions(worker, dispatcher, &mut services));
+                    actions.extend(stop_actions(worker, dispatcher, &mut budget));
                 }
                 Some(_) => {}
                 None if now_ms >= self.no_orders_until_ms && self.recording.insert(vm.clone()) => {
@@ -246,11 +246,11 @@
     }
 }
 
-/// Stops of the runs on a worker that are not being stopped yet, as far as the services there may lose more tasks.
+/// Stops of the runs on a worker that are not being stopped yet, as far as the disruption budgets of their services allow.
 fn stop_actions(
     worker: &Worker,
     dispatcher: &Dispatcher,
-    services: &mut Availability,
+    budget: &mut DisruptionBudget,
 ) -> Vec<UpkeepAction> {
     let target = dispatcher.view(&worker.info.id);
     let is_stopping = |run: &RunId| {
@@ -261,7 +261,7 @@
         .runs
         .keys()
         .filter(|run| !is_stopping(run))
-        .filter(|run| services.may_miss(**run))
+        .filter(|run| budget.allow_stop(**run))
         .map(|run| UpkeepAction::Stop(worker.info.id.clone(), *run))
         .collect()
 }
--- a/crates/bh-workload/tests/evacuation.rs
+++ b/crates/bh-workload/tests/evacuation.rs
@@ -15,8 +15,8 @@
 use bh_workload::dispatch::Report;
 use bh_workload::job::JobId;
 use bh_workload::job::StepSpec;
-use bh_workload::plan::Unclaimed;
-use bh_workload::plan::Wait;
+use bh_workload::plan::ReleaseReason;
+use bh_workload::plan::WaitReason;
 use bh_workload::state::Command;
 use bh_workload::state::EndKind;
 use bh_workload::state::Reply;
@@ -52,7 +52,7 @@
     orders.iter().filter(is_start).collect()
 }
 
-fn wait(site: &Site, job: JobId) -> Option<Wait> {
+fn wait(site: &Site, job: JobId) -> Option<WaitReason> {
     let times = (site.now_ms, site.wall_ms());
     let report = site
         .planner
@@ -320,14 +320,17 @@
     site.advance(100);
     let urgent = site.submit(0, "guaranteed", vec![gang(2, 8)]);
     let plan = site.plan();
-    assert_eq!(plan.claimed.len(), 1);
+    assert_eq!(plan.reserved.len(), 1);
     let claimed_far = plan.evictions.iter().any(|(worker, _)| site.is_far(worker));
     let emptied = if claimed_far { FAR } else { NEAR };
     site.evacuate(emptied);
     let plan = site.plan();
-    let dropped: Vec<Unclaimed> = plan.unclaimed.iter().map(|(_, why)| *why).collect();
-    assert_eq!(dropped, [Unclaimed::WorkerUnusable]);
-    assert_eq!(plan.claimed.first().map(|(step, _)| step.job), Some(urgent));
+    let dropped: Vec<ReleaseReason> = plan.released.iter().map(|(_, why)| *why).collect();
+    assert_eq!(dropped, [ReleaseReason::WorkerUnusable]);
+    assert_eq!(
+        plan.reserved.first().map(|(step, _)| step.job),
+        Some(urgent)
+    );
     let inside = |worker: &Incarnation| site.is_far(worker) == claimed_far;
     assert!(!plan.evictions.iter().any(|(worker, _)| inside(worker)));
 }
@@ -349,7 +352,10 @@
         assert!(plan.starts.is_empty() && plan.evictions.is_empty());
     }
     let data_centres: BTreeSet<Arc<str>> = [Arc::from(FAR), Arc::from(NEAR)].into();
-    assert_eq!(wait(&site, waits), Some(Wait::Evacuated { data_centres }));
+    assert_eq!(
+        wait(&site, waits),
+        Some(WaitReason::Evacuated { data_centres })
+    );
     site.end(support::run_of(&site, before, 0), EndKind::Done);
     assert!(site.workload.job(before).unwrap().outcome.is_some());
     site.end_evacuation(FAR);
--- a/crates/bh-workload/tests/runnable.rs
+++ b/crates/bh-workload/tests/runnable.rs
@@ -15,15 +15,15 @@
 use bh_workload::dispatch::RunPhase;
 use bh_workload::dispatch::Timing;
 use bh_workload::job::JobId;
-use bh_workload::job::Needs;
+use bh_workload::job::Resources;
 use bh_workload::job::RunId;
 use bh_workload::job::StepSpec;
 use bh_workload::plan::RunnableStep;
-use bh_workload::plan::Standing;
+use bh_workload::plan::StallCheck;
 use bh_workload::plan::Survey;
-use bh_workload::plan::Unusable;
-use bh_workload::plan::Wait;
-use bh_workload::rules::Advice;
+use bh_workload::plan::UnusableReason;
+use bh_workload::plan::WaitReason;
+use bh_workload::rules::AdviserTiming;
 use bh_workload::rules::Queue;
 use bh_workload::state::Command;
 use bh_workload::state::EndKind;
@@ -66,7 +66,7 @@
 }
 
 /// The only reason for which a job waits. `core explain` must give the same for tasks that wait for room.
-fn wait(site: &Site, job: JobId) -> Wait {
+fn wait(site: &Site, job: JobId) -> WaitReason {
     let steps = steps_of(site, job);
     assert_eq!(steps.len(), 1, "{steps:?}");
     let wait = steps[0].wait.clone();
@@ -75,10 +75,10 @@
         .planner
         .explain(times, &site.workload, &site.dispatcher, job)
         .unwrap();
-    if !matches!(wait, Wait::Ordered { .. }) {
+    if !matches!(wait, WaitReason::Ordered { .. }) {
         assert_eq!(report.steps[0].wait, Some(wait.clone()));
     }
-    assert!(Wait::REASONS.contains(&wait.reason()));
+    assert!(WaitReason::REASONS.contains(&wait.reason()));
     wait
 }
 
@@ -182,7 +182,7 @@
     #[case] phase: RunPhase,
 ) {
     let (site, job) = job_with_a_run(until);
-    assert_eq!(wait(&site, job), Wait::Ordered { phase });
+    assert_eq!(wait(&site, job), WaitReason::Ordered { phase });
     let (worker, run) = site.open_runs()[0].clone();
     let holder = steps_of(&site, job)[0].held_by.clone().unwrap();
     assert_eq!((holder.worker, holder.run), (worker, run.to_string()));
@@ -203,13 +203,13 @@
 fn the_way_of_a_start_is_told() {
     let mut site = quiet_site(2);
     let job = site.submit(2, "other", vec![step(1, 1)]);
-    assert_eq!(wait(&site, job), Wait::NotPlanned);
+    assert_eq!(wait(&site, job), WaitReason::NotPlanned);
     let plan = site.plan();
-    assert_eq!(wait(&site, job), Wait::StartRecording);
+    assert_eq!(wait(&site, job), WaitReason::StartRecording);
     site.workload.apply(Command::Starts(plan.starts));
     site.take_events();
     let phase = RunPhase::Unsent;
-    assert_eq!(wait(&site, job), Wait::Ordered { phase });
+    assert_eq!(wait(&site, job), WaitReason::Ordered { phase });
 }
 
 /// Guards against a full pool and one whose room is freed after the last plan looking alike.
@@ -221,18 +221,18 @@
     let job = site.submit(2, "other", vec![step(1, 8)]);
     site.plan_and_start();
     let (tasks, places) = (1, 0);
-    assert_eq!(wait(&site, job), Wait::NoRoom { tasks, places });
+    assert_eq!(wait(&site, job), WaitReason::NoRoom { tasks, places });
     site.end(run_of(&site, first, 0), EndKind::Done);
-    assert_eq!(wait(&site, job), Wait::Placing);
+    assert_eq!(wait(&site, job), WaitReason::Placing);
 }
 
 /// Guards against workers that have room and get no work being told as a full pool.
 #[rstest]
-#[case::unheard(Unusable::Unheard)]
-#[case::silent(Unusable::Silent)]
-#[case::set_aside(Unusable::SetAside)]
-#[case::emptied(Unusable::Emptied)]
-fn room_on_workers_that_get_no_work_is_told(#[case] why: Unusable) {
+#[case::unheard(UnusableReason::Unheard)]
+#[case::silent(UnusableReason::Silent)]
+#[case::set_aside(UnusableReason::SetAside)]
+#[case::emptied(UnusableReason::Emptied)]
+fn room_on_workers_that_get_no_work_is_told(#[case] why: UnusableReason) {
     let mut site = quiet_site(4);
     site.submit(2, "other", vec![step(3, 8)]);
     site.plan_and_start();
@@ -241,7 +241,7 @@
     let worker = site.workload.workers().find(free).unwrap();
     let worker = worker.info.id.clone();
     match why {
-        Unusable::Unheard => {
+        UnusableReason::Unheard => {
             let info_ms = site.now_ms;
             site.now_ms += Timing::DEFAULT.current_ms() + 1;
             for (other, _) in site.open_runs() {
@@ -251,18 +251,21 @@
             let target = site.dispatcher.view(&worker).unwrap();
             assert_eq!(target.info_ms, Some(info_ms));
         }
-        Unusable::Silent => {
+        UnusableReason::Silent => {
             site.dispatcher.check_incarnations(&worker, &site.workload);
             site.fall_silent(&worker);
         }
-        Unusable::SetAside => site.dispatcher.set_aside(site.now_ms, &worker),
+        UnusableReason::SetAside => site.dispatcher.set_aside(site.now_ms, &worker),
         _ => site
             .dispatcher
             .set_emptied(std::iter::once(worker).collect()),
     }
     let job = site.submit(2, "other", vec![step(1, 1)]);
     site.plan_and_start();
-    assert_eq!(wait(&site, job), Wait::WorkersUnusable { places: 1, why });
+    assert_eq!(
+        wait(&site, job),
+        WaitReason::WorkersUnusable { places: 1, why }
+    );
 }
 
 /// Guards against a new leader that has heard of no worker being told as one without room.
@@ -272,8 +275,11 @@
     site.dispatcher = Dispatcher::new(Timing::DEFAULT, 2, site.now_ms, &site.workload);
     let job = site.submit(2, "other", vec![step(1, 1)]);
     site.plan_and_start();
-    let why = Unusable::Unheard;
-    assert_eq!(wait(&site, job), Wait::WorkersUnusable { places: 2, why });
+    let why = UnusableReason::Unheard;
+    assert_eq!(
+        wait(&site, job),
+        WaitReason::WorkersUnusable { places: 2, why }
+    );
 }
 
 /// Guards against an adviser that has not answered being told as one that refuses.
@@ -283,7 +289,7 @@
     let mut rules = rules(2);
     for queue in &mut rules.queues {
         *queue = Arc::new(Queue {
-            advised: Some(Advice {
+            advised: Some(AdviserTiming {
                 decision_ms: 200,
                 per_worker_ms: 10,
                 validity_ms: 5_000,
@@ -294,13 +300,13 @@
     site.workload.apply(Command::SetRules(Box::new(rules)));
     let job = site.submit(2, "other", vec![step(1, 1)]);
     let question = site.plan().questions.remove(0);
-    assert_eq!(wait(&site, job), Wait::Advice);
+    assert_eq!(wait(&site, job), WaitReason::Advice);
     let none: &[Permission] = &[];
     site.dispatcher
         .permissions
         .note_answer(site.now_ms, &question, Some(none));
     site.plan();
-    assert_eq!(wait(&site, job), Wait::NoWorkerAllowed);
+    assert_eq!(wait(&site, job), WaitReason::NoWorkerAllowed);
 }
 
 /// Guards against room that the plan holds back for a larger gang being told as free, or without that gang.
@@ -313,7 +319,7 @@
     let job = site.submit(2, "other", vec![step(1, 1)]);
     site.plan_and_start();
     let to = vec![support::task(larger, 0, 0).step.to_string()];
-    assert_eq!(wait(&site, job), Wait::RoomPromised { places: 0, to });
+    assert_eq!(wait(&site, job), WaitReason::RoomPromised { places: 0, to });
 }
 
 /// Guards against room that the plan keeps for urgent work being told as free.
@@ -324,7 +330,7 @@
     site.plan_and_start();
     let job = site.submit(2, "other", vec![step(1, 8)]);
     site.plan_and_start();
-    assert_eq!(wait(&site, job), Wait::RoomKept { places: 0 });
+    assert_eq!(wait(&site, job), WaitReason::RoomKept { places: 0 });
 }
 
 /// Guards against room on a worker where the task has failed being told as free.
@@ -347,7 +353,7 @@
         .note_ends(site.now_ms, &ends, &site.workload, &site.dispatcher);
     site.end(run, EndKind::Failed);
     site.plan_and_start();
-    assert_eq!(wait(&site, job), Wait::WorkersAvoided { workers: 1 });
+    assert_eq!(wait(&site, job), WaitReason::WorkersAvoided { workers: 1 });
 }
 
 /// Guards against a gang that waits for a rack being told as one that the next plan begins.
@@ -367,7 +373,7 @@
     };
     let job = site.submit(2, "other", vec![local]);
     site.plan_and_start();
-    assert_eq!(wait(&site, job), Wait::Rack);
+    assert_eq!(wait(&site, job), WaitReason::Rack);
 }
 
 /// A job under which a worker has crashed, beside two workers with room on which something has just begun.
@@ -393,7 +399,7 @@
 #[test]
 fn a_task_that_may_crash_its_worker_says_so() {
     let (site, job) = suspect_beside_young_runs();
-    assert_eq!(wait(&site, job), Wait::Apart { crashes: 1 });
+    assert_eq!(wait(&site, job), WaitReason::Apart { crashes: 1 });
 }
 
 /// Guards against such a task being told as kept apart when it no longer is, which would hide what it waits for.
@@ -402,7 +408,7 @@
     const PATIENCE_MS: u64 = 2_000;
     let (mut site, job) = suspect_beside_young_runs();
     site.advance(PATIENCE_MS);
-    assert_eq!(wait(&site, job), Wait::Placing);
+    assert_eq!(wait(&site, job), WaitReason::Placing);
 }
 
 /// Guards against workers that are closed for a task that may crash them being told as silent or full.
@@ -419,8 +425,11 @@
     assert_eq!(site.open_runs().len(), 1);
     let job = site.submit(2, "other", vec![step(1, 1)]);
     site.plan_and_start();
-    let why = Unusable::BesideSuspect;
-    assert_eq!(wait(&site, job), Wait::WorkersUnusable { places: 1, why });
+    let why = UnusableReason::BesideSuspect;
+    assert_eq!(
+        wait(&site, job),
+        WaitReason::WorkersUnusable { places: 1, why }
+    );
 }
 
 /// Guards against a wait for the end of an evacuation being told as one for workers that do not answer.
@@ -445,7 +454,7 @@
     site.fall_silent(&runs[2].0);
     site.end(runs[0].1, EndKind::Broken);
     site.end(runs[1].1, EndKind::Broken);
-    assert_eq!(wait(&site, job), Wait::EarlierRuns);
+    assert_eq!(wait(&site, job), WaitReason::EarlierRuns);
     let holder = steps_of(&site, job)[0].held_by.clone().unwrap();
     assert_eq!(holder.worker, runs[2].0);
     assert_eq!(holder.run, runs[2].1.to_string());
@@ -466,7 +475,7 @@
     assert_eq!(site.workload.job(job).unwrap().outcome, None);
     site.take_over(2);
     site.plan_and_start();
-    assert_eq!(wait(&site, job), Wait::UncertainFailures);
+    assert_eq!(wait(&site, job), WaitReason::UncertainFailures);
 }
 
 /// Guards against a job that its caller took back being told as waiting.
@@ -495,9 +504,9 @@
     site.send_starts();
     let steps = steps_of(&site, job);
     assert_eq!(steps.len(), 1);
-    assert_eq!(steps[0].wait, Wait::NoWorkerAllowed);
-    assert_eq!(steps[0].standing.runs, 1);
-    assert!(!steps[0].standing.is_still());
+    assert_eq!(steps[0].wait, WaitReason::NoWorkerAllowed);
+    assert_eq!(steps[0].stall_check.runs, 1);
+    assert!(!steps[0].stall_check.is_stalled());
 }
 
 /// Guards against a job that waits in an idle pool for a run that no worker has being taken for one that waits for room.
@@ -505,20 +514,20 @@
 fn a_job_held_by_a_run_that_is_gone_stands_still() {
     let (site, job) = job_with_a_run(leave_it_out_of_a_report);
     let steps = steps_of(&site, job);
-    assert_eq!(steps[0].standing.in_use, Needs::default());
-    assert!(steps[0].standing.is_still());
+    assert_eq!(steps[0].stall_check.in_use, Resources::default());
+    assert!(steps[0].stall_check.is_stalled());
 }
 
-const STILL: Standing = Standing {
+const STILL: StallCheck = StallCheck {
     runs: 0,
     tasks: 3,
     places: 6,
-    in_use: Needs {
+    in_use: Resources {
         cpu_millis: 49_999,
         memory_mb: 100_000,
         accelerators: 4,
     },
-    capacity: Needs {
+    capacity: Resources {
         cpu_millis: 100_000,
         memory_mb: 100_000,
         accelerators: 8,
@@ -528,20 +537,20 @@
 /// Guards against the rule counting a job that runs, a pool that is half in use, or too little room.
 #[rstest]
 #[case::still(STILL, true)]
-#[case::one_runs(Standing { runs: 1, ..STILL }, false)]
-#[case::nothing_to_run(Standing { tasks: 0, ..STILL }, false)]
-#[case::room_for_less_than_twice(Standing { places: 5, ..STILL }, false)]
+#[case::one_runs(StallCheck { runs: 1, ..STILL }, false)]
+#[case::nothing_to_run(StallCheck { tasks: 0, ..STILL }, false)]
+#[case::room_for_less_than_twice(StallCheck { places: 5, ..STILL }, false)]
 #[case::half_in_use(
-    Standing { in_use: Needs { cpu_millis: 50_000, ..STILL.in_use }, ..STILL },
+    StallCheck { in_use: Resources { cpu_millis: 50_000, ..STILL.in_use }, ..STILL },
     false
 )]
 #[case::most_accelerators_in_use(
-    Standing { in_use: Needs { accelerators: 5, ..STILL.in_use }, ..STILL },
+    StallCheck { in_use: Resources { accelerators: 5, ..STILL.in_use }, ..STILL },
     false
 )]
-#[case::no_pool(Standing { capacity: Needs::default(), ..STILL }, false)]
-fn the_rule_of_standing_still(#[case] standing: Standing, #[case] still: bool) {
-    assert_eq!(standing.is_still(), still);
+#[case::no_pool(StallCheck { capacity: Resources::default(), ..STILL }, false)]
+fn the_rule_of_standing_still(#[case] stall_check: StallCheck, #[case] still: bool) {
+    assert_eq!(stall_check.is_stalled(), still);
 }
 
 /// Guards against a survey of a long queue holding up the leader's loop.
@@ -566,6 +575,6 @@
     site.take_events();
     let job = site.submit(2, "other", vec![step(1, 1)]);
     let steps = steps_of(&site, job);
-    assert_eq!(steps[0].wait, Wait::NoWorkerAllowed);
-    assert_eq!(steps[0].standing.places, 0);
+    assert_eq!(steps[0].wait, WaitReason::NoWorkerAllowed);
+    assert_eq!(steps[0].stall_check.places, 0);
 }
