--- a/crates/bh-workload/src/dispatch/restart.rs
+++ b/crates/bh-workload/src/dispatch/restart.rs
@@ -89,13 +89,13 @@
         return Some(Command::ends(ends));
     }
     let running: BTreeSet<RunId> = running.collect();
-    let is_over = |(run, run_state): (&RunId, &RunState)| {
+    let has_ended = |(run, run_state): (&RunId, &RunState)| {
         let is_stopped =
             matches!(run_state.stop, StopPhase::Confirmed { at_ms } if at_ms < order.sent_ms);
         !is_recorded(run)
             || !run_state.may_reach_later_incarnation()
             || is_stopped && !running.contains(run)
     };
-    let all_are_over = target.runs.iter().all(is_over);
-    (all_are_over && target.note_gone(now_ms)).then(|| gone_command(now_ms, id, target, workload))
+    let all_ended = target.runs.iter().all(has_ended);
+    (all_ended && target.note_gone(now_ms)).then(|| gone_command(now_ms, id, target, workload))
 }
