--- a/crates/bh-workload/src/plan/collect.rs
+++ b/crates/bh-workload/src/plan/collect.rs
@@ -27,8 +27,8 @@
 /// centre that takes half as long again uses up half of the slack.
 const TIGHT_SLACK_FACTOR: f64 = 2.0;
 /// A gang may use the urgent headroom when its slack is below this share of its run time, in percent. The headroom takes up the emptiest
-/// rack, which may be the only place for a large gang: it would wait until no urgent work arrives any more, and be late. Small tasks fit
-/// elsewhere. One run time is about what other gangs take to leave a rack.
+/// rack, which may be the only place for a large gang. Without this rule the gang would wait until no urgent work arrives any more, and be
+/// late. Small tasks fit elsewhere. One run time is about what other gangs take to leave a rack.
 const LAST_CHANCE_PERCENT: u64 = 100;
 /// A late job earns credit until this multiple of its objective.
 const MAX_LATE_FACTOR: u64 = 3;
@@ -68,13 +68,13 @@
 pub fn critical_path_ms(id: JobId, job: &Job, runtimes: &Runtimes) -> u64 {
     let mut end_ms: Vec<u64> = Vec::with_capacity(job.spec.steps.len());
     for (index, spec) in job.spec.steps.iter().enumerate() {
-        let before = spec
+        let start_ms = spec
             .after
             .iter()
             .filter_map(|step| end_ms.get(usize::try_from(*step).ok()?).copied())
             .max()
             .unwrap_or(0);
-        end_ms.push(before + runtimes.expected_ms(&job.queue.name, step_at(id, 0, index), spec));
+        end_ms.push(start_ms + runtimes.expected_ms(&job.queue.name, step_at(id, 0, index), spec));
     }
     end_ms.into_iter().max().unwrap_or(0)
 }
@@ -129,7 +129,7 @@
 ) {
     let Context { id, job, queue, .. } = context;
     let own_work = job_work(*id, job, runtimes);
-    let slack_ms = objective_ms(*id, job, queue, runtimes);
+    let allowed_ms = objective_ms(*id, job, queue, runtimes);
     for occurrence in 0..job.spec.occurrences() {
         let due_ms = job.spec.due_ms(occurrence);
         if due_ms.is_some_and(|due_ms| wall_ms < due_ms) {
@@ -146,10 +146,10 @@
                 continue;
             }
             let expected_ms = runtimes.expected_ms(&queue.name, step, spec);
-            let value = lateness_value(wall_ms + expected_ms, ready_ms, slack_ms);
+            let value = lateness_value(wall_ms + expected_ms, ready_ms, allowed_ms);
             let on_time = value >= 1.0;
-            let waits_ms = expected_ms * LAST_CHANCE_PERCENT / 100;
-            let late_soon = wall_ms + expected_ms + waits_ms > ready_ms + slack_ms;
+            let margin_ms = expected_ms * LAST_CHANCE_PERCENT / 100;
+            let late_soon = wall_ms + expected_ms + margin_ms > ready_ms + allowed_ms;
             let size_factor =
                 (1.0 - FIXED_VALUE_SHARE) + FIXED_VALUE_SHARE * context.mean_work / own_work;
             let rank = f64::from(queue.priority + 1);
@@ -171,7 +171,7 @@
                 priority: queue.priority,
                 guaranteed: context.guaranteed,
                 ready_ms,
-                due_ms: ready_ms + slack_ms,
+                due_ms: ready_ms + allowed_ms,
                 expected_ms,
                 expected_spread_ms: expected_ms * remote_percent / 100,
                 relaxed: false,
@@ -194,10 +194,10 @@
     whole(scaled)
 }
 
-pub(super) fn lateness_value(end_ms: u64, ready_ms: u64, slack_ms: u64) -> f64 {
-    if end_ms <= ready_ms + slack_ms {
+pub(super) fn lateness_value(end_ms: u64, ready_ms: u64, allowed_ms: u64) -> f64 {
+    if end_ms <= ready_ms + allowed_ms {
         1.0
-    } else if end_ms <= ready_ms + slack_ms * MAX_LATE_FACTOR {
+    } else if end_ms <= ready_ms + allowed_ms * MAX_LATE_FACTOR {
         LATE_VALUE
     } else {
         EXPIRED_VALUE
--- a/crates/bh-workload/src/plan/place.rs
+++ b/crates/bh-workload/src/plan/place.rs
@@ -18,8 +18,8 @@
 /// How long guaranteed work waits for a preferred rack, in milliseconds. It must start within a few seconds, on any rack.
 const GUARANTEED_PATIENCE_MS: u64 = 1_200;
 
-/// A unit is spread over several racks only this long before its last chance to be on time that way, in milliseconds. Plans are made at
-/// least every 200 ms.
+/// A unit is spread over several racks only if its last chance to be on time that way is less than this far away, in milliseconds. Plans
+/// are made at least every 200 ms.
 const SPREAD_MARGIN_MS: u64 = 400;
 /// Share of the pool's accelerators that must stay available when a unit is spread before it has waited its full time for a rack, in
 /// percent.
--- a/crates/bh-workload/src/plan/urgent_headroom.rs
+++ b/crates/bh-workload/src/plan/urgent_headroom.rs
@@ -20,7 +20,7 @@
 const MIN_JOBS: f64 = 3.0;
 /// Number of jobs that are assumed to take up [`INITIAL_POOL_PERCENT`] before the first ones arrive.
 const INITIAL_JOBS: f64 = 5.0;
-/// Time that is assumed between arrivals before the first ones, in milliseconds; typical of the users' sites.
+/// Assumed time between arrivals until the first ones have come, in milliseconds; typical of the users' sites.
 const INITIAL_GAP_MS: f64 = 400.0;
 /// Time without an arrival after which there is no headroom any more, in milliseconds.
 const ARRIVAL_TIMEOUT_MS: u64 = 15_000;
@@ -68,8 +68,8 @@
         let Some(rules) = &workload.rules else {
             return;
         };
-        let first = rules.queues.iter().filter(|queue| queue.priority == 0);
-        for queue in first {
+        let urgent_queues = rules.queues.iter().filter(|queue| queue.priority == 0);
+        for queue in urgent_queues {
             if self.pools.contains_key(&queue.pool) {
                 continue;
             }
@@ -142,11 +142,11 @@
                 .collect();
             order.sort_by_key(|at| {
                 let room = &rooms[*at];
-                let rack = racks.get(&room.rack).copied().unwrap_or(0);
+                let rack_available = racks.get(&room.rack).copied().unwrap_or(0);
                 let available = room.available().accelerators;
                 (
                     room.runtime_percent,
-                    std::cmp::Reverse(rack),
+                    std::cmp::Reverse(rack_available),
                     std::cmp::Reverse(available),
                     *at,
                 )
