--- a/crates/bh-consensus/src/config.rs
+++ b/crates/bh-consensus/src/config.rs
@@ -5,7 +5,7 @@
 
 /// Which replicas shall vote.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wanted {
+pub enum VoterPolicy {
     /// Those on the VMs with these names.
     Names(BTreeSet<Arc<str>>),
     /// Any that keep their log on a disk, up to a number. A voter that has been silent makes room for one that is there.
@@ -17,12 +17,12 @@
     },
 }
 
-impl Wanted {
+impl VoterPolicy {
     /// Whether the VM `name` may vote at all.
     pub(crate) fn admits(&self, name: &str) -> bool {
         match self {
-            Wanted::Names(names) => names.contains(name),
-            Wanted::Count { .. } => true,
+            VoterPolicy::Names(names) => names.contains(name),
+            VoterPolicy::Count { .. } => true,
         }
     }
 }
@@ -39,7 +39,7 @@
     /// Whether it keeps its log on a disk. Without one it observes and never votes.
     pub durable: bool,
     /// Who shall vote. The leader moves the group there, one change at a time.
-    pub wanted_voters: Wanted,
+    pub wanted_voters: VoterPolicy,
     /// Time between heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
     /// Least silence before an election, in milliseconds; each replica adds up to as much again.
--- a/crates/bh-consensus/src/lib.rs
+++ b/crates/bh-consensus/src/lib.rs
@@ -18,7 +18,7 @@
 mod voters;
 
 pub use config::Config;
-pub use config::Wanted;
+pub use config::VoterPolicy;
 pub use event::Event;
 pub use output::Output;
 pub use replica::Replica;
--- a/crates/bh-consensus/src/membership.rs
+++ b/crates/bh-consensus/src/membership.rs
@@ -1,6 +1,6 @@
 //! Moves a group towards its wanted voters, one change at a time.
 
-use crate::config::Wanted;
+use crate::config::VoterPolicy;
 use crate::progress::Progress;
 use crate::replica::Replica;
 use crate::role::Leadership;
@@ -50,8 +50,8 @@
             !self.voters.contains(**id) && self.config.wanted_voters.admits(&p.name) && caught_up(p)
         });
         match &self.config.wanted_voters {
-            Wanted::Names(names) => self.towards_names(names, newcomers.next()),
-            Wanted::Count {
+            VoterPolicy::Names(names) => self.towards_names(names, newcomers.next()),
+            VoterPolicy::Count {
                 count,
                 replace_after_ms,
             } => {
--- a/crates/bh-consensus/tests/support/mod.rs
+++ b/crates/bh-consensus/tests/support/mod.rs
@@ -9,7 +9,7 @@
 use bh_consensus::Output;
 use bh_consensus::Replica;
 use bh_consensus::Restored;
-use bh_consensus::Wanted;
+use bh_consensus::VoterPolicy;
 use bh_protocol::wire::LogEntry;
 use bh_protocol::wire::Member;
 use bh_protocol::wire::RaftMessage;
@@ -153,13 +153,13 @@
         group
     }
 
-    fn wanted(&self) -> Wanted {
+    fn wanted(&self) -> VoterPolicy {
         match self.voters {
-            Some(count) => Wanted::Count {
+            Some(count) => VoterPolicy::Count {
                 count,
                 replace_after_ms: 3 * ELECTION_MS,
             },
-            None => Wanted::Names(self.vms.iter().map(|vm| vm.name.clone()).collect()),
+            None => VoterPolicy::Names(self.vms.iter().map(|vm| vm.name.clone()).collect()),
         }
     }
 
--- a/crates/bh-control/src/core/driver.rs
+++ b/crates/bh-control/src/core/driver.rs
@@ -3,7 +3,7 @@
 use super::core_node::CoreNode;
 use crate::config::LocalConfig;
 use bh_consensus::Config;
-use bh_consensus::Wanted;
+use bh_consensus::VoterPolicy;
 use bh_group::Driver;
 use bh_group::Group;
 use bh_group::Hooks;
@@ -68,7 +68,7 @@
         // A VM is identified by its address: a replaced VM comes back under another one, a wiped VM under the same.
         name: Arc::from(config.ip.to_string()),
         durable: true,
-        wanted_voters: Wanted::Count {
+        wanted_voters: VoterPolicy::Count {
             count: config.voters(),
             replace_after_ms: REPLACE_AFTER_MS,
         },
--- a/crates/bh-node/src/group/spawn.rs
+++ b/crates/bh-node/src/group/spawn.rs
@@ -10,7 +10,7 @@
 use crate::node::Node;
 use crate::node::from_json;
 use bh_consensus::Config;
-use bh_consensus::Wanted;
+use bh_consensus::VoterPolicy;
 use bh_net::Clock;
 use bh_protocol::Failure;
 use bh_protocol::wire::RpcKind;
@@ -71,7 +71,7 @@
             id: self.replica,
             name: self.config.own.name.clone(),
             durable: self.folder.is_some(),
-            wanted_voters: Wanted::Names(wanted.clone()),
+            wanted_voters: VoterPolicy::Names(wanted.clone()),
             heartbeat_ms: self.config.heartbeat_ms,
             election_ms: self.config.election_ms,
             first_election_ms: self.config.election_ms,
