--- a/crates/bh-consensus/src/config.rs
+++ b/crates/bh-consensus/src/config.rs
@@ -39,7 +39,7 @@
     /// Whether it keeps its log on a disk. Without one it observes and never votes.
     pub durable: bool,
     /// Who shall vote. The leader moves the group there, one change at a time.
-    pub wanted_voters: VoterPolicy,
+    pub voter_policy: VoterPolicy,
     /// Time between heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
     /// Least silence before an election, in milliseconds; each replica adds up to as much again.
--- a/crates/bh-consensus/src/membership.rs
+++ b/crates/bh-consensus/src/membership.rs
@@ -47,9 +47,9 @@
         let caught_up =
             |p: &Progress| p.durable && p.heard_ms >= recent_ms && p.matched >= self.commit;
         let mut newcomers = leadership.progress.iter().filter(|(id, p)| {
-            !self.voters.contains(**id) && self.config.wanted_voters.admits(&p.name) && caught_up(p)
+            !self.voters.contains(**id) && self.config.voter_policy.admits(&p.name) && caught_up(p)
         });
-        match &self.config.wanted_voters {
+        match &self.config.voter_policy {
             VoterPolicy::Names(names) => self.towards_names(names, newcomers.next()),
             VoterPolicy::Count {
                 count,
--- a/crates/bh-consensus/tests/support/mod.rs
+++ b/crates/bh-consensus/tests/support/mod.rs
@@ -182,7 +182,7 @@
             id: self.vms[index].id,
             name: self.vms[index].name.clone(),
             durable: true,
-            wanted_voters: self.wanted(),
+            voter_policy: self.wanted(),
             heartbeat_ms: HEARTBEAT_MS,
             election_ms: ELECTION_MS,
             first_election_ms: 2 * HEARTBEAT_MS,
--- a/crates/bh-control/src/core/driver.rs
+++ b/crates/bh-control/src/core/driver.rs
@@ -68,7 +68,7 @@
         // A VM is identified by its address: a replaced VM comes back under another one, a wiped VM under the same.
         name: Arc::from(config.ip.to_string()),
         durable: true,
-        wanted_voters: VoterPolicy::Count {
+        voter_policy: VoterPolicy::Count {
             count: config.voters(),
             replace_after_ms: REPLACE_AFTER_MS,
         },
--- a/crates/bh-node/src/group/spawn.rs
+++ b/crates/bh-node/src/group/spawn.rs
@@ -71,7 +71,7 @@
             id: self.replica,
             name: self.config.own.name.clone(),
             durable: self.folder.is_some(),
-            wanted_voters: VoterPolicy::Names(wanted.clone()),
+            voter_policy: VoterPolicy::Names(wanted.clone()),
             heartbeat_ms: self.config.heartbeat_ms,
             election_ms: self.config.election_ms,
             first_election_ms: self.config.election_ms,
