--- a/crates/bh-consensus/src/leader.rs
+++ b/crates/bh-consensus/src/leader.rs
@@ -108,7 +108,7 @@
 
     /// Sends every replica what it lacks, or a heartbeat.
     fn start_round(&mut self, now_ms: u64) {
-        let kept_ms = self.config.election_ms * ROUNDS_KEPT_ELECTIONS;
+        let kept_ms = self.config.election_timeout_ms * ROUNDS_KEPT_ELECTIONS;
         let Some(leadership) = self.leadership() else {
             return;
         };
@@ -171,7 +171,7 @@
         let Role::Leader(leadership) = &self.role else {
             return false;
         };
-        let since = now_ms.saturating_sub(self.config.election_ms);
+        let since = now_ms.saturating_sub(self.config.election_timeout_ms);
         if leadership.elected_ms > since {
             return true;
         }
@@ -229,7 +229,7 @@
             return;
         };
         let round = leadership.round;
-        let patience_ms = self.config.election_ms;
+        let patience_ms = self.config.election_timeout_ms;
         let Some(progress) = leadership.progress.get_mut(&id) else {
             return;
         };
@@ -262,7 +262,7 @@
     }
 
     fn send_snapshot(&mut self, now_ms: u64, id: u64) {
-        let wait_ms = self.config.election_ms;
+        let wait_ms = self.config.election_timeout_ms;
         let Role::Leader(leadership) = &mut self.role else {
             return;
         };
@@ -291,7 +291,7 @@
 
     pub(crate) fn receive_append_reply(&mut self, now_ms: u64, from: u64, body: &RaftBody) {
         let last = self.log.last_index();
-        let kept_ms = self.config.election_ms * ROUNDS_KEPT_ELECTIONS;
+        let kept_ms = self.config.election_timeout_ms * ROUNDS_KEPT_ELECTIONS;
         let Some(leadership) = self.leadership() else {
             return;
         };
--- a/crates/bh-consensus/src/membership.rs
+++ b/crates/bh-consensus/src/membership.rs
@@ -43,7 +43,7 @@
     }
 
     fn next_voters(&self, now_ms: u64, leadership: &Leadership) -> Option<Voters> {
-        let recent_ms = now_ms.saturating_sub(self.config.election_ms * 2);
+        let recent_ms = now_ms.saturating_sub(self.config.election_timeout_ms * 2);
         let caught_up =
             |p: &Progress| p.durable && p.heard_ms >= recent_ms && p.matched >= self.commit;
         let mut newcomers = leadership.progress.iter().filter(|(id, p)| {
--- a/crates/bh-consensus/src/replica.rs
+++ b/crates/bh-consensus/src/replica.rs
@@ -296,7 +296,7 @@
         self.leader.is_some()
             && self
                 .heard_ms
-                .is_some_and(|heard| now_ms < heard + self.config.election_ms)
+                .is_some_and(|heard| now_ms < heard + self.config.election_timeout_ms)
     }
 
     pub(crate) fn become_follower(&mut self, now_ms: u64, term: u64, leader: Option<u64>) {
@@ -359,7 +359,7 @@
     }
 
     pub(crate) fn restart_election_timer(&mut self, now_ms: u64) {
-        self.call_election_after(now_ms, self.config.election_ms);
+        self.call_election_after(now_ms, self.config.election_timeout_ms);
     }
 
     /// The same before the others are asked whether an election would succeed.
@@ -370,7 +370,7 @@
         let least_ms = if self.heard_ms.is_none() {
             self.config.first_election_ms
         } else {
-            self.config.election_ms
+            self.config.election_timeout_ms
         };
         self.call_election_after(now_ms, least_ms);
     }
--- a/crates/bh-consensus/tests/support/mod.rs
+++ b/crates/bh-consensus/tests/support/mod.rs
@@ -184,7 +184,7 @@
             durable: true,
             voter_policy: self.wanted(),
             heartbeat_ms: HEARTBEAT_MS,
-            election_ms: ELECTION_MS,
+            election_timeout_ms: ELECTION_MS,
             first_election_ms: 2 * HEARTBEAT_MS,
             election_delay_ms: 0,
             seed: SEED + index as u64,
--- a/crates/bh-control/src/core/driver.rs
+++ b/crates/bh-control/src/core/driver.rs
@@ -73,7 +73,7 @@
             replace_after_ms: REPLACE_AFTER_MS,
         },
         heartbeat_ms: HEARTBEAT_INTERVAL_MS,
-        election_ms: ELECTION_TIMEOUT_MS,
+        election_timeout_ms: ELECTION_TIMEOUT_MS,
         first_election_ms: FIRST_ELECTION_TIMEOUT_MS,
         election_delay_ms: 0,
         seed: folder.replica(),
