--- a/crates/bh-consensus/src/config.rs
+++ b/crates/bh-consensus/src/config.rs
@@ -45,7 +45,7 @@
     /// Least silence before an election, in milliseconds; each replica adds up to as much again.
     pub election_timeout_ms: u64,
     /// The same for a replica that has heard no leader since it started, before it asks whether an election would succeed.
-    pub first_election_ms: u64,
+    pub first_election_timeout_ms: u64,
     /// Added to that, in milliseconds: a replica that shall lead only when no other can waits longer.
     pub election_delay_ms: u64,
     /// Seed of the election spread.
--- a/crates/bh-consensus/src/replica.rs
+++ b/crates/bh-consensus/src/replica.rs
@@ -368,7 +368,7 @@
     /// who hear one refuse. After a loss of all replicas nobody hears one, and the longer wait is most of the time until the group serves again.
     pub(crate) fn restart_pre_vote_timer(&mut self, now_ms: u64) {
         let least_ms = if self.heard_ms.is_none() {
-            self.config.first_election_ms
+            self.config.first_election_timeout_ms
         } else {
             self.config.election_timeout_ms
         };
--- a/crates/bh-consensus/tests/support/mod.rs
+++ b/crates/bh-consensus/tests/support/mod.rs
@@ -185,7 +185,7 @@
             voter_policy: self.wanted(),
             heartbeat_ms: HEARTBEAT_MS,
             election_timeout_ms: ELECTION_MS,
-            first_election_ms: 2 * HEARTBEAT_MS,
+            first_election_timeout_ms: 2 * HEARTBEAT_MS,
             election_delay_ms: 0,
             seed: SEED + index as u64,
         };
--- a/crates/bh-control/src/core/driver.rs
+++ b/crates/bh-control/src/core/driver.rs
@@ -74,7 +74,7 @@
         },
         heartbeat_ms: HEARTBEAT_INTERVAL_MS,
         election_timeout_ms: ELECTION_TIMEOUT_MS,
-        first_election_ms: FIRST_ELECTION_TIMEOUT_MS,
+        first_election_timeout_ms: FIRST_ELECTION_TIMEOUT_MS,
         election_delay_ms: 0,
         seed: folder.replica(),
     };
--- a/crates/bh-node/src/group/spawn.rs
+++ b/crates/bh-node/src/group/spawn.rs
@@ -74,7 +74,7 @@
             voter_policy: VoterPolicy::Names(wanted.clone()),
             heartbeat_ms: self.config.heartbeat_ms,
             election_timeout_ms: self.config.election_ms,
-            first_election_ms: self.config.election_ms,
+            first_election_timeout_ms: self.config.election_ms,
             election_delay_ms: election_delay_ms(self.config, name),
             seed: self.replica,
         };
