--- a/crates/bh-consensus/src/replica.rs
+++ b/crates/bh-consensus/src/replica.rs
@@ -176,7 +176,7 @@
     /// Time until which a majority of the voters, this one among them, surely knew of no later leader; `None` when it does not lead. Answers
     /// count from when the message was sent that they answer: after a pause of this VM they are read long after they were given, and another leader
     /// may have been elected in between.
-    pub fn quorum_heard_ms(&self, now_ms: u64) -> Option<u64> {
+    pub fn quorum_confirmed_ms(&self, now_ms: u64) -> Option<u64> {
         let Role::Leader(leadership) = &self.role else {
             return None;
         };
--- a/crates/bh-consensus/tests/support/mod.rs
+++ b/crates/bh-consensus/tests/support/mod.rs
@@ -427,7 +427,7 @@
         let outputs = replica.step(now_ms, event);
         let is_leader = replica.is_leader();
         let (term, id) = (replica.term(), replica.id());
-        let confirmed_ms = replica.quorum_heard_ms(now_ms);
+        let confirmed_ms = replica.quorum_confirmed_ms(now_ms);
         if is_leader && !was_leader {
             self.elected_ms.insert(term, now_ms);
             // Election safety: one leader a term.
--- a/crates/bh-control/src/core/leader_loop.rs
+++ b/crates/bh-control/src/core/leader_loop.rs
@@ -84,8 +84,8 @@
     }
     let now_ms = core.clock.now_ms();
     let confirmed = status
-        .quorum_heard_ms
-        .is_some_and(|heard_ms| now_ms < heard_ms + QUORUM_TIMEOUT_MS);
+        .quorum_confirmed_ms
+        .is_some_and(|confirmed_ms| now_ms < confirmed_ms + QUORUM_TIMEOUT_MS);
     if !confirmed {
         surveys::survey(core, confirmed);
         return;
--- a/crates/bh-group/src/driver.rs
+++ b/crates/bh-group/src/driver.rs
@@ -337,7 +337,7 @@
         status.last_index = self.replica.last_index();
         status.snapshot_index = self.replica.snapshot_index();
         status.members = self.replica.members();
-        status.quorum_heard_ms = self.replica.quorum_heard_ms(now_ms);
+        status.quorum_confirmed_ms = self.replica.quorum_confirmed_ms(now_ms);
         status.heard_ms = self
             .replica
             .confirmed_ms(now_ms)
--- a/crates/bh-group/src/handle.rs
+++ b/crates/bh-group/src/handle.rs
@@ -35,7 +35,7 @@
     /// The voters.
     pub members: Vec<Member>,
     /// When a majority had last been heard, on the process's clock; `None` unless this replica leads.
-    pub quorum_heard_ms: Option<u64>,
+    pub quorum_confirmed_ms: Option<u64>,
     /// When a leader was last heard, on the process's clock; `None` before the first.
     pub heard_ms: Option<u64>,
 }
