--- a/crates/bh-consensus/src/follower.rs
+++ b/crates/bh-consensus/src/follower.rs
@@ -12,7 +12,7 @@
         if self.leader != Some(from) || !matches!(self.role, Role::Follower) {
             self.become_follower(now_ms, body.term, Some(from));
         }
-        self.heard_ms = Some(now_ms);
+        self.last_leader_contact_ms = Some(now_ms);
         self.restart_election_timer(now_ms);
         let Some(matched) = self.accept_entries(&body) else {
             let hint = body.index.saturating_sub(1).min(self.log.last_index());
@@ -79,7 +79,7 @@
         if self.leader != Some(from) || !matches!(self.role, Role::Follower) {
             self.become_follower(now_ms, body.term, Some(from));
         }
-        self.heard_ms = Some(now_ms);
+        self.last_leader_contact_ms = Some(now_ms);
         self.restart_election_timer(now_ms);
         if body.index > self.commit {
             self.log.reset(
--- a/crates/bh-consensus/src/replica.rs
+++ b/crates/bh-consensus/src/replica.rs
@@ -37,7 +37,7 @@
     pub(crate) commit: u64,
     pub(crate) role: Role,
     pub(crate) leader: Option<u64>,
-    pub(crate) heard_ms: Option<u64>,
+    pub(crate) last_leader_contact_ms: Option<u64>,
     pub(crate) caught_up: bool,
     pub(crate) election_at_ms: u64,
     pub(crate) outputs: Vec<Output>,
@@ -69,7 +69,7 @@
             commit,
             role: Role::Follower,
             leader: None,
-            heard_ms: None,
+            last_leader_contact_ms: None,
             caught_up: false,
             election_at_ms: 0,
             outputs: Vec::new(),
@@ -170,7 +170,8 @@
         if self.is_leader() {
             return Some(0);
         }
-        self.heard_ms.map(|heard| now_ms.saturating_sub(heard))
+        self.last_leader_contact_ms
+            .map(|heard| now_ms.saturating_sub(heard))
     }
 
     /// Time until which a majority of the voters, this one among them, surely knew of no later leader; `None` when it does not lead. Answers
@@ -295,7 +296,7 @@
         }
         self.leader.is_some()
             && self
-                .heard_ms
+                .last_leader_contact_ms
                 .is_some_and(|heard| now_ms < heard + self.config.election_timeout_ms)
     }
 
@@ -367,7 +368,7 @@
     /// A replica that has heard no leader since it started need not wait for a silence: a leader shows itself within a heartbeat or two, and those
     /// who hear one refuse. After a loss of all replicas nobody hears one, and the longer wait is most of the time until the group serves again.
     pub(crate) fn restart_pre_vote_timer(&mut self, now_ms: u64) {
-        let least_ms = if self.heard_ms.is_none() {
+        let least_ms = if self.last_leader_contact_ms.is_none() {
             self.config.first_election_timeout_ms
         } else {
             self.config.election_timeout_ms
--- a/crates/bh-control/src/core/leader_loop.rs
+++ b/crates/bh-control/src/core/leader_loop.rs
@@ -69,7 +69,7 @@
     let status = core.group.status();
     let led_term = core.leadership.borrow().as_ref().map(|held| held.term);
     if !status.is_leader {
-        core.last_led_ms.set(status.heard_ms);
+        core.last_led_ms.set(status.last_leader_contact_ms);
         if led_term.is_some() {
             step_down(core, "another leads, or no majority answers");
         }
--- a/crates/bh-control/src/core/operator.rs
+++ b/crates/bh-control/src/core/operator.rs
@@ -174,7 +174,7 @@
         voters: status.members.iter().map(|m| m.name.clone()).collect(),
         applied: status.applied,
         heard_ms_ago: status
-            .heard_ms
+            .last_leader_contact_ms
             .map(|at_ms| core.clock.now_ms().saturating_sub(at_ms)),
         rules_version: workload.rules.as_ref().map_or(0, |rules| rules.version),
         active_jobs: workload.active_jobs().count(),
--- a/crates/bh-group/src/driver.rs
+++ b/crates/bh-group/src/driver.rs
@@ -338,7 +338,7 @@
         status.snapshot_index = self.replica.snapshot_index();
         status.members = self.replica.members();
         status.quorum_confirmed_ms = self.replica.quorum_confirmed_ms(now_ms);
-        status.heard_ms = self
+        status.last_leader_contact_ms = self
             .replica
             .confirmed_ms(now_ms)
             .map(|since| now_ms.saturating_sub(since));
--- a/crates/bh-group/src/handle.rs
+++ b/crates/bh-group/src/handle.rs
@@ -37,7 +37,7 @@
     /// When a majority had last been heard, on the process's clock; `None` unless this replica leads.
     pub quorum_confirmed_ms: Option<u64>,
     /// When a leader was last heard, on the process's clock; `None` before the first.
-    pub heard_ms: Option<u64>,
+    pub last_leader_contact_ms: Option<u64>,
 }
 
 /// A handle to a group's driver.
@@ -83,7 +83,9 @@
         if status.is_leader {
             Some(0)
         } else {
-            status.heard_ms.map(|heard| now_ms.saturating_sub(heard))
+            status
+                .last_leader_contact_ms
+                .map(|heard| now_ms.saturating_sub(heard))
         }
     }
 
