--- a/crates/bh-consensus/src/replica.rs
+++ b/crates/bh-consensus/src/replica.rs
@@ -166,7 +166,7 @@
     }
 
     /// Milliseconds since this replica last heard from a leader, or since it led itself; `None` before that.
-    pub fn confirmed_ms(&self, now_ms: u64) -> Option<u64> {
+    pub fn leader_contact_age_ms(&self, now_ms: u64) -> Option<u64> {
         if self.is_leader() {
             return Some(0);
         }
--- a/crates/bh-group/src/driver.rs
+++ b/crates/bh-group/src/driver.rs
@@ -340,7 +340,7 @@
         status.quorum_confirmed_ms = self.replica.quorum_confirmed_ms(now_ms);
         status.last_leader_contact_ms = self
             .replica
-            .confirmed_ms(now_ms)
+            .leader_contact_age_ms(now_ms)
             .map(|since| now_ms.saturating_sub(since));
     }
 }
--- a/crates/bh-group/src/handle.rs
+++ b/crates/bh-group/src/handle.rs
@@ -78,7 +78,7 @@
     }
 
     /// Milliseconds since the leader was heard; `None` when it never was.
-    pub fn confirmed_ms(&self, now_ms: u64) -> Option<u64> {
+    pub fn leader_contact_age_ms(&self, now_ms: u64) -> Option<u64> {
         let status = self.status.borrow();
         if status.is_leader {
             Some(0)
--- a/crates/bh-node/src/http_api/status.rs
+++ b/crates/bh-node/src/http_api/status.rs
@@ -108,7 +108,7 @@
             .iter()
             .map(|member| member.name.clone())
             .collect(),
-        confirmed_ms: group.confirmed_ms(node.clock.now_ms()),
+        confirmed_ms: group.leader_contact_age_ms(node.clock.now_ms()),
     }
 }
 
--- a/crates/bh-node/src/node/state.rs
+++ b/crates/bh-node/src/node/state.rs
@@ -82,7 +82,7 @@
 
     /// What is in force here, and whether it may be behind.
     pub fn in_force(&self) -> InForce {
-        let confirmed_ms = self.settings.confirmed_ms(self.clock.now_ms());
+        let confirmed_ms = self.settings.leader_contact_age_ms(self.clock.now_ms());
         let limit_ms = self.config.election_ms * CUT_OFF_ELECTIONS;
         InForce {
             entry: self.config.own.name.clone(),
@@ -97,8 +97,11 @@
     /// customers are unknown.
     pub fn is_ready(&self) -> bool {
         let own = self.jobs.get(&self.config.own.data_centre);
-        let has_heard =
-            own.is_some_and(|jobs| jobs.group.confirmed_ms(self.clock.now_ms()).is_some());
+        let has_heard = own.is_some_and(|jobs| {
+            jobs.group
+                .leader_contact_age_ms(self.clock.now_ms())
+                .is_some()
+        });
         let serves_alone = self.alone.borrow().is_alone(self.clock.now_ms());
         let knows_settings = self.settings.has_caught_up();
         (has_heard || serves_alone) && knows_settings && !self.draining.is_cancelled()
