--- a/crates/bh-node/src/start.rs
+++ b/crates/bh-node/src/start.rs
@@ -58,7 +58,7 @@
     };
     let replica = match &folder {
         Some(folder) => folder.replica(),
-        None => bh_storage::random_replica()?,
+        None => bh_storage::random_replica_id()?,
     };
     let http_listener = bind(config.own.http_address)?;
     let peer_listener = bind(config.own.peer_address)?;
@@ -83,7 +83,7 @@
         let spawned = spawner.spawn(&jobs_group(&data_centre), machine, wanted)?;
         jobs.insert(data_centre, spawned);
     }
-    let incarnation = bh_storage::random_replica()?;
+    let incarnation = bh_storage::random_replica_id()?;
     let node = build(
         config,
         clock,
@@ -136,7 +136,7 @@
     const LEAST_KEY_BYTES: usize = 32;
     let Some(path) = &config.peer_key_file else {
         // A single entry has no peers; nobody shares this key, so that no link can be opened.
-        let number = bh_storage::random_replica()?;
+        let number = bh_storage::random_replica_id()?;
         return Ok(LinkKey::new(number.to_le_bytes()));
     };
     let bytes = std::fs::read(path).map_err(|error| {
--- a/crates/bh-storage/src/folder.rs
+++ b/crates/bh-storage/src/folder.rs
@@ -86,7 +86,7 @@
 /// # Errors
 ///
 /// [`Code::Internal`] when the system has no random numbers.
-pub fn random_replica() -> Result<u64, Failure> {
+pub fn random_replica_id() -> Result<u64, Failure> {
     let number = getrandom::u64()
         .map_err(|error| Failure::new(Code::Internal, format!("no random numbers: {error}")))?;
     Ok(number.max(1))
@@ -113,7 +113,7 @@
 }
 
 fn write_identity(path: &Path, name: &str) -> Result<u64, Failure> {
-    let replica = random_replica()?;
+    let replica = random_replica_id()?;
     let file = path.join(IDENTITY_FILE);
     let aside = path.join("identity.new");
     let write = || -> std::io::Result<()> {
--- a/crates/bh-storage/src/lib.rs
+++ b/crates/bh-storage/src/lib.rs
@@ -8,7 +8,7 @@
 mod recovered;
 
 pub use folder::Folder;
-pub use folder::random_replica;
+pub use folder::random_replica_id;
 pub use journal::Journal;
 pub use record::Record;
 pub use record::RecordError;
