--- a/crates/bh-control/src/core/driver.rs
+++ b/crates/bh-control/src/core/driver.rs
@@ -64,7 +64,7 @@
 ) -> Result<(Driver<Workload>, Group<Workload>), Failure> {
     let consensus = Config {
         group: Arc::from(GROUP),
-        id: folder.replica(),
+        id: folder.replica_id(),
         // A VM is identified by its address: a replaced VM comes back under another one, a wiped VM under the same.
         name: Arc::from(config.ip.to_string()),
         durable: true,
@@ -76,7 +76,7 @@
         election_timeout_ms: ELECTION_TIMEOUT_MS,
         first_election_timeout_ms: FIRST_ELECTION_TIMEOUT_MS,
         election_delay_ms: 0,
-        seed: folder.replica(),
+        seed: folder.replica_id(),
     };
     let machine = Machine::new(Workload::default(), Workload::CODEC);
     let storage = Some(folder.journal(GROUP)?);
--- a/crates/bh-control/src/core/serve.rs
+++ b/crates/bh-control/src/core/serve.rs
@@ -58,7 +58,7 @@
         .control_address
         .ok_or_else(|| missing("control_address"))?;
     let folder = Folder::open(&path, &config.name)?;
-    let replica = folder.replica();
+    let replica = folder.replica_id();
     let clock = Clock::new();
     let deferred = DeferredCore::default();
     let (driver, group) = driver::build(&config, &folder, &clock, &deferred)?;
--- a/crates/bh-node/src/start.rs
+++ b/crates/bh-node/src/start.rs
@@ -57,7 +57,7 @@
         None => None,
     };
     let replica = match &folder {
-        Some(folder) => folder.replica(),
+        Some(folder) => folder.replica_id(),
         None => bh_storage::random_replica_id()?,
     };
     let http_listener = bind(config.own.http_address)?;
--- a/crates/bh-storage/src/folder.rs
+++ b/crates/bh-storage/src/folder.rs
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
-    replica: u64,
+    replica_id: u64,
     _lock: File,
 }
 
@@ -41,8 +41,8 @@
                 format!("{} is in use by another process", path.display()),
             ));
         }
-        let replica = match read_identity(&path)? {
-            Some((owner, replica)) if owner == name => replica,
+        let replica_id = match read_identity(&path)? {
+            Some((owner, replica_id)) if owner == name => replica_id,
             Some((owner, _)) => {
                 return Err(Failure::new(
                     Code::FolderInUse,
@@ -53,14 +53,14 @@
         };
         Ok(Folder {
             path,
-            replica,
+            replica_id,
             _lock: lock,
         })
     }
 
     /// Identity of the replicas in this folder.
-    pub fn replica(&self) -> u64 {
-        self.replica
+    pub fn replica_id(&self) -> u64 {
+        self.replica_id
     }
 
     /// Opens the journal of `group`; `/` in the name is written as `_`.
@@ -113,17 +113,17 @@
 }
 
 fn write_identity(path: &Path, name: &str) -> Result<u64, Failure> {
-    let replica = random_replica_id()?;
+    let replica_id = random_replica_id()?;
     let file = path.join(IDENTITY_FILE);
     let aside = path.join("identity.new");
     let write = || -> std::io::Result<()> {
         let mut handle = File::create(&aside)?;
-        handle.write_all(format!("{name} {replica:016x}\n").as_bytes())?;
+        handle.write_all(format!("{name} {replica_id:016x}\n").as_bytes())?;
         handle.sync_all()?;
         std::fs::rename(&aside, &file)?;
         sync_parent(&file)?;
         sync_parent(path)
     };
     write().map_err(|error| disk_failed(&file, &error))?;
-    Ok(replica)
+    Ok(replica_id)
 }
--- a/crates/bh-storage/tests/journal.rs
+++ b/crates/bh-storage/tests/journal.rs
@@ -161,15 +161,15 @@
         Folder::open(&path, "vm1").unwrap_err().code,
         Code::FolderInUse
     );
-    let replica = first.replica();
+    let replica = first.replica_id();
     drop(first);
-    assert_eq!(Folder::open(&path, "vm1").unwrap().replica(), replica);
+    assert_eq!(Folder::open(&path, "vm1").unwrap().replica_id(), replica);
     assert_eq!(
         Folder::open(&path, "vm2").unwrap_err().code,
         Code::FolderInUse
     );
     std::fs::remove_dir_all(&path).unwrap();
-    assert_ne!(Folder::open(&path, "vm1").unwrap().replica(), replica);
+    assert_ne!(Folder::open(&path, "vm1").unwrap().replica_id(), replica);
 }
 
 proptest! {
