--- a/crates/bh-consensus/src/config.rs
+++ b/crates/bh-consensus/src/config.rs
@@ -1,25 +1,25 @@
-//! What a replica is told at its start.
+//! Configuration of a replica.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Which replicas shall vote.
+/// Which replicas the leader makes voters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum VoterPolicy {
-    /// Those on the VMs with these names.
+    /// The replicas on the VMs with these names.
     Names(BTreeSet<Arc<str>>),
-    /// Any that keep their log on a disk, up to a number. A voter that has been silent makes room for one that is there.
+    /// Any replicas that keep their log on a disk, up to a number. A replica that is up replaces a voter that has been silent.
     Count {
-        /// Number of voters; odd.
+        /// Number of voters, which is odd.
         count: usize,
-        /// Silence after which a voter is replaced when another replica can take its place, in milliseconds.
+        /// How long a voter must be silent before the leader replaces it, if another replica can take its place, in milliseconds.
         replace_after_ms: u64,
     },
 }
 
 impl VoterPolicy {
-    /// Whether the VM `name` may vote at all.
-    pub(crate) fn admits(&self, name: &str) -> bool {
+    /// Whether the replica on the VM `name` may become a voter.
+    pub(crate) fn allows(&self, name: &str) -> bool {
         match self {
             VoterPolicy::Names(names) => names.contains(name),
             VoterPolicy::Count { .. } => true,
@@ -32,31 +32,31 @@
 pub struct Config {
     /// Name of the group.
     pub group: Arc<str>,
-    /// Identity of this replica: the random number kept in its data folder, or drawn at its start when it has none.
+    /// Identity of this replica: the random number kept in its data folder, or drawn when the replica starts if it has no data folder.
     pub id: u64,
-    /// Name of its VM.
+    /// Name of the replica's VM.
     pub name: Arc<str>,
-    /// Whether it keeps its log on a disk. Without one it observes and never votes.
+    /// Whether the replica keeps its log on a disk. Without a disk it is an observer and never votes.
     pub durable: bool,
-    /// Who shall vote. The leader moves the group there, one change at a time.
+    /// Which replicas are to vote. The leader changes the voters to this, one at a time.
     pub voter_policy: VoterPolicy,
     /// Time between heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Least silence before an election, in milliseconds; each replica adds up to as much again.
+    /// Shortest election timeout, in milliseconds. Each replica adds a random part that is shorter than this.
     pub election_timeout_ms: u64,
-    /// The same for a replica that has heard no leader since it started, before it asks whether an election would succeed.
+    /// Shortest election timeout before a pre-vote of a replica that has heard from no leader since it started, in milliseconds.
     pub first_election_timeout_ms: u64,
-    /// Added to that, in milliseconds: a replica that shall lead only when no other can waits longer.
+    /// Added to every election timeout, in milliseconds, so that a replica that is to lead only when no other can waits longer.
     pub election_delay_ms: u64,
-    /// Seed of the election spread.
+    /// Seed of the random part of the election timeouts.
     pub seed: u64,
 }
 
-/// Entries in one message at most.
-pub(crate) const MAX_ENTRIES: usize = 512;
-/// Bytes of commands in one message, after which no further entry is added.
+/// Limit of entries in one message.
+pub(crate) const MAX_BATCH_ENTRIES: usize = 512;
+/// Bytes of commands in one message above which no further entry is added.
 pub(crate) const MAX_BATCH_BYTES: usize = 512 << 10;
-/// Heartbeats without a sign of life after which an observer is forgotten.
-pub(crate) const OBSERVER_HEARTBEATS: u64 = 50;
-/// Heartbeats between an observer's announcements of itself.
-pub(crate) const OBSERVE_HEARTBEATS: u64 = 5;
+/// Heartbeat intervals without a message from an observer after which the leader forgets it.
+pub(crate) const OBSERVER_TIMEOUT_HEARTBEATS: u64 = 50;
+/// Heartbeat intervals between two announcements of an observer.
+pub(crate) const ANNOUNCE_INTERVAL_HEARTBEATS: u64 = 5;
--- a/crates/bh-consensus/src/election.rs
+++ b/crates/bh-consensus/src/election.rs
@@ -1,4 +1,4 @@
-//! Elections, with a pre-vote round before the term is raised.
+//! Elections, with a pre-vote before a replica raises its term.
 
 use crate::output::Output;
 use crate::replica::Replica;
@@ -8,8 +8,8 @@
 use std::collections::BTreeSet;
 
 impl Replica {
-    /// Asks whether an election would succeed. A VM cut off from the others keeps asking without raising its term, so
-    /// that it does not depose a working leader when it comes back.
+    /// Asks the voters whether an election would succeed. A partitioned VM repeats this without raising its term, so that it doesn't
+    /// depose a working leader when the partition heals.
     pub(crate) fn start_pre_vote(&mut self, now_ms: u64) {
         self.restart_pre_vote_timer(now_ms);
         self.leader = None;
@@ -17,7 +17,7 @@
             granted: BTreeSet::from([self.config.id]),
         };
         self.outputs.push(Output::RoleChanged);
-        self.ask_votes(RaftKind::PreVote, self.term + 1);
+        self.request_votes(RaftKind::PreVote, self.term + 1);
         self.count_pre_votes(now_ms);
     }
 
@@ -29,11 +29,11 @@
         self.role = Role::Candidate {
             granted: BTreeSet::from([self.config.id]),
         };
-        self.ask_votes(RaftKind::Vote, self.term);
+        self.request_votes(RaftKind::Vote, self.term);
         self.count_votes(now_ms);
     }
 
-    fn ask_votes(&mut self, kind: RaftKind, term: u64) {
+    fn request_votes(&mut self, kind: RaftKind, term: u64) {
         let body = RaftBody {
             term,
             index: self.log.last_index(),
@@ -57,8 +57,8 @@
 
     pub(crate) fn receive_pre_vote(&mut self, now_ms: u64, from: u64, body: &RaftBody) {
         let granted =
-            body.term > self.term && self.is_up_to_date(body) && !self.hears_leader(now_ms);
-        // A grant echoes the term asked for, so that late answers to an earlier question do not count.
+            body.term > self.term && self.is_up_to_date(body) && !self.has_live_leader(now_ms);
+        // A grant carries the term that was asked for, so that a late answer to an earlier pre-vote doesn't count.
         let term = if granted { body.term } else { self.term };
         let reply = RaftBody {
             term,
@@ -82,14 +82,14 @@
         let Role::PreCandidate { granted } = &self.role else {
             return;
         };
-        if self.voters.majority(|id| granted.contains(&id)) {
+        if self.voters.is_majority(|id| granted.contains(&id)) {
             self.start_election(now_ms);
         }
     }
 
     pub(crate) fn receive_vote(&mut self, now_ms: u64, from: u64, body: &RaftBody) {
         let free = self.voted_for == 0 || self.voted_for == from;
-        // An observer never votes: without a disk it would forget the vote, and vote again in the same term.
+        // An observer never votes: without a disk it would forget the vote over a restart and could vote twice in a term.
         let granted = self.is_voter() && free && self.is_up_to_date(body) && self.leader.is_none();
         if granted {
             if self.voted_for != from {
@@ -119,7 +119,7 @@
         let Role::Candidate { granted } = &self.role else {
             return;
         };
-        if self.voters.majority(|id| granted.contains(&id)) {
+        if self.voters.is_majority(|id| granted.contains(&id)) {
             self.become_leader(now_ms);
         }
     }
--- a/crates/bh-consensus/src/event.rs
+++ b/crates/bh-consensus/src/event.rs
@@ -1,4 +1,4 @@
-//! What a replica reacts to.
+//! Inputs of a replica.
 
 use bh_protocol::wire::RaftMessage;
 
@@ -7,27 +7,27 @@
 pub enum Event {
     /// Time has passed.
     Tick,
-    /// A message of another replica.
+    /// A message from another replica.
     Receive(RaftMessage),
-    /// A command to replicate; `ticket` comes back in [`crate::Output::Appended`] or [`crate::Output::Refused`].
+    /// A command to replicate; `request_id` comes back in [`crate::Output::Appended`] or [`crate::Output::Refused`].
     Propose {
-        /// Chosen by the driver.
-        ticket: u64,
+        /// Identifies the request; chosen by the driver.
+        request_id: u64,
         /// The command.
         command: Vec<u8>,
     },
-    /// A read that must see all that was committed before it; `ticket` comes back in [`crate::Output::ReadAt`].
+    /// A read that must see everything that was committed before it; `request_id` comes back in [`crate::Output::ReadIndex`].
     Read {
-        /// Chosen by the driver.
-        ticket: u64,
+        /// Identifies the request; chosen by the driver.
+        request_id: u64,
     },
-    /// A batch of proposals and reads is complete: send them on. Without it they wait for the next heartbeat.
+    /// A batch of proposals and reads is complete: send it to the others. Without this event the batch waits for the next heartbeat.
     Flush,
-    /// The state machine was saved as of `index`; the log before it may go.
+    /// A snapshot of the state machine as of `index`; the replica may drop the log up to there.
     Compact {
         /// Last index that the snapshot covers.
         index: u64,
-        /// The state machine.
+        /// The encoded state machine.
         state: Vec<u8>,
     },
 }
--- a/crates/bh-consensus/src/follower.rs
+++ b/crates/bh-consensus/src/follower.rs
@@ -1,4 +1,4 @@
-//! What a follower does with its leader's entries and snapshots.
+//! How a follower handles entries and snapshots from its leader.
 
 use crate::output::Output;
 use crate::replica::Replica;
@@ -25,8 +25,8 @@
             return;
         };
         self.advance_commit(body.commit.min(matched));
-        let of_this_term = self.log.term_at(self.commit) == Some(self.term);
-        self.caught_up |= of_this_term && self.commit >= body.commit;
+        let committed_this_term = self.log.term_at(self.commit) == Some(self.term);
+        self.caught_up |= committed_this_term && self.commit >= body.commit;
         let reply = RaftBody {
             index: matched,
             granted: true,
@@ -36,7 +36,8 @@
         self.send(from, reply);
     }
 
-    /// Appends what is new; returns the highest index that now matches, or `None` when the logs differ before it.
+    /// Appends the new entries. Returns the highest index up to which the log now matches the leader's, or `None` if the logs differ
+    /// at the entry before the message's first one.
     pub(crate) fn accept_entries(&mut self, body: &RaftBody) -> Option<u64> {
         let before_snapshot =
             body.index < self.log.snapshot_index && self.log.get(body.index).is_none();
@@ -123,7 +124,7 @@
             return;
         };
         let voters = self.log.voters_at(index).to_vec();
-        // Some entries stay, so that a follower that is a little behind needs no snapshot.
+        // Keeps the newest quarter of the entries, so that a follower that is a little behind needs no snapshot.
         let keep_after = index - (index - self.log.first_index().min(index)) / 4;
         self.log.compact(index, term, voters, state, keep_after);
         self.save_snapshot();
--- a/crates/bh-consensus/src/leader.rs
+++ b/crates/bh-consensus/src/leader.rs
@@ -1,8 +1,8 @@
-//! What a leader does: append, replicate, confirm reads, change the membership.
+//! What a leader does: appends entries, replicates them and confirms reads.
 
 use crate::config::MAX_BATCH_BYTES;
-use crate::config::MAX_ENTRIES;
-use crate::config::OBSERVER_HEARTBEATS;
+use crate::config::MAX_BATCH_ENTRIES;
+use crate::config::OBSERVER_TIMEOUT_HEARTBEATS;
 use crate::output::Output;
 use crate::progress::Progress;
 use crate::replica::Replica;
@@ -15,8 +15,8 @@
 use bh_protocol::wire::RaftKind;
 use std::sync::Arc;
 
-/// Time for which it is remembered when a round was begun, in least election times. An answer that comes later confirms nothing any more.
-const ROUNDS_KEPT_ELECTIONS: u64 = 4;
+/// How long a leader remembers when a round started, in shortest election timeouts. An answer that comes later confirms nothing.
+const ROUND_RETENTION_ELECTION_TIMEOUTS: u64 = 4;
 
 impl Replica {
     pub(crate) fn become_leader(&mut self, now_ms: u64) {
@@ -24,7 +24,7 @@
         let mut leadership = Leadership {
             next_heartbeat_ms: now_ms,
             elected_ms: now_ms,
-            first_index: next,
+            term_start_index: next,
             ..Leadership::default()
         };
         for (id, name) in self.voters.iter().filter(|(id, _)| *id != self.config.id) {
@@ -35,10 +35,10 @@
         self.role = Role::Leader(leadership);
         self.leader = Some(self.config.id);
         self.outputs.push(Output::RoleChanged);
-        // An empty entry of the new term: entries of earlier terms count as committed only below one of this term.
-        self.append_own(Vec::new(), Vec::new());
+        // An empty entry of the new term: entries of earlier terms are committed only by committing an entry of this term after them.
+        self.append_as_leader(Vec::new(), Vec::new());
         self.replicate_all(now_ms);
-        self.count_matches();
+        self.update_commit_index();
     }
 
     fn leadership(&mut self) -> Option<&mut Leadership> {
@@ -48,7 +48,7 @@
         }
     }
 
-    pub(crate) fn append_own(&mut self, command: Vec<u8>, voters: Vec<Member>) -> u64 {
+    pub(crate) fn append_as_leader(&mut self, command: Vec<u8>, voters: Vec<Member>) -> u64 {
         let entry = LogEntry {
             index: self.log.last_index() + 1,
             term: self.term,
@@ -61,42 +61,42 @@
         index
     }
 
-    pub(crate) fn propose(&mut self, ticket: u64, command: Vec<u8>) {
+    pub(crate) fn propose(&mut self, request_id: u64, command: Vec<u8>) {
         if !self.is_leader() {
-            self.outputs.push(Output::Refused { ticket });
+            self.outputs.push(Output::Refused { request_id });
             return;
         }
-        let index = self.append_own(command, Vec::new());
+        let index = self.append_as_leader(command, Vec::new());
         if let Some(leadership) = self.leadership() {
             leadership.unsent = true;
         }
         self.outputs.push(Output::Appended {
-            ticket,
+            request_id,
             index,
             term: self.term,
         });
     }
 
-    pub(crate) fn read(&mut self, ticket: u64) {
+    pub(crate) fn read(&mut self, request_id: u64) {
         let commit = self.commit;
         let Some(leadership) = self.leadership() else {
-            self.outputs.push(Output::Refused { ticket });
+            self.outputs.push(Output::Refused { request_id });
             return;
         };
-        // Before its own first entry is committed a leader does not know what earlier leaders committed.
-        let index = commit.max(leadership.first_index);
-        // Only answers to a round that starts after the read show that no other leader was elected before it.
+        // A leader doesn't know what earlier leaders committed until an entry of its own term is committed.
+        let index = commit.max(leadership.term_start_index);
+        // Only answers to a round that starts after the read arrived show that no other leader was elected before the read.
         let round = leadership.round + 1;
         leadership.unsent = true;
-        leadership.reads.push(PendingRead {
-            ticket,
+        leadership.pending_reads.push(PendingRead {
+            request_id,
             index,
             round,
         });
     }
 
-    /// Sends what the last proposals and reads need; nothing when there were none. A leader that sent something after
-    /// every message would be answered each time, and the group would never come to rest.
+    /// Sends the entries of new proposals and the round that new reads need, or nothing if there are none. A leader that sent something
+    /// after every message would be answered each time, so an idle group would exchange messages without end.
     pub(crate) fn flush(&mut self, now_ms: u64) {
         let has_unsent = self
             .leadership()
@@ -106,27 +106,27 @@
         }
     }
 
-    /// Sends every replica what it lacks, or a heartbeat.
+    /// Starts a round: sends every replica the entries that it lacks, or a heartbeat.
     fn start_round(&mut self, now_ms: u64) {
-        let kept_ms = self.config.election_timeout_ms * ROUNDS_KEPT_ELECTIONS;
+        let retention_ms = self.config.election_timeout_ms * ROUND_RETENTION_ELECTION_TIMEOUTS;
         let Some(leadership) = self.leadership() else {
             return;
         };
-        leadership.begin_round(now_ms, kept_ms);
+        leadership.advance_round(now_ms, retention_ms);
         leadership.unsent = false;
         self.replicate_all(now_ms);
-        self.count_matches();
-        self.confirm_reads();
+        self.update_commit_index();
+        self.release_confirmed_reads();
     }
 
-    /// Releases the reads whose heartbeat round a majority has answered: no other leader was elected before them.
-    fn confirm_reads(&mut self) {
+    /// Releases the reads whose round a majority has answered, which shows that no other leader was elected before them.
+    fn release_confirmed_reads(&mut self) {
         let own = self.config.id;
         let Role::Leader(leadership) = &mut self.role else {
             return;
         };
         let progress = &leadership.progress;
-        let confirmed = self.voters.reached_by_majority(|id| {
+        let confirmed_round = self.voters.quorum_value(|id| {
             if id == own {
                 u64::MAX
             } else {
@@ -134,26 +134,26 @@
             }
         });
         let (ready, waiting) = leadership
-            .reads
+            .pending_reads
             .iter()
-            .partition(|read| read.round <= confirmed);
-        leadership.reads = waiting;
+            .partition(|read| read.round <= confirmed_round);
+        leadership.pending_reads = waiting;
         let ready: Vec<PendingRead> = ready;
         for read in ready {
-            self.outputs.push(Output::ReadAt {
-                ticket: read.ticket,
+            self.outputs.push(Output::ReadIndex {
+                request_id: read.request_id,
                 index: read.index,
             });
         }
     }
 
     pub(crate) fn tick_leader(&mut self, now_ms: u64) {
-        if !self.keeps_quorum(now_ms) {
+        if !self.has_active_quorum(now_ms) {
             let term = self.term;
             self.become_follower(now_ms, term, None);
             return;
         }
-        self.forget_silent_observers(now_ms);
+        self.remove_silent_observers(now_ms);
         self.change_membership(now_ms);
         let heartbeat_ms = self.config.heartbeat_ms;
         let Some(leadership) = self.leadership() else {
@@ -165,32 +165,32 @@
         }
     }
 
-    /// Whether a majority answered within the election time. A leader that is isolated silently would otherwise go
-    /// on taking proposals that it can never commit while the others have elected a new one.
-    fn keeps_quorum(&self, now_ms: u64) -> bool {
+    /// Whether a majority answered within the shortest election timeout. Without this check an isolated leader would go on accepting proposals
+    /// that it can never commit, while the others have elected a new leader.
+    fn has_active_quorum(&self, now_ms: u64) -> bool {
         let Role::Leader(leadership) = &self.role else {
             return false;
         };
-        let since = now_ms.saturating_sub(self.config.election_timeout_ms);
-        if leadership.elected_ms > since {
+        let since_ms = now_ms.saturating_sub(self.config.election_timeout_ms);
+        if leadership.elected_ms > since_ms {
             return true;
         }
-        self.voters.majority(|id| {
+        self.voters.is_majority(|id| {
             id == self.config.id
                 || leadership
                     .progress
                     .get(&id)
-                    .is_some_and(|p| p.heard_ms >= since)
+                    .is_some_and(|p| p.last_contact_ms >= since_ms)
         })
     }
 
-    fn forget_silent_observers(&mut self, now_ms: u64) {
-        let limit_ms = self.config.heartbeat_ms * OBSERVER_HEARTBEATS;
+    fn remove_silent_observers(&mut self, now_ms: u64) {
+        let timeout_ms = self.config.heartbeat_ms * OBSERVER_TIMEOUT_HEARTBEATS;
         let voters = self.voters.clone();
         if let Some(leadership) = self.leadership() {
             leadership
                 .progress
-                .retain(|id, p| voters.contains(*id) || now_ms < p.heard_ms + limit_ms);
+                .retain(|id, p| voters.contains(*id) || now_ms < p.last_contact_ms + timeout_ms);
         }
     }
 
@@ -205,10 +205,11 @@
             .progress
             .entry(from)
             .or_insert_with(|| Progress::new(name, body.durable, next, now_ms));
-        // A voter's announcement says nothing of whom it supports: counted as heard it would let a deposed leader take itself for one.
+        // A voter's announcement doesn't say which leader it follows. If it counted as contact, a deposed leader could believe that it
+        // still has a quorum.
         if !is_voter {
             progress.durable = body.durable;
-            progress.heard_ms = now_ms;
+            progress.last_contact_ms = now_ms;
         }
         self.replicate(now_ms, from, true);
     }
@@ -223,27 +224,28 @@
         }
     }
 
-    /// Sends `id` what it lacks; with `always` also when it lacks nothing.
-    fn replicate(&mut self, now_ms: u64, id: u64, always: bool) {
+    /// Sends the entries that replica `id` lacks. If there are none to send, sends an empty append when `send_empty` is set.
+    fn replicate(&mut self, now_ms: u64, id: u64, send_empty: bool) {
         let Role::Leader(leadership) = &mut self.role else {
             return;
         };
         let round = leadership.round;
-        let patience_ms = self.config.election_timeout_ms;
+        let retry_ms = self.config.election_timeout_ms;
         let Some(progress) = leadership.progress.get_mut(&id) else {
             return;
         };
-        let before = progress.next - 1;
-        let Some(index_term) = self.log.term_at(before) else {
+        let prev_index = progress.next - 1;
+        let Some(index_term) = self.log.term_at(prev_index) else {
             self.send_snapshot(now_ms, id);
             return;
         };
-        let entries = if progress.may_send_entries(now_ms, patience_ms) {
-            self.log.batch(progress.next, MAX_ENTRIES, MAX_BATCH_BYTES)
+        let entries = if progress.may_send_entries(now_ms, retry_ms) {
+            self.log
+                .batch(progress.next, MAX_BATCH_ENTRIES, MAX_BATCH_BYTES)
         } else {
             Vec::new()
         };
-        if entries.is_empty() && !always {
+        if entries.is_empty() && !send_empty {
             return;
         }
         if let Some(last) = entries.last() {
@@ -251,7 +253,7 @@
         }
         let commit = self.commit;
         let body = RaftBody {
-            index: before,
+            index: prev_index,
             index_term,
             commit,
             entries,
@@ -262,7 +264,7 @@
     }
 
     fn send_snapshot(&mut self, now_ms: u64, id: u64) {
-        let wait_ms = self.config.election_timeout_ms;
+        let retry_ms = self.config.election_timeout_ms;
         let Role::Leader(leadership) = &mut self.role else {
             return;
         };
@@ -271,12 +273,12 @@
             return;
         };
         if progress
-            .snapshot_ms
-            .is_some_and(|sent| now_ms < sent + wait_ms)
+            .snapshot_sent_ms
+            .is_some_and(|sent_ms| now_ms < sent_ms + retry_ms)
         {
             return;
         }
-        progress.snapshot_ms = Some(now_ms);
+        progress.snapshot_sent_ms = Some(now_ms);
         let body = RaftBody {
             index: self.log.snapshot_index,
             index_term: self.log.snapshot_term,
@@ -291,53 +293,53 @@
 
     pub(crate) fn receive_append_reply(&mut self, now_ms: u64, from: u64, body: &RaftBody) {
         let last = self.log.last_index();
-        let kept_ms = self.config.election_timeout_ms * ROUNDS_KEPT_ELECTIONS;
+        let retention_ms = self.config.election_timeout_ms * ROUND_RETENTION_ELECTION_TIMEOUTS;
         let Some(leadership) = self.leadership() else {
             return;
         };
-        let begun_ms = leadership.begun_ms.get(&body.round).copied();
+        let sent_ms = leadership.round_started_ms.get(&body.round).copied();
         let next_round = leadership.round + 1;
         let Some(progress) = leadership.progress.get_mut(&from) else {
             return;
         };
-        progress.heard_ms = now_ms;
-        progress.supported_ms = progress.supported_ms.max(begun_ms.unwrap_or(0));
+        progress.last_contact_ms = now_ms;
+        progress.supported_ms = progress.supported_ms.max(sent_ms.unwrap_or(0));
         progress.round = progress.round.max(body.round);
-        let starts_over = !body.granted && progress.is_news(body.round);
+        let restarts_probe = !body.granted && progress.is_current(body.round);
         if body.granted {
             progress.note_match(body.index, body.round);
-        } else if starts_over {
-            progress.start_over((body.index + 1).min(last + 1), next_round);
+        } else if restarts_probe {
+            progress.restart_probe((body.index + 1).min(last + 1), next_round);
         }
-        let lacks = body.granted && progress.next <= last;
-        if starts_over {
-            leadership.begin_round(now_ms, kept_ms);
+        let is_behind = body.granted && progress.next <= last;
+        if restarts_probe {
+            leadership.advance_round(now_ms, retention_ms);
         }
-        self.count_matches();
-        self.confirm_reads();
-        if lacks || starts_over {
-            self.replicate(now_ms, from, starts_over);
+        self.update_commit_index();
+        self.release_confirmed_reads();
+        if is_behind || restarts_probe {
+            self.replicate(now_ms, from, restarts_probe);
         }
     }
 
-    /// Commits what a majority holds, but only entries of the own term.
-    pub(crate) fn count_matches(&mut self) {
+    /// Commits the entries that a majority holds, up to an entry of the leader's own term.
+    pub(crate) fn update_commit_index(&mut self) {
         let own = self.config.id;
         let last = self.log.last_index();
         let Role::Leader(leadership) = &self.role else {
             return;
         };
-        let reached = self.voters.reached_by_majority(|id| {
+        let quorum_index = self.voters.quorum_value(|id| {
             if id == own {
                 last
             } else {
                 leadership.progress.get(&id).map_or(0, |p| p.matched)
             }
         });
-        if reached > self.commit && self.log.term_at(reached) == Some(self.term) {
-            self.advance_commit(reached);
+        if quorum_index > self.commit && self.log.term_at(quorum_index) == Some(self.term) {
+            self.advance_commit(quorum_index);
             self.caught_up = true;
-            // Followers and observers learn of the commit with the next flush, not only with the next heartbeat.
+            // The next flush tells followers and observers of the commit, so that they don't wait for the next heartbeat.
             if let Some(leadership) = self.leadership() {
                 leadership.unsent = true;
             }
--- a/crates/bh-consensus/src/log.rs
+++ b/crates/bh-consensus/src/log.rs
@@ -1,10 +1,10 @@
-//! The log in memory, from the last snapshot on.
+//! The log in memory: the last snapshot and the entries that are kept.
 
 use bh_protocol::wire::LogEntry;
 use bh_protocol::wire::Member;
 use std::collections::VecDeque;
 
-/// Entries after a snapshot, and the snapshot itself.
+/// The last snapshot, the entries after it, and some entries before it that were not dropped.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Log {
     pub snapshot_index: u64,
@@ -27,7 +27,7 @@
             .map_or(self.snapshot_term, |entry| entry.term)
     }
 
-    /// Index of the oldest entry held.
+    /// Index of the oldest entry in memory, or of the next entry after the snapshot if there is none.
     pub fn first_index(&self) -> u64 {
         self.entries
             .front()
@@ -43,10 +43,10 @@
         self.entries.get(self.position(index)?)
     }
 
-    /// Term of the entry at `index`, when it is still known.
+    /// Term of the entry at `index`, or `None` if it is unknown. Index 0 stands before the first entry.
     pub fn term_at(&self, index: u64) -> Option<u64> {
-        // Once the first entries are gone, a follower that holds nothing needs the snapshot: an empty append after index 0
-        // would match there, and it would never get anything else.
+        // Once the first entries are dropped, a follower with an empty log needs the snapshot: an empty append after index 0 would match its
+        // log, and the leader would never send it anything else.
         if index == 0 {
             return (self.first_index() == 1).then_some(0);
         }
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Entries from `from` on, limited in number and size; always at least one when there is one.
+    /// Entries from index `from` on: at most `max_entries`, ending with the entry that takes the batch above `max_bytes`.
     pub fn batch(&self, from: u64, max_entries: usize, max_bytes: usize) -> Vec<LogEntry> {
         let Some(start) = self.position(from) else {
             return Vec::new();
@@ -88,7 +88,7 @@
         batch
     }
 
-    /// Entries in `from..=to`.
+    /// Entries with indices `from..=to`.
     pub fn range(&self, from: u64, to: u64) -> Vec<LogEntry> {
         let Some(start) = self.position(from) else {
             return Vec::new();
@@ -101,7 +101,7 @@
             .collect()
     }
 
-    /// Takes a snapshot as of `index` and drops the entries up to `keep_after`.
+    /// Stores a snapshot as of `index` and drops the entries up to `keep_after`.
     pub fn compact(
         &mut self,
         index: u64,
@@ -123,13 +123,13 @@
         }
     }
 
-    /// Replaces everything by a snapshot received from the leader.
+    /// Replaces the snapshot and all entries by this snapshot.
     pub fn reset(&mut self, index: u64, term: u64, voters: Vec<Member>, state: Vec<u8>) {
         self.entries.clear();
         self.compact(index, term, voters, state, index);
     }
 
-    /// Voters set by the last membership change at or before `index`.
+    /// Voters as of `index`: those that the last membership change up to there set.
     pub fn voters_at(&self, index: u64) -> &[Member] {
         self.entries
             .iter()
@@ -138,8 +138,8 @@
             .map_or(&self.snapshot_voters, |entry| &entry.voters)
     }
 
-    /// Index of the last membership change.
-    pub fn last_change(&self) -> u64 {
+    /// Index of the last membership change, or of the snapshot if no entry in memory is one.
+    pub fn last_membership_change(&self) -> u64 {
         self.entries
             .iter()
             .rev()
--- a/crates/bh-consensus/src/membership.rs
+++ b/crates/bh-consensus/src/membership.rs
@@ -1,4 +1,4 @@
-//! Moves a group towards its wanted voters, one change at a time.
+//! Changes a group's voters to those that its policy asks for, one at a time.
 
 use crate::config::VoterPolicy;
 use crate::progress::Progress;
@@ -11,75 +11,78 @@
 use std::sync::Arc;
 
 impl Replica {
-    /// Moves the voters one step towards the wanted set.
+    /// Adds or removes at most one voter, as the voter policy asks.
     ///
-    /// A VM that came back without its data has a new identity under its old name. Its old identity is removed
-    /// first and the new one added once it has caught up: it must not count as the voter it was, since it has
-    /// forgotten what that one acknowledged. One change at a time keeps any two majorities overlapping.
+    /// A VM that came back without its data has a new identity under its old name. Once the new identity has caught up, the leader removes
+    /// the old one and then adds the new one: the VM must not count as the old voter, since it has lost the entries that the old voter
+    /// acknowledged. Adding or removing one voter at a time makes the majorities before and after a change overlap.
     pub(crate) fn change_membership(&mut self, now_ms: u64) {
         let Role::Leader(leadership) = &self.role else {
             return;
         };
-        let ready = self.commit >= leadership.first_index && self.log.last_change() <= self.commit;
-        if !ready {
+        let may_change = self.commit >= leadership.term_start_index
+            && self.log.last_membership_change() <= self.commit;
+        if !may_change {
             return;
         }
         if let Some(next) = self.next_voters(now_ms, leadership) {
             for (id, name) in next.iter() {
-                let start = self.log.last_index() + 1;
+                let next_index = self.log.last_index() + 1;
                 if let Role::Leader(leadership) = &mut self.role
                     && id != self.config.id
                 {
                     leadership
                         .progress
                         .entry(id)
-                        .or_insert_with(|| Progress::new(name.clone(), true, start, now_ms));
+                        .or_insert_with(|| Progress::new(name.clone(), true, next_index, now_ms));
                 }
             }
-            self.append_own(Vec::new(), next.to_members());
+            self.append_as_leader(Vec::new(), next.to_members());
             self.replicate_all(now_ms);
-            self.count_matches();
+            self.update_commit_index();
         }
     }
 
     fn next_voters(&self, now_ms: u64, leadership: &Leadership) -> Option<Voters> {
-        let recent_ms = now_ms.saturating_sub(self.config.election_timeout_ms * 2);
-        let caught_up =
-            |p: &Progress| p.durable && p.heard_ms >= recent_ms && p.matched >= self.commit;
-        let mut newcomers = leadership.progress.iter().filter(|(id, p)| {
-            !self.voters.contains(**id) && self.config.voter_policy.admits(&p.name) && caught_up(p)
+        let recent_since_ms = now_ms.saturating_sub(self.config.election_timeout_ms * 2);
+        let caught_up = |p: &Progress| {
+            p.durable && p.last_contact_ms >= recent_since_ms && p.matched >= self.commit
+        };
+        let mut caught_up_observers = leadership.progress.iter().filter(|(id, p)| {
+            !self.voters.contains(**id) && self.config.voter_policy.allows(&p.name) && caught_up(p)
         });
         match &self.config.voter_policy {
-            VoterPolicy::Names(names) => self.towards_names(names, newcomers.next()),
+            VoterPolicy::Names(names) => self.step_to_names(names, caught_up_observers.next()),
             VoterPolicy::Count {
                 count,
                 replace_after_ms,
             } => {
-                let silent_ms = now_ms.saturating_sub(*replace_after_ms);
-                let silent = |id: u64| {
+                let silent_since_ms = now_ms.saturating_sub(*replace_after_ms);
+                let is_silent = |id: u64| {
                     leadership
                         .progress
                         .get(&id)
-                        .is_some_and(|p| p.heard_ms < silent_ms)
+                        .is_some_and(|p| p.last_contact_ms < silent_since_ms)
                 };
-                let newcomers: Vec<(u64, &Progress)> = newcomers.map(|(id, p)| (*id, p)).collect();
-                self.towards_count(*count, &newcomers, silent)
+                let promotable: Vec<(u64, &Progress)> =
+                    caught_up_observers.map(|(id, p)| (*id, p)).collect();
+                self.step_to_count(*count, &promotable, is_silent)
             }
         }
     }
 
-    fn towards_names(
+    fn step_to_names(
         &self,
         names: &BTreeSet<Arc<str>>,
-        newcomer: Option<(&u64, &Progress)>,
+        observer: Option<(&u64, &Progress)>,
     ) -> Option<Voters> {
-        if let Some((id, p)) = newcomer {
-            return Some(match self.voter_named(&p.name) {
-                Some(old) => self.without(old),
-                None => self.with(*id, &p.name),
+        if let Some((id, p)) = observer {
+            return Some(match self.voter_id_of(&p.name) {
+                Some(old) => self.voters_without(old),
+                None => self.voters_with(*id, &p.name),
             });
         }
-        // A voter that is no longer wanted leaves once the wanted ones are all there; the leader itself last.
+        // A voter that the policy doesn't name is removed once all that it names are voters. A leader never removes itself.
         let present = self
             .voters
             .iter()
@@ -94,43 +97,43 @@
             .find(|(id, name)| *id != self.config.id && !names.contains(*name));
         unwanted
             .filter(|_| self.voters.len() > 1)
-            .map(|(id, _)| self.without(id))
+            .map(|(id, _)| self.voters_without(id))
     }
 
-    /// The identity a VM had before its disk was emptied leaves at once. Any other voter leaves only when it has been silent and
-    /// a replica that has caught up can take its place: a group with one voter fewer stands one loss nearer to its end.
-    fn towards_count(
+    /// Removes the identity that a VM had before it lost its disk as soon as its new identity has caught up. Removes any other voter only if
+    /// it has been silent and an observer that has caught up can take its place, since a group with one voter fewer tolerates fewer failures.
+    fn step_to_count(
         &self,
         count: usize,
-        newcomers: &[(u64, &Progress)],
-        silent: impl Fn(u64) -> bool,
+        promotable: &[(u64, &Progress)],
+        is_silent: impl Fn(u64) -> bool,
     ) -> Option<Voters> {
-        let emptied = newcomers
+        let former_identity = promotable
             .iter()
-            .find_map(|(_, p)| self.voter_named(&p.name));
-        if let Some(old) = emptied {
-            return Some(self.without(old));
+            .find_map(|(_, p)| self.voter_id_of(&p.name));
+        if let Some(old) = former_identity {
+            return Some(self.voters_without(old));
         }
-        let (id, p) = newcomers.first()?;
+        let (id, p) = promotable.first()?;
         if self.voters.len() < count {
-            return Some(self.with(*id, &p.name));
+            return Some(self.voters_with(*id, &p.name));
         }
-        let gone = self
+        let silent_voter = self
             .voters
             .iter()
             .map(|(id, _)| id)
-            .find(|id| *id != self.config.id && silent(*id));
-        gone.map(|id| self.without(id))
+            .find(|id| *id != self.config.id && is_silent(*id));
+        silent_voter.map(|id| self.voters_without(id))
     }
 
-    fn voter_named(&self, name: &str) -> Option<u64> {
+    fn voter_id_of(&self, name: &str) -> Option<u64> {
         self.voters
             .iter()
             .find(|(_, voter)| ***voter == *name)
             .map(|(id, _)| id)
     }
 
-    fn without(&self, id: u64) -> Voters {
+    fn voters_without(&self, id: u64) -> Voters {
         let members: Vec<Member> = self
             .voters
             .to_members()
@@ -140,7 +143,7 @@
         Voters::new(&members)
     }
 
-    fn with(&self, id: u64, name: &Arc<str>) -> Voters {
+    fn voters_with(&self, id: u64, name: &Arc<str>) -> Voters {
         let mut members = self.voters.to_members();
         members.push(Member {
             id,
--- a/crates/bh-consensus/src/replica.rs
+++ b/crates/bh-consensus/src/replica.rs
@@ -1,7 +1,7 @@
-//! One replica of a group: state, time and messages.
+//! One replica of a group: its state, timers and messages.
 
+use crate::config::ANNOUNCE_INTERVAL_HEARTBEATS;
 use crate::config::Config;
-use crate::config::OBSERVE_HEARTBEATS;
 use crate::event::Event;
 use crate::log::Log;
 use crate::output::Output;
@@ -13,16 +13,16 @@
 use bh_protocol::wire::RaftKind;
 use bh_protocol::wire::RaftMessage;
 
-/// What a replica found in its data folder.
+/// State of a replica as its data folder holds it when the replica starts.
 #[derive(Clone, Debug, Default)]
-pub struct Restored {
+pub struct PersistedState {
     /// Current term.
     pub term: u64,
     /// Replica voted for in that term; 0 for none.
     pub voted_for: u64,
     /// Last snapshot: index, term, voters and state machine.
     pub snapshot: Option<(u64, u64, Vec<Member>, Vec<u8>)>,
-    /// Entries after it.
+    /// Entries after the snapshot.
     pub entries: Vec<LogEntry>,
 }
 
@@ -39,31 +39,31 @@
     pub(crate) leader: Option<u64>,
     pub(crate) last_leader_contact_ms: Option<u64>,
     pub(crate) caught_up: bool,
-    pub(crate) election_at_ms: u64,
+    pub(crate) election_deadline_ms: u64,
     pub(crate) outputs: Vec<Output>,
-    random: u64,
-    next_observe_ms: u64,
+    rng_state: u64,
+    next_announce_ms: u64,
 }
 
 impl Replica {
-    /// A replica that continues from what its data folder held, at time `now_ms`.
-    pub fn new(config: Config, restored: Restored, now_ms: u64) -> Self {
+    /// A replica that continues from its persisted state, at time `now_ms`.
+    pub fn new(config: Config, persisted: PersistedState, now_ms: u64) -> Self {
         let mut log = Log::default();
-        if let Some((index, term, voters, state)) = restored.snapshot {
+        if let Some((index, term, voters, state)) = persisted.snapshot {
             log.reset(index, term, voters, state);
         }
-        for entry in restored.entries {
+        for entry in persisted.entries {
             if entry.index == log.last_index() + 1 {
                 log.append(entry);
             }
         }
         let commit = log.snapshot_index;
         let voters = Voters::new(log.voters_at(u64::MAX));
-        let random = config.seed ^ config.id.rotate_left(17) | 1;
+        let rng_state = config.seed ^ config.id.rotate_left(17) | 1;
         let mut replica = Self {
             config,
-            term: restored.term,
-            voted_for: restored.voted_for,
+            term: persisted.term,
+            voted_for: persisted.voted_for,
             log,
             voters,
             commit,
@@ -71,16 +71,16 @@
             leader: None,
             last_leader_contact_ms: None,
             caught_up: false,
-            election_at_ms: 0,
+            election_deadline_ms: 0,
             outputs: Vec::new(),
-            random,
-            next_observe_ms: now_ms,
+            rng_state,
+            next_announce_ms: now_ms,
         };
         replica.restart_pre_vote_timer(now_ms);
         replica
     }
 
-    /// Forms the group with its first voters. Every first voter calls this with the same members before any step.
+    /// Forms the group with its first voters. Every first voter calls this once, with the same members, before any step.
     pub fn form(&mut self, members: Vec<Member>) -> Vec<Output> {
         debug_assert_eq!(self.log.last_index(), 0, "a group is formed once");
         self.term = self.term.max(1);
@@ -96,13 +96,16 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Reacts to `event` at `now_ms`, a monotonic time in milliseconds.
+    /// Handles `event` at `now_ms`, a monotonic time in milliseconds.
     pub fn step(&mut self, now_ms: u64, event: Event) -> Vec<Output> {
         match event {
             Event::Tick => self.tick(now_ms),
             Event::Receive(message) => self.receive(now_ms, message),
-            Event::Propose { ticket, command } => self.propose(ticket, command),
-            Event::Read { ticket } => self.read(ticket),
+            Event::Propose {
+                request_id,
+                command,
+            } => self.propose(request_id, command),
+            Event::Read { request_id } => self.read(request_id),
             Event::Flush => self.flush(now_ms),
             Event::Compact { index, state } => self.compact(index, state),
         }
@@ -129,13 +132,13 @@
         self.log.last_index()
     }
 
-    /// Last index the snapshot covers.
+    /// Last index that the snapshot covers.
     pub fn snapshot_index(&self) -> u64 {
         self.log.snapshot_index
     }
 
-    /// Whether this replica has held, at some time since it started, all that was committed by then. Its log does not say how
-    /// much of it is committed; a leader that has committed an entry of its own term does.
+    /// Whether this replica has at some time since it started known everything that was committed by then. The log alone doesn't show
+    /// which of its entries are committed: the replica learns that from a leader that has committed an entry of its own term.
     pub fn has_caught_up(&self) -> bool {
         self.caught_up
     }
@@ -155,38 +158,39 @@
         self.voters.contains(self.config.id)
     }
 
-    /// The leader this replica follows: identity, and VM name when it votes.
+    /// Identity of the leader that this replica follows, if it knows one.
     pub fn leader(&self) -> Option<u64> {
         self.leader
     }
 
-    /// The voters: identity and VM name.
+    /// Identities and VM names of the voters.
     pub fn members(&self) -> Vec<Member> {
         self.voters.to_members()
     }
 
-    /// Milliseconds since this replica last heard from a leader, or since it led itself; `None` before that.
+    /// Milliseconds since this replica last heard from a leader: 0 while it leads, `None` if it has heard from none since it started.
     pub fn leader_contact_age_ms(&self, now_ms: u64) -> Option<u64> {
         if self.is_leader() {
             return Some(0);
         }
         self.last_leader_contact_ms
-            .map(|heard| now_ms.saturating_sub(heard))
+            .map(|contact_ms| now_ms.saturating_sub(contact_ms))
     }
 
-    /// Time until which a majority of the voters, this one among them, surely knew of no later leader; `None` when it does not lead. Answers
-    /// count from when the message was sent that they answer: after a pause of this VM they are read long after they were given, and another leader
-    /// may have been elected in between.
+    /// Latest time at which a majority of the voters, this one included, certainly knew of no later leader; `None` if this replica doesn't lead.
+    ///
+    /// An answer counts from the time at which the message that it answers was sent. After a pause of this VM the replica may read an answer
+    /// long after it was given, and another leader may have been elected in between.
     pub fn quorum_confirmed_ms(&self, now_ms: u64) -> Option<u64> {
         let Role::Leader(leadership) = &self.role else {
             return None;
         };
-        let supported = |id: u64| leadership.progress.get(&id).map_or(0, |p| p.supported_ms);
-        Some(self.voters.reached_by_majority(|id| {
+        let supported_ms = |id: u64| leadership.progress.get(&id).map_or(0, |p| p.supported_ms);
+        Some(self.voters.quorum_value(|id| {
             if id == self.config.id {
                 now_ms
             } else {
-                supported(id)
+                supported_ms(id)
             }
         }))
     }
@@ -196,23 +200,23 @@
             self.tick_leader(now_ms);
             return;
         }
-        if self.is_voter() && now_ms >= self.election_at_ms {
+        if self.is_voter() && now_ms >= self.election_deadline_ms {
             self.start_pre_vote(now_ms);
         }
-        if now_ms >= self.next_observe_ms && !self.is_voter_with_leader() {
-            self.observe(now_ms);
+        if now_ms >= self.next_announce_ms && !self.is_voter_with_leader() {
+            self.announce(now_ms);
         }
     }
 
-    /// Whether this replica votes and follows a leader, which then knows of it. A voter without a leader may have been removed by an entry
-    /// that it never received: it still takes itself for a voter, and no leader sends it anything until it announces itself.
+    /// Whether this replica is a voter with a leader, so that the leader knows of it. A voter without a leader may have been removed by an
+    /// entry that it never received: it still believes that it is a voter, and no leader sends it anything until it announces itself.
     fn is_voter_with_leader(&self) -> bool {
         self.is_voter() && self.leader.is_some()
     }
 
-    /// Tells every VM that this replica wants the log; only a leader reacts.
-    fn observe(&mut self, now_ms: u64) {
-        self.next_observe_ms = now_ms + self.config.heartbeat_ms * OBSERVE_HEARTBEATS;
+    /// Announces this replica to every VM, so that the leader sends it the log. Only a leader reacts.
+    fn announce(&mut self, now_ms: u64) {
+        self.next_announce_ms = now_ms + self.config.heartbeat_ms * ANNOUNCE_INTERVAL_HEARTBEATS;
         let body = RaftBody {
             index: self.log.last_index(),
             name: self.config.name.to_string(),
@@ -224,7 +228,8 @@
     }
 
     fn receive(&mut self, now_ms: u64, message: RaftMessage) {
-        // A message for an earlier incarnation of this VM: that replica's promises are not ours to keep.
+        // A message to a former identity of this VM. This replica has none of that replica's votes and acknowledgements, so it must not
+        // answer in its place.
         if message.to != 0 && message.to != self.config.id {
             return;
         }
@@ -238,7 +243,7 @@
             self.receive_observe(now_ms, message.from, &body);
             return;
         }
-        if !self.settle_term(now_ms, message.from, kind, &body) {
+        if !self.check_term(now_ms, message.from, kind, &body) {
             return;
         }
         match kind {
@@ -253,15 +258,15 @@
         }
     }
 
-    /// Compares terms; returns whether the message still counts.
-    fn settle_term(&mut self, now_ms: u64, from: u64, kind: RaftKind, body: &RaftBody) -> bool {
+    /// Compares the message's term with the current one, and follows a higher term. Returns whether the message is to be handled.
+    fn check_term(&mut self, now_ms: u64, from: u64, kind: RaftKind, body: &RaftBody) -> bool {
         if body.term > self.term {
-            // A pre-vote carries the term its sender would have; it must not raise anyone's.
+            // A pre-vote carries the term that its sender would have after an election, so it raises nobody's term.
             let hypothetical =
                 kind == RaftKind::PreVote || (kind == RaftKind::PreVoteReply && body.granted);
-            // A voter that hears from a live leader ignores elections, so that a VM which comes back from a
-            // partition with a higher term cannot depose it.
-            if kind == RaftKind::Vote && self.hears_leader(now_ms) {
+            // A voter that hears from a live leader ignores elections, so that a VM that returns from a partition with a higher term can't
+            // depose the leader.
+            if kind == RaftKind::Vote && self.has_live_leader(now_ms) {
                 return false;
             }
             if !hypothetical {
@@ -289,23 +294,23 @@
         true
     }
 
-    /// Whether a leader was heard within the least election time.
-    pub(crate) fn hears_leader(&self, now_ms: u64) -> bool {
+    /// Whether this replica leads or heard from its leader within the shortest election timeout.
+    pub(crate) fn has_live_leader(&self, now_ms: u64) -> bool {
         if self.is_leader() {
             return true;
         }
         self.leader.is_some()
             && self
                 .last_leader_contact_ms
-                .is_some_and(|heard| now_ms < heard + self.config.election_timeout_ms)
+                .is_some_and(|contact_ms| now_ms < contact_ms + self.config.election_timeout_ms)
     }
 
     pub(crate) fn become_follower(&mut self, now_ms: u64, term: u64, leader: Option<u64>) {
         let changed = self.leader != leader || !matches!(self.role, Role::Follower);
         if let Role::Leader(leadership) = &mut self.role {
-            for read in std::mem::take(&mut leadership.reads) {
+            for read in std::mem::take(&mut leadership.pending_reads) {
                 self.outputs.push(Output::Refused {
-                    ticket: read.ticket,
+                    request_id: read.request_id,
                 });
             }
         }
@@ -322,7 +327,7 @@
         }
     }
 
-    /// Appends one entry. A membership change counts from the moment it is in the log, not from its commit.
+    /// Appends one entry. A membership change takes effect when it is appended, not when it is committed.
     pub(crate) fn append_entry(&mut self, entry: LogEntry) {
         if !entry.voters.is_empty() {
             self.voters = Voters::new(&entry.voters);
@@ -360,32 +365,34 @@
     }
 
     pub(crate) fn restart_election_timer(&mut self, now_ms: u64) {
-        self.call_election_after(now_ms, self.config.election_timeout_ms);
+        self.set_election_deadline(now_ms, self.config.election_timeout_ms);
     }
 
-    /// The same before the others are asked whether an election would succeed.
+    /// Restarts the election timer before a pre-vote, with a shorter timeout if this replica has heard from no leader since it started.
     ///
-    /// A replica that has heard no leader since it started need not wait for a silence: a leader shows itself within a heartbeat or two, and those
-    /// who hear one refuse. After a loss of all replicas nobody hears one, and the longer wait is most of the time until the group serves again.
+    /// Such a replica need not wait for a full election timeout: a live leader contacts it within a heartbeat or two, and replicas that hear
+    /// from a leader refuse the pre-vote. After a loss of all replicas there is no leader, and the full election timeout would be most of the
+    /// time until the group serves again.
     pub(crate) fn restart_pre_vote_timer(&mut self, now_ms: u64) {
-        let least_ms = if self.last_leader_contact_ms.is_none() {
+        let min_wait_ms = if self.last_leader_contact_ms.is_none() {
             self.config.first_election_timeout_ms
         } else {
             self.config.election_timeout_ms
         };
-        self.call_election_after(now_ms, least_ms);
+        self.set_election_deadline(now_ms, min_wait_ms);
     }
 
-    fn call_election_after(&mut self, now_ms: u64, least_ms: u64) {
-        let spread_ms = self.next_random() % least_ms.max(1);
-        self.election_at_ms = now_ms + least_ms + self.config.election_delay_ms + spread_ms;
+    fn set_election_deadline(&mut self, now_ms: u64, min_wait_ms: u64) {
+        let jitter_ms = self.next_random() % min_wait_ms.max(1);
+        self.election_deadline_ms =
+            now_ms + min_wait_ms + self.config.election_delay_ms + jitter_ms;
     }
 
-    /// Xorshift: spreads the elections of replicas; nothing depends on its quality.
+    /// Xorshift generator for the random part of the election timeouts; nothing depends on its quality.
     fn next_random(&mut self) -> u64 {
-        self.random ^= self.random << 13;
-        self.random ^= self.random >> 7;
-        self.random ^= self.random << 17;
-        self.random
+        self.rng_state ^= self.rng_state << 13;
+        self.rng_state ^= self.rng_state >> 7;
+        self.rng_state ^= self.rng_state << 17;
+        self.rng_state
     }
 }
--- a/crates/bh-consensus/src/role.rs
+++ b/crates/bh-consensus/src/role.rs
@@ -1,60 +1,63 @@
-//! The part a replica plays in its group.
+//! The role of a replica in its group.
 
 use crate::progress::Progress;
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-/// Part of a replica in the current term.
+/// Role of a replica in the current term.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Follows the leader it last heard of, or waits for one.
+    /// Follows the current leader, or waits for one.
     Follower,
-    /// Asks whether an election would succeed, without disturbing the term.
+    /// Asks whether an election would succeed, without raising the term.
     PreCandidate {
         /// Replicas that would grant their vote.
         granted: BTreeSet<u64>,
     },
-    /// Asks for votes.
+    /// Asks for votes in the current term.
     Candidate {
         /// Replicas that granted their vote.
         granted: BTreeSet<u64>,
     },
-    /// Appends to the log and replicates it.
+    /// Appends entries to the log and replicates them.
     Leader(Leadership),
 }
 
-/// A leader's own state.
+/// State that only a leader has.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Leadership {
     pub(crate) progress: BTreeMap<u64, Progress>,
+    /// Number of the last round of messages. The messages of a round carry its number, and so do their answers.
     pub(crate) round: u64,
-    /// When the rounds of late were begun, by round, in milliseconds.
-    pub(crate) begun_ms: BTreeMap<u64, u64>,
+    /// Start times of recent rounds by round number, in milliseconds.
+    pub(crate) round_started_ms: BTreeMap<u64, u64>,
     pub(crate) next_heartbeat_ms: u64,
     pub(crate) elected_ms: u64,
-    pub(crate) first_index: u64,
-    pub(crate) reads: Vec<PendingRead>,
-    /// Whether proposals or reads have come in since entries were last sent.
+    /// Index of the first entry of the leader's own term.
+    pub(crate) term_start_index: u64,
+    /// Reads that wait for a majority to confirm the leader.
+    pub(crate) pending_reads: Vec<PendingRead>,
+    /// Whether proposals, reads or commits since the last round are still to be sent to the others.
     pub(crate) unsent: bool,
 }
 
 impl Leadership {
-    /// Begins the next round at `now_ms`, and forgets when those were begun that are more than `kept_ms` ago.
-    pub(crate) fn begin_round(&mut self, now_ms: u64, kept_ms: u64) {
+    /// Starts the next round at `now_ms`, and forgets the start times that are older than `retention_ms`.
+    pub(crate) fn advance_round(&mut self, now_ms: u64, retention_ms: u64) {
         self.round += 1;
-        self.begun_ms.insert(self.round, now_ms);
-        while let Some(oldest) = self.begun_ms.first_entry()
-            && *oldest.get() + kept_ms < now_ms
+        self.round_started_ms.insert(self.round, now_ms);
+        while let Some(oldest) = self.round_started_ms.first_entry()
+            && *oldest.get() + retention_ms < now_ms
         {
             oldest.remove();
         }
     }
 }
 
-/// A read that waits for a majority to confirm the leader.
+/// A read at log index `index` that is confirmed once a majority has answered `round`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PendingRead {
-    pub ticket: u64,
+    pub request_id: u64,
     pub index: u64,
     pub round: u64,
 }
--- a/crates/bh-consensus/src/voters.rs
+++ b/crates/bh-consensus/src/voters.rs
@@ -1,4 +1,4 @@
-//! The voters of a group and what makes a majority of them.
+//! The voters of a group and their majorities.
 
 use bh_protocol::wire::Member;
 use std::collections::BTreeMap;
@@ -32,14 +32,14 @@
         self.members.len()
     }
 
-    /// Whether the voters for which `counts` holds are a majority.
-    pub fn majority(&self, counts: impl Fn(u64) -> bool) -> bool {
+    /// Whether the voters for which `counts` is true are a majority.
+    pub fn is_majority(&self, counts: impl Fn(u64) -> bool) -> bool {
         let agreeing = self.members.keys().filter(|id| counts(**id)).count();
         agreeing * 2 > self.members.len()
     }
 
-    /// The highest value that a majority has reached.
-    pub fn reached_by_majority(&self, value: impl Fn(u64) -> u64) -> u64 {
+    /// Highest value that is reached by a majority of the voters, given each voter's `value`.
+    pub fn quorum_value(&self, value: impl Fn(u64) -> u64) -> u64 {
         let mut values: Vec<u64> = self.members.keys().map(|id| value(*id)).collect();
         values.sort_unstable();
         match values.len() {
--- a/crates/bh-consensus/tests/support/mod.rs
+++ b/crates/bh-consensus/tests/support/mod.rs
@@ -7,8 +7,8 @@
 use bh_consensus::Config;
 use bh_consensus::Event;
 use bh_consensus::Output;
+use bh_consensus::PersistedState;
 use bh_consensus::Replica;
-use bh_consensus::Restored;
 use bh_consensus::VoterPolicy;
 use bh_protocol::wire::LogEntry;
 use bh_protocol::wire::Member;
@@ -64,7 +64,7 @@
     cut: BTreeSet<usize>,
     /// VMs that are suspended: they do nothing, and what is sent to them waits.
     frozen: BTreeSet<usize>,
-    /// Reads in progress: by ticket the highest index that anybody had applied when the read was asked for.
+    /// Reads in progress: by request_id the highest index that anybody had applied when the read was asked for.
     reads: BTreeMap<u64, u64>,
     /// Reads that were answered.
     pub reads_answered: usize,
@@ -198,7 +198,7 @@
             .map(|(_, _, _, state)| decode(state))
             .unwrap_or_default();
         vm.applied_index = disk.snapshot.as_ref().map_or(0, |(index, ..)| *index);
-        let restored = Restored {
+        let restored = PersistedState {
             term: disk.term,
             voted_for: disk.voted_for,
             snapshot: disk.snapshot,
@@ -261,24 +261,24 @@
     /// Asks a VM for a read. Its answer must hold all that anybody had applied by now. A frozen VM takes it up later: that is for whoever
     /// calls this to do then.
     pub fn read(&mut self, index: usize) {
-        let ticket = self.next_command;
+        let request_id = self.next_command;
         self.next_command += 1;
         let applied = self.chosen.keys().next_back().copied().unwrap_or(0);
-        self.reads.insert(ticket, applied);
+        self.reads.insert(request_id, applied);
         if self.planted.reads_at_once {
             let replica = self.vms[index].replica.as_ref();
             if let Some(replica) = replica.filter(|replica| replica.is_leader()) {
                 let commit = replica.commit();
-                self.note_read(ticket, commit);
+                self.note_read(request_id, commit);
             }
             return;
         }
-        self.step(index, Event::Read { ticket });
+        self.step(index, Event::Read { request_id });
         self.step(index, Event::Flush);
     }
 
-    fn note_read(&mut self, ticket: u64, index: u64) {
-        let Some(applied) = self.reads.remove(&ticket) else {
+    fn note_read(&mut self, request_id: u64, index: u64) {
+        let Some(applied) = self.reads.remove(&request_id) else {
             return;
         };
         self.reads_answered += 1;
@@ -343,7 +343,7 @@
         self.step(
             index,
             Event::Propose {
-                ticket: number,
+                request_id: number,
                 command: number.to_le_bytes().to_vec(),
             },
         );
@@ -522,13 +522,13 @@
                     .retain(|(vm, waiting), _| *vm != index || *waiting > at);
             }
             Output::Appended {
-                ticket,
+                request_id,
                 index: at,
                 term,
             } => {
-                self.waiting.insert((index, at), (term, ticket));
+                self.waiting.insert((index, at), (term, request_id));
             }
-            Output::ReadAt { ticket, index } => self.note_read(ticket, index),
+            Output::ReadIndex { request_id, index } => self.note_read(request_id, index),
             _ => {}
         }
     }
@@ -562,10 +562,10 @@
         if command != 0 {
             vm.applied.push(command);
         }
-        if let Some((term, ticket)) = self.waiting.remove(&(index, entry.index))
+        if let Some((term, request_id)) = self.waiting.remove(&(index, entry.index))
             && term == entry.term
         {
-            self.acknowledged.insert(ticket);
+            self.acknowledged.insert(request_id);
         }
     }
 
--- a/crates/bh-group/src/driver.rs
+++ b/crates/bh-group/src/driver.rs
@@ -8,8 +8,8 @@
 use bh_consensus::Config;
 use bh_consensus::Event;
 use bh_consensus::Output;
+use bh_consensus::PersistedState;
 use bh_consensus::Replica;
-use bh_consensus::Restored;
 use bh_net::Clock;
 use bh_net::runtime::within_ms;
 use bh_protocol::Code;
@@ -181,22 +181,27 @@
         match input {
             Input::Message(message) => self.replica.step(now_ms, Event::Receive(message)),
             Input::Propose { command, reply } => {
-                let ticket = self.ticket();
-                self.proposals.insert(ticket, reply);
-                self.replica
-                    .step(now_ms, Event::Propose { ticket, command })
+                let request_id = self.request_id();
+                self.proposals.insert(request_id, reply);
+                self.replica.step(
+                    now_ms,
+                    Event::Propose {
+                        request_id,
+                        command,
+                    },
+                )
             }
             Input::Read { reply } => {
-                let ticket = self.ticket();
-                self.reads.insert(ticket, reply);
-                self.replica.step(now_ms, Event::Read { ticket })
+                let request_id = self.request_id();
+                self.reads.insert(request_id, reply);
+                self.replica.step(now_ms, Event::Read { request_id })
             }
             Input::Form(members) if self.replica.last_index() == 0 => self.replica.form(members),
             Input::Form(_) => Vec::new(),
         }
     }
 
-    fn ticket(&mut self) -> u64 {
+    fn request_id(&mut self) -> u64 {
         self.next_ticket += 1;
         self.next_ticket
     }
@@ -237,17 +242,17 @@
                 return Ok(true);
             }
             Output::Appended {
-                ticket,
+                request_id,
                 index,
                 term,
             } => {
-                if let Some(reply) = self.proposals.remove(&ticket) {
+                if let Some(reply) = self.proposals.remove(&request_id) {
                     self.waiting.insert(index, Waiting { term, reply });
                 }
             }
-            Output::Refused { ticket } => self.refuse(ticket),
-            Output::ReadAt { ticket, index } => {
-                if let Some(reply) = self.reads.remove(&ticket) {
+            Output::Refused { request_id } => self.refuse(request_id),
+            Output::ReadIndex { request_id, index } => {
+                if let Some(reply) = self.reads.remove(&request_id) {
                     self.ready_reads.push((index, reply));
                 }
             }
@@ -257,12 +262,12 @@
         Ok(false)
     }
 
-    fn refuse(&mut self, ticket: u64) {
+    fn refuse(&mut self, request_id: u64) {
         let failure = || Failure::new(Code::NoQuorum, "this entry does not lead the group");
-        if let Some(reply) = self.proposals.remove(&ticket) {
+        if let Some(reply) = self.proposals.remove(&request_id) {
             let _ = reply.send(Err(failure()));
         }
-        if let Some(reply) = self.reads.remove(&ticket) {
+        if let Some(reply) = self.reads.remove(&request_id) {
             let _ = reply.send(Err(failure()));
         }
     }
@@ -345,8 +350,8 @@
     }
 }
 
-fn restored(recovered: Recovered) -> Restored {
-    Restored {
+fn restored(recovered: Recovered) -> PersistedState {
+    PersistedState {
         term: recovered.vote.term,
         voted_for: recovered.vote.voted_for,
         snapshot: recovered.snapshot.map(|snapshot| {
