--- a/crates/bh-group/src/driver.rs
+++ b/crates/bh-group/src/driver.rs
@@ -1,4 +1,4 @@
-//! Runs one replica: takes inputs in batches, syncs once for each batch, then releases what the batch produced.
+//! Runs one replica: handles inputs in batches, syncs once for each batch, then executes the outputs of the batch.
 
 use crate::handle::Group;
 use crate::handle::GroupStatus;
@@ -17,7 +17,7 @@
 use bh_protocol::wire::LogEntry;
 use bh_protocol::wire::RaftMessage;
 use bh_storage::Journal;
-use bh_storage::Recovered;
+use bh_storage::RecoveredState;
 use local_sync::mpsc::unbounded;
 use local_sync::oneshot;
 use std::cell::RefCell;
@@ -25,30 +25,32 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Inputs taken into one batch at most.
+/// Limit of inputs in one batch.
 const MAX_BATCH: usize = 1_024;
-/// A write to the journal that takes this long is logged, in milliseconds: until it ends this replica neither records nor answers anything.
+/// A write to the journal that takes at least this long is logged, in milliseconds. Until it ends, this replica neither records nor answers
+/// anything.
 const SLOW_WRITE_MS: u64 = 200;
 
 type ProposalReply = oneshot::Sender<Result<Vec<u8>, Failure>>;
 type ReadReply = oneshot::Sender<Result<(), Failure>>;
 
-/// Takes a command that was applied and the state machine's answer.
+/// Callback that gets an applied command and the state machine's answer.
 type OnApplied = dyn Fn(&[u8], &[u8]);
 
-/// A proposal in the log that waits to be applied.
-struct Waiting {
+/// A proposal of this replica that is in the log and not applied yet.
+struct AppendedProposal {
+    /// Term in which the proposal was appended.
     term: u64,
     reply: ProposalReply,
 }
 
-/// What the driver tells the rest of the process.
+/// Callbacks through which the driver reaches the rest of the process.
 pub struct Hooks {
-    /// Sends a message to the replica named in it, or to all when it names none.
+    /// Sends a message to the replica that it names, or to all replicas if it names none.
     pub send: Box<dyn Fn(RaftMessage)>,
-    /// A command was applied; gets the command and the state machine's answer.
+    /// Called after a command was applied, with the command and the state machine's answer.
     pub applied: Box<OnApplied>,
-    /// The role, the leader or the whole state changed.
+    /// Called after the role or the leader changed, or a snapshot replaced the state.
     pub changed: Box<dyn Fn()>,
 }
 
@@ -66,29 +68,33 @@
     status: Rc<RefCell<GroupStatus>>,
     hooks: Hooks,
     applied: u64,
-    next_ticket: u64,
+    next_request_id: u64,
+    /// Proposals that are not appended yet, by request id.
     proposals: BTreeMap<u64, ProposalReply>,
-    waiting: BTreeMap<u64, Waiting>,
+    /// By log index.
+    appended: BTreeMap<u64, AppendedProposal>,
+    /// Reads that are not confirmed yet, by request id.
     reads: BTreeMap<u64, ReadReply>,
-    ready_reads: Vec<(u64, ReadReply)>,
+    /// Confirmed reads, each with the log index that must be applied before it is answered.
+    confirmed_reads: Vec<(u64, ReadReply)>,
 }
 
 impl<S> Driver<S> {
-    /// A driver for the replica `config`, with what its journal held, and the handle to it.
+    /// A driver for the replica that `config` describes, with its journal and what that held, and the handle to the driver.
     ///
     /// # Errors
     ///
-    /// [`Code::Internal`] when the snapshot cannot be read.
+    /// [`Code::Internal`] if the snapshot cannot be read.
     pub fn new(
         config: Config,
         machine: Machine<S>,
-        storage: Option<(Journal, Recovered)>,
+        storage: Option<(Journal, RecoveredState)>,
         clock: Clock,
         hooks: Hooks,
     ) -> Result<(Driver<S>, Group<S>), Failure> {
         let (journal, recovered) = match storage {
             Some((journal, recovered)) => (Some(journal), recovered),
-            None => (None, Recovered::default()),
+            None => (None, RecoveredState::default()),
         };
         let name = config.group.clone();
         let tick_ms = (config.heartbeat_ms / 2).max(1);
@@ -99,7 +105,7 @@
         if let Some(snapshot) = &recovered.snapshot {
             machine.restore(&snapshot.state)?;
         }
-        let replica = Replica::new(config, restored(recovered), clock.now_ms());
+        let replica = Replica::new(config, persisted_state(recovered), clock.now_ms());
         let (sender, inbox) = unbounded::channel();
         let status = Rc::new(RefCell::new(GroupStatus::default()));
         let group = Group {
@@ -121,29 +127,29 @@
             status,
             hooks,
             applied,
-            next_ticket: 0,
+            next_request_id: 0,
             proposals: BTreeMap::new(),
-            waiting: BTreeMap::new(),
+            appended: BTreeMap::new(),
             reads: BTreeMap::new(),
-            ready_reads: Vec::new(),
+            confirmed_reads: Vec::new(),
         };
-        driver.publish();
+        driver.publish_status();
         Ok((driver, group))
     }
 
-    /// Takes a snapshot after this many applied entries.
+    /// Sets the number of applied entries after which the driver takes a snapshot.
     pub fn with_snapshot_entries(mut self, snapshot_entries: u64) -> Self {
         self.snapshot_entries = snapshot_entries;
         self
     }
 
-    /// Whether one disk sync serves all inputs that wait.
+    /// Sets whether one disk sync serves all inputs that wait, or each input gets its own.
     pub fn with_group_sync(mut self, group_sync: bool) -> Self {
         self.group_sync = group_sync;
         self
     }
 
-    /// Runs until the handles are gone.
+    /// Runs until all handles are dropped.
     ///
     /// # Errors
     ///
@@ -156,14 +162,14 @@
             let mut outputs = match first {
                 None => Vec::new(),
                 Some(None) => return Ok(()),
-                Some(Some(input)) => self.take(input),
+                Some(Some(input)) => self.handle_input(input),
             };
-            let most = if self.group_sync { MAX_BATCH } else { 1 };
-            for _ in 1..most {
+            let max_batch = if self.group_sync { MAX_BATCH } else { 1 };
+            for _ in 1..max_batch {
                 let Ok(input) = self.inbox.try_recv() else {
                     break;
                 };
-                outputs.extend(self.take(input));
+                outputs.extend(self.handle_input(input));
             }
             let now_ms = self.clock.now_ms();
             outputs.extend(self.replica.step(now_ms, Event::Flush));
@@ -172,16 +178,16 @@
                 outputs.extend(self.replica.step(now_ms, Event::Tick));
             }
             self.release(outputs).await?;
-            self.maybe_snapshot().await?;
+            self.snapshot_if_due().await?;
         }
     }
 
-    fn take(&mut self, input: Input) -> Vec<Output> {
+    fn handle_input(&mut self, input: Input) -> Vec<Output> {
         let now_ms = self.clock.now_ms();
         match input {
             Input::Message(message) => self.replica.step(now_ms, Event::Receive(message)),
             Input::Propose { command, reply } => {
-                let request_id = self.request_id();
+                let request_id = self.new_request_id();
                 self.proposals.insert(request_id, reply);
                 self.replica.step(
                     now_ms,
@@ -192,7 +198,7 @@
                 )
             }
             Input::Read { reply } => {
-                let request_id = self.request_id();
+                let request_id = self.new_request_id();
                 self.reads.insert(request_id, reply);
                 self.replica.step(now_ms, Event::Read { request_id })
             }
@@ -201,33 +207,33 @@
         }
     }
 
-    fn request_id(&mut self) -> u64 {
-        self.next_ticket += 1;
-        self.next_ticket
+    fn new_request_id(&mut self) -> u64 {
+        self.next_request_id += 1;
+        self.next_request_id
     }
 
-    /// Syncs what must be kept, then releases the rest in order.
+    /// Writes and syncs the `Save*` outputs, then executes the other outputs in order.
     async fn release(&mut self, outputs: Vec<Output>) -> Result<(), Failure> {
         let start_ms = self.clock.now_ms();
-        let rest = persist(&mut self.journal, outputs).await?;
+        let others = persist(&mut self.journal, outputs).await?;
         let took_ms = self.clock.now_ms().saturating_sub(start_ms);
         if took_ms >= SLOW_WRITE_MS {
             log::warn!(group = &*self.name, took_ms = took_ms; "slow write to the journal");
         }
         let mut changed = false;
-        for output in rest {
-            changed |= self.carry_out(output)?;
+        for output in others {
+            changed |= self.execute(output)?;
         }
         self.answer_reads();
-        self.publish();
+        self.publish_status();
         if changed {
             (self.hooks.changed)();
         }
         Ok(())
     }
 
-    /// Carries one output out; returns whether the role or the whole state changed.
-    fn carry_out(&mut self, output: Output) -> Result<bool, Failure> {
+    /// Executes one output. Returns whether the role or the leader changed, or a snapshot replaced the state.
+    fn execute(&mut self, output: Output) -> Result<bool, Failure> {
         match output {
             Output::Send(message) | Output::Broadcast(message) => (self.hooks.send)(message),
             Output::Apply(entries) => {
@@ -238,7 +244,7 @@
             Output::Restore { index, state } => {
                 self.machine.restore(&state)?;
                 self.applied = index;
-                self.give_up_before(index);
+                self.fail_proposals_up_to(index);
                 return Ok(true);
             }
             Output::Appended {
@@ -247,13 +253,14 @@
                 term,
             } => {
                 if let Some(reply) = self.proposals.remove(&request_id) {
-                    self.waiting.insert(index, Waiting { term, reply });
+                    self.appended
+                        .insert(index, AppendedProposal { term, reply });
                 }
             }
-            Output::Refused { request_id } => self.refuse(request_id),
+            Output::Refused { request_id } => self.refuse_request(request_id),
             Output::ReadIndex { request_id, index } => {
                 if let Some(reply) = self.reads.remove(&request_id) {
-                    self.ready_reads.push((index, reply));
+                    self.confirmed_reads.push((index, reply));
                 }
             }
             Output::RoleChanged => return Ok(true),
@@ -262,8 +269,8 @@
         Ok(false)
     }
 
-    fn refuse(&mut self, request_id: u64) {
-        let failure = || Failure::new(Code::NoQuorum, "this entry does not lead the group");
+    fn refuse_request(&mut self, request_id: u64) {
+        let failure = || Failure::new(Code::NoQuorum, "this replica does not lead the group");
         if let Some(reply) = self.proposals.remove(&request_id) {
             let _ = reply.send(Err(failure()));
         }
@@ -274,7 +281,7 @@
 
     fn apply(&mut self, entry: LogEntry) {
         self.applied = entry.index;
-        let waiting = self.waiting.remove(&entry.index);
+        let proposal = self.appended.remove(&entry.index);
         let answer = if entry.command.is_empty() {
             Ok(Vec::new())
         } else {
@@ -283,42 +290,42 @@
         if let (Ok(bytes), false) = (&answer, entry.command.is_empty()) {
             (self.hooks.applied)(&entry.command, bytes);
         }
-        if let Some(waiting) = waiting {
-            // Another leader's entry stands where the proposal was: it was never committed and never will be.
-            let own = waiting.term == entry.term;
-            let result = if own {
+        if let Some(proposal) = proposal {
+            // An entry of another term at the proposal's index means that another leader replaced it: the proposal will never be committed.
+            let is_own_entry = proposal.term == entry.term;
+            let result = if is_own_entry {
                 answer
             } else {
                 Err(Failure::new(Code::NoQuorum, "another leader was elected"))
             };
-            let _ = waiting.reply.send(result);
+            let _ = proposal.reply.send(result);
         }
     }
 
-    /// A snapshot jumped over the places of these proposals: whether they were committed cannot be told any more.
-    fn give_up_before(&mut self, index: u64) {
-        let later = self.waiting.split_off(&(index + 1));
-        for (_, waiting) in std::mem::replace(&mut self.waiting, later) {
-            let _ = waiting.reply.send(Err(Failure::new(
+    /// Fails the proposals up to `index`: a snapshot replaced the log there, so this replica can't tell whether they were committed.
+    fn fail_proposals_up_to(&mut self, index: u64) {
+        let later = self.appended.split_off(&(index + 1));
+        for (_, proposal) in std::mem::replace(&mut self.appended, later) {
+            let _ = proposal.reply.send(Err(Failure::new(
                 Code::OutcomeUnknown,
-                "the group went on without this entry",
+                "a snapshot replaced the log before the outcome was known",
             )));
         }
     }
 
     fn answer_reads(&mut self) {
         let applied = self.applied;
-        let (ready, waiting) = std::mem::take(&mut self.ready_reads)
+        let (ready, waiting) = std::mem::take(&mut self.confirmed_reads)
             .into_iter()
             .partition(|(index, _)| *index <= applied);
-        self.ready_reads = waiting;
+        self.confirmed_reads = waiting;
         let ready: Vec<(u64, ReadReply)> = ready;
         for (_, reply) in ready {
             let _ = reply.send(Ok(()));
         }
     }
 
-    async fn maybe_snapshot(&mut self) -> Result<(), Failure> {
+    async fn snapshot_if_due(&mut self) -> Result<(), Failure> {
         if self.applied < self.replica.snapshot_index() + self.snapshot_entries {
             return Ok(());
         }
@@ -330,7 +337,7 @@
         self.release(outputs).await
     }
 
-    fn publish(&self) {
+    fn publish_status(&self) {
         let now_ms = self.clock.now_ms();
         let mut status = self.status.borrow_mut();
         status.is_leader = self.replica.is_leader();
@@ -346,11 +353,11 @@
         status.last_leader_contact_ms = self
             .replica
             .leader_contact_age_ms(now_ms)
-            .map(|since| now_ms.saturating_sub(since));
+            .map(|age_ms| now_ms.saturating_sub(age_ms));
     }
 }
 
-fn restored(recovered: Recovered) -> PersistedState {
+fn persisted_state(recovered: RecoveredState) -> PersistedState {
     PersistedState {
         term: recovered.vote.term,
         voted_for: recovered.vote.voted_for,
--- a/crates/bh-group/src/handle.rs
+++ b/crates/bh-group/src/handle.rs
@@ -1,4 +1,4 @@
-//! A group as the rest of the process sees it.
+//! The handle through which the rest of the process uses a group.
 
 use crate::input::Input;
 use crate::machine::Machine;
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// What is known of a group's replication.
+/// State of a group's replication, as this replica knows it.
 #[derive(Clone, Debug, Default)]
 pub struct GroupStatus {
     /// Whether this replica leads.
@@ -22,21 +22,21 @@
     pub is_voter: bool,
     /// Current term.
     pub term: u64,
-    /// Identity of the leader, if one is known.
+    /// Identity of the leader, if it is known.
     pub leader: Option<u64>,
-    /// Whether the state machine has held, at some time since the start, all that was committed by then.
+    /// Whether the state machine has at some time since the start held everything that was committed by then.
     pub caught_up: bool,
     /// Last index applied to the state machine.
     pub applied: u64,
     /// Last index in the log.
     pub last_index: u64,
-    /// Last index the snapshot covers.
+    /// Last index that the snapshot covers.
     pub snapshot_index: u64,
     /// The voters.
     pub members: Vec<Member>,
-    /// When a majority had last been heard, on the process's clock; `None` unless this replica leads.
+    /// Latest time, on the process's clock, at which a majority certainly knew of no later leader; `None` unless this replica leads.
     pub quorum_confirmed_ms: Option<u64>,
-    /// When a leader was last heard, on the process's clock; `None` before the first.
+    /// When this replica last heard from a leader, on the process's clock; `None` if it has heard from none since it started.
     pub last_leader_contact_ms: Option<u64>,
 }
 
@@ -62,7 +62,7 @@
 }
 
 impl<S> Group<S> {
-    /// What is known of the replication.
+    /// State of the group's replication.
     pub fn status(&self) -> GroupStatus {
         self.status.borrow().clone()
     }
@@ -72,12 +72,12 @@
         self.status.borrow().is_leader
     }
 
-    /// Whether the state machine has held, at some time since the start, all that was committed by then.
+    /// Whether the state machine has at some time since the start held everything that was committed by then.
     pub fn has_caught_up(&self) -> bool {
         self.status.borrow().caught_up
     }
 
-    /// Milliseconds since the leader was heard; `None` when it never was.
+    /// Milliseconds since this replica last heard from a leader: 0 while it leads, `None` if it has heard from none since it started.
     pub fn leader_contact_age_ms(&self, now_ms: u64) -> Option<u64> {
         let status = self.status.borrow();
         if status.is_leader {
@@ -85,41 +85,41 @@
         } else {
             status
                 .last_leader_contact_ms
-                .map(|heard| now_ms.saturating_sub(heard))
+                .map(|contact_ms| now_ms.saturating_sub(contact_ms))
         }
     }
 
-    /// Hands a message of another replica to the driver.
+    /// Passes a message from another replica to the driver.
     pub fn deliver(&self, message: RaftMessage) {
         let _ = self.inbox.send(Input::Message(message));
     }
 
-    /// Tells the driver the first voters.
+    /// Forms the group with these first voters, if this replica's log is empty.
     pub fn form(&self, members: Vec<Member>) {
         let _ = self.inbox.send(Input::Form(members));
     }
 
-    /// Replicates `command` and returns the state machine's answer. Only the leader can.
+    /// Replicates `command` and returns the state machine's answer. Only the leader can do this.
     ///
     /// # Errors
     ///
-    /// [`Code::NoQuorum`] when nothing was recorded, [`Code::OutcomeUnknown`] when it may have been.
-    pub async fn propose(&self, command: Vec<u8>, limit_ms: u64) -> Result<Vec<u8>, Failure> {
+    /// [`Code::NoQuorum`] if nothing was recorded, [`Code::OutcomeUnknown`] if the command may have been recorded.
+    pub async fn propose(&self, command: Vec<u8>, timeout_ms: u64) -> Result<Vec<u8>, Failure> {
         let (reply, answer) = oneshot::channel();
         let sent = self.inbox.send(Input::Propose { command, reply });
-        self.answer(sent.is_ok(), answer, limit_ms).await
+        self.answer(sent.is_ok(), answer, timeout_ms).await
     }
 
-    /// Waits until the local state holds all that was committed before this call. Only the leader can.
+    /// Waits until the local state holds everything that was committed before this call. Only the leader can do this.
     ///
     /// # Errors
     ///
     /// [`Code::NoQuorum`].
-    pub async fn read(&self, limit_ms: u64) -> Result<(), Failure> {
+    pub async fn read(&self, timeout_ms: u64) -> Result<(), Failure> {
         let (reply, answer) = oneshot::channel();
         let sent = self.inbox.send(Input::Read { reply });
         let failure = |_| self.no_quorum();
-        self.answer(sent.is_ok(), answer, limit_ms)
+        self.answer(sent.is_ok(), answer, timeout_ms)
             .await
             .map_err(failure)
     }
@@ -128,21 +128,21 @@
         &self,
         sent: bool,
         answer: oneshot::Receiver<Result<T, Failure>>,
-        limit_ms: u64,
+        timeout_ms: u64,
     ) -> Result<T, Failure> {
         if !sent {
             return Err(self.no_quorum());
         }
-        match within_ms(limit_ms, answer).await {
+        match within_ms(timeout_ms, answer).await {
             Some(Ok(result)) => result,
             _ => Err(Failure::new(
                 Code::OutcomeUnknown,
-                format!("group {} did not decide in {limit_ms} ms", self.name),
+                format!("group {} did not decide in {timeout_ms} ms", self.name),
             )),
         }
     }
 
-    /// The refusal of a change that was not recorded.
+    /// The failure of a request of which nothing was recorded.
     pub fn no_quorum(&self) -> Failure {
         const RETRY_AFTER_MS: u64 = 500;
         Failure::new(Code::NoQuorum, format!("group {}", self.name))
--- a/crates/bh-group/src/input.rs
+++ b/crates/bh-group/src/input.rs
@@ -1,4 +1,4 @@
-//! What reaches a group's driver.
+//! Inputs of a group's driver.
 
 use bh_protocol::Failure;
 use bh_protocol::wire::Member;
@@ -7,20 +7,20 @@
 
 /// One input of a [`super::Driver`].
 pub enum Input {
-    /// A message of another replica.
+    /// A message from another replica.
     Message(RaftMessage),
     /// A command to replicate; the answer is the state machine's.
     Propose {
         /// The command.
         command: Vec<u8>,
-        /// Where the answer goes.
+        /// Channel for the answer.
         reply: oneshot::Sender<Result<Vec<u8>, Failure>>,
     },
-    /// A read that must see all that was committed before it.
+    /// A read that must see everything that was committed before it.
     Read {
-        /// Where the word goes that the local state may be read now.
+        /// Gets `Ok` once the local state may be read.
         reply: oneshot::Sender<Result<(), Failure>>,
     },
-    /// The group's first voters are known.
+    /// Forms the group with these first voters, if the log is empty.
     Form(Vec<Member>),
 }
--- a/crates/bh-group/src/lib.rs
+++ b/crates/bh-group/src/lib.rs
@@ -1,4 +1,4 @@
-//! One replica of a replicated log as a task of a process: batches, disk syncs, proposals and reads.
+//! Runs one replica of a replicated log as a task: batches of inputs, disk syncs, proposals and reads.
 
 mod driver;
 mod formation;
--- a/crates/bh-group/src/machine.rs
+++ b/crates/bh-group/src/machine.rs
@@ -1,4 +1,4 @@
-//! The replicated state, whatever its type.
+//! A replicated state machine over a state of any type.
 
 use bh_protocol::Code;
 use bh_protocol::Failure;
@@ -8,13 +8,13 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// How commands change a state, and how the state is kept.
+/// How encoded commands change a state, and how the state is encoded in snapshots.
 pub struct Codec<S> {
-    /// Applies an encoded command and returns its encoded answer. An error leaves the state as it was, on every replica alike.
+    /// Applies an encoded command and returns the encoded answer. On an error the state must stay unchanged, on every replica alike.
     pub apply: fn(&mut S, &[u8]) -> Result<Vec<u8>, Failure>,
-    /// Writes the whole state.
+    /// Encodes the whole state.
     pub snapshot: fn(&S) -> Result<Vec<u8>, Failure>,
-    /// Replaces the whole state by a snapshot.
+    /// Replaces the whole state by an encoded one.
     pub restore: fn(&mut S, &[u8]) -> Result<(), Failure>,
 }
 
@@ -26,7 +26,7 @@
 
 impl<S> Copy for Codec<S> {}
 
-/// A state shared by its driver, which changes it, and by readers.
+/// A replicated state, shared by the driver, which changes it, and its readers.
 pub struct Machine<S> {
     state: Rc<RefCell<S>>,
     codec: Codec<S>,
@@ -42,7 +42,7 @@
 }
 
 impl<S> Machine<S> {
-    /// A machine in this state.
+    /// A state machine with this initial state.
     pub fn new(state: S, codec: Codec<S>) -> Self {
         Self {
             state: Rc::new(RefCell::new(state)),
@@ -50,11 +50,11 @@
         }
     }
 
-    /// Applies a command and returns its encoded answer.
+    /// Applies an encoded command and returns the encoded answer.
     ///
     /// # Errors
     ///
-    /// [`Code::Internal`] when the command cannot be read; every replica then leaves it out alike.
+    /// [`Code::Internal`] if the command cannot be read; every replica then skips it.
     pub fn apply(&self, command: &[u8]) -> Result<Vec<u8>, Failure> {
         (self.codec.apply)(&mut self.state.borrow_mut(), command)
     }
@@ -63,52 +63,52 @@
     ///
     /// # Errors
     ///
-    /// [`Code::Internal`] when the state cannot be written.
+    /// [`Code::Internal`] if the state cannot be encoded.
     pub fn snapshot(&self) -> Result<Vec<u8>, Failure> {
         (self.codec.snapshot)(&self.state.borrow())
     }
 
-    /// Replaces the whole state.
+    /// Replaces the whole state by an encoded one.
     ///
     /// # Errors
     ///
-    /// [`Code::Internal`] when the snapshot cannot be read.
+    /// [`Code::Internal`] if the encoded state cannot be read.
     pub fn restore(&self, bytes: &[u8]) -> Result<(), Failure> {
         (self.codec.restore)(&mut self.state.borrow_mut(), bytes)
     }
 
-    /// The state, for reading; it must not be held over a wait.
+    /// Borrows the state for reading. The borrow must not be held across an `await`.
     pub fn read(&self) -> Ref<'_, S> {
         self.state.borrow()
     }
 
-    /// Changes what is not replicated of the state, such as its list of news for this process.
+    /// Changes a part of the state that is not replicated, such as its list of events for this process.
     pub fn with_local<T>(&self, change: impl FnOnce(&mut S) -> T) -> T {
         change(&mut self.state.borrow_mut())
     }
 }
 
-fn damaged(error: &serde_json::Error) -> Failure {
+fn invalid_value(error: &serde_json::Error) -> Failure {
     Failure::new(
         Code::Internal,
         format!("a replicated value cannot be read: {error}"),
     )
 }
 
-/// Reads a replicated value from JSON.
+/// Decodes a replicated value from JSON.
 ///
 /// # Errors
 ///
 /// [`Code::Internal`].
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Failure> {
-    serde_json::from_slice(bytes).map_err(|error| damaged(&error))
+    serde_json::from_slice(bytes).map_err(|error| invalid_value(&error))
 }
 
-/// Writes a replicated value as JSON.
+/// Encodes a replicated value as JSON.
 ///
 /// # Errors
 ///
 /// [`Code::Internal`].
 pub fn encode(value: &impl Serialize) -> Result<Vec<u8>, Failure> {
-    serde_json::to_vec(value).map_err(|error| damaged(&error))
+    serde_json::to_vec(value).map_err(|error| invalid_value(&error))
 }
--- a/crates/bh-group/src/persist.rs
+++ b/crates/bh-group/src/persist.rs
@@ -1,4 +1,4 @@
-//! Writes what a batch of steps must not forget, then syncs once.
+//! Writes the `Save*` outputs of a batch of steps to the journal, with one sync.
 
 use bh_consensus::Output;
 use bh_net::runtime::sleep_ms;
@@ -9,26 +9,26 @@
 use bh_storage::Vote;
 use std::collections::VecDeque;
 
-/// Wait before a write is tried again that found no room on the disk or no descriptor, in milliseconds: others lead meanwhile, so nothing is won
-/// by more haste.
-const NO_ROOM_WAIT_MS: u64 = 200;
+/// Wait before a write is retried that failed because the disk was full or no file descriptor was left, in milliseconds. Other replicas can
+/// lead meanwhile, so a shorter wait would gain nothing.
+const RETRY_WAIT_MS: u64 = 200;
 
-/// Writes and syncs the `Save*` outputs of a batch, on a helper thread; the others are returned.
+/// Writes and syncs the `Save*` outputs of a batch on a helper thread, and returns the other outputs.
 ///
 /// # Errors
 ///
-/// [`Code::DiskFailed`]: the process must stop, since it can no longer keep what it promises.
+/// [`Code::DiskFailed`]: the process must stop, since it can no longer save its votes and the entries that it acknowledges.
 pub(crate) async fn persist(
     journal: &mut Option<Journal>,
     outputs: Vec<Output>,
 ) -> Result<Vec<Output>, Failure> {
-    let (saves, rest): (Vec<Output>, Vec<Output>) = outputs.into_iter().partition(is_save);
+    let (saves, others): (Vec<Output>, Vec<Output>) = outputs.into_iter().partition(is_save);
     let Some(mut owned) = journal.take() else {
-        return Ok(rest);
+        return Ok(others);
     };
     if saves.is_empty() {
         *journal = Some(owned);
-        return Ok(rest);
+        return Ok(others);
     }
     let mut saves: VecDeque<Output> = saves.into();
     loop {
@@ -42,16 +42,16 @@
             .map_err(|_| Failure::new(Code::Internal, "the disk thread has ended"))?;
         match result {
             Ok(()) => break,
-            // Nothing leaves this replica until the write succeeds: to the others it is silent, as with a disk that hangs.
+            // Nothing leaves this replica until the write succeeds. To the other replicas it is silent, as if its disk hung.
             Err(failure) if matches!(failure.code, Code::DiskFull | Code::NoDescriptors) => {
                 log::warn!(code = failure.code.number(); "waiting for room: {failure}");
-                sleep_ms(NO_ROOM_WAIT_MS).await;
+                sleep_ms(RETRY_WAIT_MS).await;
             }
             Err(failure) => return Err(failure),
         }
     }
     *journal = Some(owned);
-    Ok(rest)
+    Ok(others)
 }
 
 fn is_save(output: &Output) -> bool {
@@ -61,7 +61,7 @@
     )
 }
 
-/// Writes `saves` in order and takes out those that need not be written again.
+/// Writes `saves` in order, and removes those that a retry need not write again.
 fn write(journal: &mut Journal, saves: &mut VecDeque<Output>) -> Result<(), Failure> {
     while let Some(save) = saves.front() {
         match save {
--- a/crates/bh-storage/src/folder.rs
+++ b/crates/bh-storage/src/folder.rs
@@ -1,9 +1,9 @@
-//! The data folder and the identity it gives its VM.
+//! The data folder, which holds the identity of its VM's replicas.
 
 use crate::journal::Journal;
 use crate::journal::disk_failed;
 use crate::journal::sync_parent;
-use crate::recovered::Recovered;
+use crate::recovered_state::RecoveredState;
 use bh_protocol::Code;
 use bh_protocol::Failure;
 use std::fs::File;
@@ -22,15 +22,14 @@
 }
 
 impl Folder {
-    /// Opens the folder at `path` for the VM `name`, creating it when there is none.
+    /// Opens the folder at `path` for the VM `name`, creating the folder if there is none.
     ///
-    /// The first opening draws a random replica identity and syncs it. A folder that was emptied therefore gives a
-    /// new identity: the replica it was is never heard of again, so it cannot vote twice in a term or forget what
-    /// it acknowledged.
+    /// The first opening draws a random replica identity and syncs it. A folder that was emptied therefore gets a new identity. The old
+    /// identity is never used again, so no replica votes twice in a term or forgets entries that it acknowledged.
     ///
     /// # Errors
     ///
-    /// [`Code::FolderInUse`] when the folder is another VM's or another process uses it, [`Code::DiskFailed`].
+    /// [`Code::FolderInUse`] if the folder belongs to another VM or another process uses it, [`Code::DiskFailed`].
     pub fn open(path: impl Into<PathBuf>, name: &str) -> Result<Folder, Failure> {
         let path = path.into();
         std::fs::create_dir_all(&path).map_err(|error| disk_failed(&path, &error))?;
@@ -63,12 +62,12 @@
         self.replica_id
     }
 
-    /// Opens the journal of `group`; `/` in the name is written as `_`.
+    /// Opens the journal of `group`. Its file name is the group's name with `_` for `/`.
     ///
     /// # Errors
     ///
-    /// As [`Journal::open`].
-    pub fn journal(&self, group: &str) -> Result<(Journal, Recovered), Failure> {
+    /// Those of [`Journal::open`].
+    pub fn journal(&self, group: &str) -> Result<(Journal, RecoveredState), Failure> {
         Journal::open(
             self.path
                 .join(format!("{}.journal", group.replace('/', "_"))),
@@ -81,11 +80,11 @@
     }
 }
 
-/// A random replica identity, never 0.
+/// A random replica identity, which is never 0.
 ///
 /// # Errors
 ///
-/// [`Code::Internal`] when the system has no random numbers.
+/// [`Code::Internal`] if the system gives no random numbers.
 pub fn random_replica_id() -> Result<u64, Failure> {
     let number = getrandom::u64()
         .map_err(|error| Failure::new(Code::Internal, format!("no random numbers: {error}")))?;
@@ -115,12 +114,12 @@
 fn write_identity(path: &Path, name: &str) -> Result<u64, Failure> {
     let replica_id = random_replica_id()?;
     let file = path.join(IDENTITY_FILE);
-    let aside = path.join("identity.new");
+    let temporary = path.join("identity.new");
     let write = || -> std::io::Result<()> {
-        let mut handle = File::create(&aside)?;
+        let mut handle = File::create(&temporary)?;
         handle.write_all(format!("{name} {replica_id:016x}\n").as_bytes())?;
         handle.sync_all()?;
-        std::fs::rename(&aside, &file)?;
+        std::fs::rename(&temporary, &file)?;
         sync_parent(&file)?;
         sync_parent(path)
     };
--- a/crates/bh-storage/src/journal.rs
+++ b/crates/bh-storage/src/journal.rs
@@ -1,11 +1,11 @@
-//! An append-only file of records, replaced as a whole when a snapshot is taken.
+//! An append-only file of records, which a snapshot replaces as a whole.
 
 use crate::record;
 use crate::record::Record;
 use crate::record::RecordError;
 use crate::record::Snapshot;
 use crate::record::Vote;
-use crate::recovered::Recovered;
+use crate::recovered_state::RecoveredState;
 use bh_protocol::Code;
 use bh_protocol::Failure;
 use bh_protocol::wire::LogEntry;
@@ -17,29 +17,30 @@
 use std::path::Path;
 use std::path::PathBuf;
 
-/// Writes bytes at the end of a file.
-pub type Write = fn(&mut File, &[u8]) -> std::io::Result<()>;
+/// Function that writes bytes at the end of a file.
+pub type WriteFn = fn(&mut File, &[u8]) -> std::io::Result<()>;
 
 /// The journal of one replication group.
 #[derive(Debug)]
 pub struct Journal {
     path: PathBuf,
     file: File,
+    /// Encoded records that are not written yet.
     buffer: Vec<u8>,
-    /// Bytes of the file that hold whole, synced records.
+    /// Length in bytes of the part of the file that holds complete, synced records.
     length: u64,
-    write: Write,
+    write: WriteFn,
 }
 
 impl Journal {
-    /// Opens the journal at `path`, creating it when there is none, and reads back what it holds.
+    /// Opens the journal at `path`, creating the file if there is none, and reads what it holds.
     ///
-    /// A torn last record is cut off and the file synced.
+    /// If the last record is incomplete, the file is truncated before it and synced.
     ///
     /// # Errors
     ///
-    /// [`Code::DamagedLog`] for a bad record before the end, [`Code::DiskFailed`] when the file cannot be used.
-    pub fn open(path: impl Into<PathBuf>) -> Result<(Journal, Recovered), Failure> {
+    /// [`Code::DamagedLog`] if a record before the last one is damaged, [`Code::DiskFailed`] if the file cannot be used.
+    pub fn open(path: impl Into<PathBuf>) -> Result<(Journal, RecoveredState), Failure> {
         let path = path.into();
         let bytes = match std::fs::read(&path) {
             Ok(bytes) => bytes,
@@ -55,7 +56,7 @@
         match problem {
             None => {}
             Some(RecordError::TornTail { at }) => {
-                cut(&file, at).map_err(|error| disk_failed(&path, &error))?
+                truncate(&file, at).map_err(|error| disk_failed(&path, &error))?
             }
             Some(RecordError::Damaged { at }) => {
                 return Err(Failure::new(
@@ -65,7 +66,7 @@
             }
         }
         sync_parent(&path).map_err(|error| disk_failed(&path, &error))?;
-        let mut recovered = Recovered::default();
+        let mut recovered = RecoveredState::default();
         for record in records {
             recovered.add(record);
         }
@@ -81,7 +82,7 @@
         ))
     }
 
-    /// Appends term and vote. Not kept before [`Journal::sync`].
+    /// Appends the term and the vote to the buffer. They are on the disk only after [`Journal::sync`].
     pub fn append_vote(&mut self, vote: Vote) {
         let record = Record {
             vote: Some(vote),
@@ -90,7 +91,7 @@
         record::encode(&record, &mut self.buffer);
     }
 
-    /// Appends log entries. Not kept before [`Journal::sync`].
+    /// Appends log entries to the buffer. They are on the disk only after [`Journal::sync`].
     pub fn append_entries(&mut self, entries: Vec<LogEntry>) {
         let record = Record {
             entries,
@@ -99,16 +100,16 @@
         record::encode(&record, &mut self.buffer);
     }
 
-    /// Writes by `write` in place of the system's call, for tests of full disks.
-    pub fn with_write(mut self, write: Write) -> Self {
+    /// Sets the function that writes to the file, for tests of full disks.
+    pub fn with_write(mut self, write: WriteFn) -> Self {
         self.write = write;
         self
     }
 
-    /// Writes and syncs all that was appended.
+    /// Writes and syncs everything that was appended.
     ///
-    /// A full disk takes part of a record. That part is cut off again, and what was appended stays to be written once there is room:
-    /// the next call tries again. After a failed sync the disk may hold anything, so that is final.
+    /// A full disk may take only part of a record. The file is then truncated to its length before the call, and the records stay in the
+    /// buffer, so that the next call retries them. After a failed sync the content of the disk is unknown, so there is no retry.
     ///
     /// # Errors
     ///
@@ -131,13 +132,14 @@
         Ok(())
     }
 
-    /// Replaces the whole journal by a snapshot, the vote and the entries after the snapshot, synced.
+    /// Replaces the whole journal by a snapshot, the vote and the entries after the snapshot, and syncs.
     ///
-    /// The new file is written aside and renamed, so that a crash leaves either the old or the new one.
+    /// Writes a temporary file and renames it, so that a crash leaves either the old or the new journal.
     ///
     /// # Errors
     ///
-    /// [`Code::DiskFull`], [`Code::NoDescriptors`], after which the old journal is still in force. [`Code::DiskFailed`].
+    /// [`Code::DiskFull`], [`Code::NoDescriptors`], after which the old journal stays in use. [`Code::DiskFailed`], after which the journal
+    /// must not be used.
     pub fn replace(
         &mut self,
         vote: Vote,
@@ -151,31 +153,31 @@
         };
         let mut bytes = Vec::new();
         record::encode(&record, &mut bytes);
-        let aside = self.path.with_extension("new");
-        let written = File::create(&aside).and_then(|mut file| {
+        let temporary = self.path.with_extension("new");
+        let written = File::create(&temporary).and_then(|mut file| {
             (self.write)(&mut file, &bytes)?;
             Ok(file)
         });
         let file = match written {
             Ok(file) => file,
             Err(error) => {
-                // What was written of it takes room that the old journal may need; it is written anew in any case.
-                let _ = std::fs::remove_file(&aside);
+                // The incomplete file takes disk space that the old journal may need, and a retry writes it from the start.
+                let _ = std::fs::remove_file(&temporary);
                 return Err(write_failed(&self.path, &error));
             }
         };
-        self.file = put_in_place(&file, &aside, &self.path)
+        self.file = rename_over(&file, &temporary, &self.path)
             .map_err(|error| disk_failed(&self.path, &error))?;
-        // The record holds all that was appended before.
+        // The new file holds everything that was in the buffer.
         self.buffer.clear();
         self.length = u64::try_from(bytes.len()).unwrap_or(0);
         Ok(())
     }
 }
 
-fn put_in_place(file: &File, aside: &Path, path: &Path) -> std::io::Result<File> {
+fn rename_over(file: &File, temporary: &Path, path: &Path) -> std::io::Result<File> {
     file.sync_all()?;
-    std::fs::rename(aside, path)?;
+    std::fs::rename(temporary, path)?;
     sync_parent(path)?;
     OpenOptions::new().append(true).open(path)
 }
@@ -186,7 +188,7 @@
         .map_err(|error| disk_failed(path, &error))
 }
 
-/// A write that failed for want of room or of descriptors may succeed later; any other failure is final.
+/// Maps the error of a write to a code: a write that failed for lack of disk space or file descriptors may succeed later, any other not.
 fn write_failed(path: &Path, error: &std::io::Error) -> Failure {
     match error.kind() {
         ErrorKind::StorageFull | ErrorKind::QuotaExceeded => {
@@ -199,18 +201,18 @@
     }
 }
 
-/// Whether a file could not be opened because too many are open, in this process or on the machine.
+/// Whether a file could not be opened because too many are open in this process or on the machine.
 fn is_out_of_descriptors(error: &std::io::Error) -> bool {
     let errno = Errno::from_io_error(error);
     matches!(errno, Some(Errno::MFILE | Errno::NFILE))
 }
 
-fn cut(file: &File, at: usize) -> std::io::Result<()> {
+fn truncate(file: &File, at: usize) -> std::io::Result<()> {
     file.set_len(u64::try_from(at).unwrap_or(u64::MAX))?;
     file.sync_all()
 }
 
-/// Syncs the folder that holds `path`: without that a crash may forget that the file was created or renamed.
+/// Syncs the folder that holds `path`. Without this a crash may undo the creation or the renaming of the file.
 pub(crate) fn sync_parent(path: &Path) -> std::io::Result<()> {
     match path.parent() {
         Some(folder) => File::open(folder)?.sync_all(),
--- a/crates/bh-storage/src/lib.rs
+++ b/crates/bh-storage/src/lib.rs
@@ -1,11 +1,11 @@
-//! The data folder of one entry VM: its identity, and one checksummed log for each replication group.
+//! The data folder of a VM: the identity of its replicas, and one journal with checksums for each replication group.
 //!
-//! Files last only once they are synced, so every function here says when it syncs.
+//! A write survives a crash only once it is synced, so every function here says whether it syncs.
 
 mod folder;
 mod journal;
 mod record;
-mod recovered;
+mod recovered_state;
 
 pub use folder::Folder;
 pub use folder::random_replica_id;
@@ -16,4 +16,4 @@
 pub use record::Vote;
 pub use record::decode_all;
 pub use record::encode;
-pub use recovered::Recovered;
+pub use recovered_state::RecoveredState;
--- a/crates/bh-storage/src/record.rs
+++ b/crates/bh-storage/src/record.rs
@@ -1,24 +1,24 @@
-//! One record of a journal: length, checksum, content.
+//! Format of a journal record: length, checksum, content.
 
 use bh_protocol::wire::LogEntry;
 use bh_protocol::wire::Member;
 use prost::Message;
 
-/// Bytes before the content: a 32-bit length and a 32-bit checksum of the content, little-endian.
+/// Size of the header before the content: the length and the CRC-32 of the content, each 32 bits, little-endian.
 pub const HEADER_BYTES: usize = 8;
-/// Largest content; a longer length in a header is damage.
+/// Largest content of a record. A header with a greater length is damaged.
 pub const MAX_RECORD_BYTES: usize = 256 << 20;
 
-/// A state that a replica must not forget.
+/// A change of the state that a replica must keep over a restart.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Record {
-    /// Term and vote, when the record carries them.
+    /// Term and vote, if the record sets them.
     #[prost(message, optional, tag = "1")]
     pub vote: Option<Vote>,
-    /// Log entries; the first one replaces the log from its index on.
+    /// Log entries. The first one replaces the log from its index on.
     #[prost(message, repeated, tag = "2")]
     pub entries: Vec<LogEntry>,
-    /// A snapshot, which replaces all before it.
+    /// A snapshot, which replaces all entries up to its index.
     #[prost(message, optional, tag = "3")]
     pub snapshot: Option<Snapshot>,
 }
@@ -37,7 +37,7 @@
 /// A state machine as of one log index.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Snapshot {
-    /// Last index it covers.
+    /// Last index that the snapshot covers.
     #[prost(uint64, tag = "1")]
     pub index: u64,
     /// Term of that index.
@@ -46,7 +46,7 @@
     /// Voters as of that index.
     #[prost(message, repeated, tag = "3")]
     pub voters: Vec<Member>,
-    /// The state machine.
+    /// The encoded state machine.
     #[prost(bytes = "vec", tag = "4")]
     pub state: Vec<u8>,
 }
@@ -54,19 +54,19 @@
 /// Why records could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordError {
-    /// The last record was not written whole; `at` is where it starts. The records before it are good.
+    /// The last record is incomplete. The records before it are intact.
     TornTail {
-        /// Offset in bytes.
+        /// Offset of that record in bytes.
         at: usize,
     },
-    /// A record before the end fails its checksum; `at` is where it starts.
+    /// A record is damaged and an intact one follows it.
     Damaged {
-        /// Offset in bytes.
+        /// Offset of that record in bytes.
         at: usize,
     },
 }
 
-/// Appends `record` to `buffer` in its stored form.
+/// Appends the encoded `record`, with its header, to `buffer`.
 pub fn encode(record: &Record, buffer: &mut Vec<u8>) {
     let content = record.encode_to_vec();
     let length = u32::try_from(content.len()).unwrap_or(u32::MAX);
@@ -75,11 +75,11 @@
     buffer.extend_from_slice(&content);
 }
 
-/// Decodes all records of `bytes`, with what ended the reading when it was not the end of the bytes.
+/// Decodes the records of `bytes` up to the first one that cannot be read, and says why it cannot be read.
 ///
-/// A crash in the middle of a write leaves a short or garbled last record, which was never acknowledged and is
-/// cut. A bad record with a good one after it cannot come from a crash: the disk lost what was acknowledged, and
-/// going on would forget it silently, so that is [`RecordError::Damaged`].
+/// A crash in the middle of a write leaves an incomplete or garbled last record. It was never acknowledged, so it may be dropped. A damaged
+/// record with an intact one after it cannot come from a crash: the disk lost data that was acknowledged. To go on would drop that data
+/// silently, so this is [`RecordError::Damaged`].
 pub fn decode_all(bytes: &[u8]) -> (Vec<Record>, Option<RecordError>) {
     let mut records = Vec::new();
     let mut at = 0;
@@ -89,7 +89,7 @@
                 records.push(record);
                 at += used;
             }
-            None if any_record_after(&bytes[at + 1..]) => {
+            None if contains_record(&bytes[at + 1..]) => {
                 return (records, Some(RecordError::Damaged { at }));
             }
             None => return (records, Some(RecordError::TornTail { at })),
@@ -102,8 +102,8 @@
     let header = bytes.get(..HEADER_BYTES)?;
     let length = usize::try_from(u32::from_le_bytes(header[..4].try_into().ok()?)).ok()?;
     let checksum = u32::from_le_bytes(header[4..].try_into().ok()?);
-    // An empty record is never written; eight zero bytes would otherwise pass as one, and a file system may
-    // leave a run of zeros behind a crash.
+    // An empty record is never written. Without this check eight zero bytes would pass as one, and a file system may leave zeros at the end
+    // of a file after a crash.
     if length == 0 || length > MAX_RECORD_BYTES {
         return None;
     }
@@ -115,7 +115,7 @@
     Some((record, HEADER_BYTES + length))
 }
 
-/// Whether a good record starts anywhere in `bytes`.
-fn any_record_after(bytes: &[u8]) -> bool {
+/// Whether an intact record starts anywhere in `bytes`.
+fn contains_record(bytes: &[u8]) -> bool {
     (0..bytes.len()).any(|at| decode_one(&bytes[at..]).is_some())
 }
--- a/crates/bh-storage/src/recovered.rs
+++ b/crates/bh-storage/src/recovered_state.rs
@@ -1,4 +1,4 @@
-//! What a journal held when it was opened.
+//! State of a replica as its journal held it when it was opened.
 
 use crate::record::Record;
 use crate::record::Snapshot;
@@ -7,22 +7,22 @@
 
 /// A replica's state as of the last synced record.
 #[derive(Clone, Debug, Default)]
-pub struct Recovered {
+pub struct RecoveredState {
     /// Term and vote.
     pub vote: Vote,
-    /// Last snapshot, if one was taken.
+    /// Last snapshot, if there is one.
     pub snapshot: Option<Snapshot>,
     /// Log entries after the snapshot, in order of index.
     pub entries: Vec<LogEntry>,
 }
 
-impl Recovered {
-    /// Whether nothing was ever recorded.
+impl RecoveredState {
+    /// Whether the journal held nothing.
     pub fn is_empty(&self) -> bool {
         self.vote == Vote::default() && self.snapshot.is_none() && self.entries.is_empty()
     }
 
-    /// Takes one more record into account.
+    /// Updates the state by the next record of the journal.
     pub fn add(&mut self, record: Record) {
         if let Some(vote) = record.vote {
             self.vote = vote;
