--- a/crates/bh-consensus/tests/fuzz_reads.rs
+++ b/crates/bh-consensus/tests/fuzz_reads.rs
@@ -1,4 +1,4 @@
-//! Reads under random faults, leaders that are suspended and wake among them, and a planted fault that the check must catch.
+//! Reads under random faults, such as leaders that are suspended and resumed, and an injected bug that the check must detect.
 
 mod support;
 
@@ -6,14 +6,14 @@
 use proptest::test_runner::TestCaseError;
 use support::ELECTION_MS;
 use support::Group;
-use support::Planted;
+use support::InjectedBugs;
 use support::runner::runner;
 
-/// Cases in CI; `scripts/toolkit.sh fuzz` asks for more.
+/// Number of cases in CI; `scripts/toolkit.sh fuzz` runs more.
 const CASES: u32 = 1_000;
 const STEPS: usize = 400;
 const VOTERS: usize = 3;
-const CALM_ROUNDS: usize = 40;
+const QUIET_ROUNDS: usize = 40;
 /// Seed of the runs in CI.
 const SEED: u64 = 20_261_203;
 
@@ -21,65 +21,65 @@
 enum Step {
     Advance(u64),
     Deliver(usize),
-    Repeat(usize),
+    Duplicate(usize),
     Drop(usize),
     Propose(usize),
     Read(usize),
-    Freeze(usize),
-    Thaw(usize),
+    Suspend(usize),
+    Resume(usize),
     Restart(usize),
-    Cut(usize),
-    Mend(usize),
+    Partition(usize),
+    Heal(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         12 => (1..ELECTION_MS).prop_map(Step::Advance),
         40 => (0..64usize).prop_map(Step::Deliver),
-        3 => (0..64usize).prop_map(Step::Repeat),
+        3 => (0..64usize).prop_map(Step::Duplicate),
         4 => (0..64usize).prop_map(Step::Drop),
         10 => (0..VOTERS).prop_map(Step::Propose),
         12 => (0..VOTERS).prop_map(Step::Read),
-        2 => (0..VOTERS).prop_map(Step::Freeze),
-        3 => (0..VOTERS).prop_map(Step::Thaw),
+        2 => (0..VOTERS).prop_map(Step::Suspend),
+        3 => (0..VOTERS).prop_map(Step::Resume),
         1 => (0..VOTERS).prop_map(Step::Restart),
-        1 => (0..VOTERS).prop_map(Step::Cut),
-        3 => (0..VOTERS).prop_map(Step::Mend),
+        1 => (0..VOTERS).prop_map(Step::Partition),
+        3 => (0..VOTERS).prop_map(Step::Heal),
     ]
 }
 
-fn run(planted: Planted, steps: &[Step]) -> Group {
-    let mut group = Group::new(VOTERS, planted);
-    group.calm(CALM_ROUNDS);
+fn run(bugs: InjectedBugs, steps: &[Step]) -> Group {
+    let mut group = Group::new(VOTERS, bugs);
+    group.run_rounds(QUIET_ROUNDS);
     for step in steps {
         match *step {
             Step::Advance(by_ms) => group.advance(by_ms),
-            Step::Deliver(place) => group.deliver(place, false),
-            Step::Repeat(place) => group.deliver(place, true),
-            Step::Drop(place) => group.drop_message(place),
+            Step::Deliver(position) => group.deliver(position, false),
+            Step::Duplicate(position) => group.deliver(position, true),
+            Step::Drop(position) => group.drop_message(position),
             Step::Propose(vm) => group.propose(group.leader().unwrap_or(vm)),
-            Step::Read(place) => {
-                let leaders = group.would_be_leaders();
-                if let Some(vm) = leaders.get(place % leaders.len().max(1)) {
+            Step::Read(position) => {
+                let leaders = group.self_declared_leaders();
+                if let Some(vm) = leaders.get(position % leaders.len().max(1)) {
                     group.read(*vm);
                 }
             }
-            Step::Freeze(vm) => group.set_frozen(vm, true),
-            Step::Thaw(vm) => group.set_frozen(vm, false),
+            Step::Suspend(vm) => group.set_suspended(vm, true),
+            Step::Resume(vm) => group.set_suspended(vm, false),
             Step::Restart(vm) => group.restart(vm),
-            Step::Cut(vm) => group.set_cut(vm, true),
-            Step::Mend(vm) => group.set_cut(vm, false),
+            Step::Partition(vm) => group.set_partitioned(vm, true),
+            Step::Heal(vm) => group.set_partitioned(vm, false),
         }
     }
     group
 }
 
-fn fuzz(cases: u32, planted: Planted) -> (Result<(), String>, usize) {
+fn fuzz(cases: u32, bugs: InjectedBugs) -> (Result<(), String>, usize) {
     let mut runner = runner(cases, SEED);
     let answered = std::cell::Cell::new(0);
     let strategy = proptest::collection::vec(step(), 1..STEPS);
     let result = runner.run(&strategy, |steps| {
-        let group = run(planted, &steps);
+        let group = run(bugs, &steps);
         answered.set(answered.get() + group.reads_answered);
         if group.problems.is_empty() {
             Ok(())
@@ -90,21 +90,21 @@
     (result.map_err(|error| error.to_string()), answered.get())
 }
 
-/// A leader is suspended, others elect a new one and go on, and the old one wakes among messages that were sent to it before. A caller that
-/// asks it must not be answered as of its old state: whatever anybody has applied before a read is asked for must be in the answer.
+/// A leader is suspended, the others elect a new one, and the old leader resumes with messages that were sent to it before. It must not answer
+/// a read from its old state: the answer must include everything that any replica had applied before the read was requested.
 #[test]
 fn fuzz_reads_hold_all_that_was_applied_before() {
-    let (result, answered) = fuzz(CASES, Planted::default());
+    let (result, answered) = fuzz(CASES, InjectedBugs::default());
     assert_eq!(result, Ok(()));
     assert!(answered > 1_000, "only {answered} reads were answered");
 }
 
-/// A leader that answers reads without asking the others is caught.
+/// The check detects a leader that answers reads without confirmation by the others.
 #[test]
 fn fuzz_reads_that_are_not_confirmed_are_caught() {
-    let planted = Planted {
-        reads_at_once: true,
-        ..Planted::default()
+    let bugs = InjectedBugs {
+        skips_read_confirmation: true,
+        ..InjectedBugs::default()
     };
-    assert!(fuzz(CASES, planted).0.is_err());
+    assert!(fuzz(CASES, bugs).0.is_err());
 }
--- a/crates/bh-consensus/tests/lagging.rs
+++ b/crates/bh-consensus/tests/lagging.rs
@@ -1,49 +1,48 @@
-//! Followers that are far behind, over links that are slow.
+//! Followers that are far behind, over slow links.
 
 mod support;
 
 use support::Group;
 use support::HEARTBEAT_MS;
-use support::Planted;
+use support::InjectedBugs;
 
 const ROUNDS: usize = 200;
-/// Commands proposed while the follower is away: several batches.
-const MISSED: usize = 3_000;
-/// Turns after its return.
+/// Commands proposed while the follower is partitioned: several batches.
+const MISSED_COMMANDS: usize = 3_000;
+/// Turns after the partition has healed.
 const TURNS: usize = 300;
-/// Messages that all links together carry in one turn; the leader makes more in each turn than that as long as it sends again what is on
-/// its way already.
-const CARRIED: usize = 6;
+/// Messages that all links together deliver in one turn. A leader that resends what is already in flight produces more than this in each turn.
+const MESSAGES_PER_TURN: usize = 6;
 
-/// A follower comes back after thousands of entries, over a link that carries less than the leader makes. It rejects all that was sent
-/// before it could answer. A leader that answers each rejection with another batch sends the same entries hundreds of times: they pile up
-/// in its memory, the link is never free, and the follower stays behind.
+/// A follower returns thousands of entries behind, over a slow link, and rejects every message that was sent before its first answer. A leader
+/// that responds to each rejection with another batch sends the same entries hundreds of times: they pile up in its memory, saturate the
+/// link, and the follower never catches up.
 #[test]
 fn a_follower_far_behind_is_sent_about_what_it_lacks() {
-    let mut group = Group::new(3, Planted::default());
-    group.calm(ROUNDS);
+    let mut group = Group::new(3, InjectedBugs::default());
+    group.run_rounds(ROUNDS);
     let leader = group.leader().unwrap();
     let away = (leader + 1) % 3;
-    group.set_cut(away, true);
-    for _ in 0..MISSED {
+    group.set_partitioned(away, true);
+    for _ in 0..MISSED_COMMANDS {
         group.propose(leader);
     }
-    group.calm(ROUNDS);
-    group.set_cut(away, false);
+    group.run_rounds(ROUNDS);
+    group.set_partitioned(away, false);
     let before = group.sent_entries;
     for _ in 0..TURNS {
         group.propose(leader);
         group.advance(HEARTBEAT_MS / 4);
-        for _ in 0..CARRIED {
+        for _ in 0..MESSAGES_PER_TURN {
             group.deliver(0, false);
         }
     }
-    group.calm(ROUNDS);
+    group.run_rounds(ROUNDS);
     let sent = group.sent_entries - before;
     group.check_end();
     assert_eq!(group.problems, Vec::<String>::new());
-    // What the two followers lacked, and as much again for batches that were sent once too often.
-    let lacked = MISSED + 2 * TURNS;
+    // The entries that the two followers lacked, and as many again for batches that were sent twice.
+    let lacked = MISSED_COMMANDS + 2 * TURNS;
     assert!(
         sent <= 2 * lacked,
         "{sent} entries sent where {lacked} were lacking"
--- a/crates/bh-consensus/tests/support/mod.rs
+++ b/crates/bh-consensus/tests/support/mod.rs
@@ -1,5 +1,4 @@
-//! A group of replicas in memory: a network that loses, delays, repeats and reorders, and disks that last what was
-//! synced.
+//! A simulated group of replicas: a network that loses, delays, duplicates and reorders messages, and disks that keep what was synced.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 pub mod runner;
@@ -21,20 +20,20 @@
 pub const HEARTBEAT_MS: u64 = 20;
 const SEED: u64 = 7;
 
-/// A fault planted in the driver or the disk, to see the checks catch it.
+/// Bugs injected into the driver or the disk, which the checks must detect.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Planted {
-    /// Votes are not kept over a restart.
-    pub forgets_votes: bool,
-    /// Entries are acknowledged before they are kept.
-    pub forgets_entries: bool,
-    /// A VM whose disk was emptied comes back under its old identity.
-    pub keeps_identity: bool,
-    /// A replica that takes itself for the leader answers reads at once.
-    pub reads_at_once: bool,
+pub struct InjectedBugs {
+    /// Votes are lost over a restart.
+    pub loses_votes: bool,
+    /// Entries are acknowledged but not saved.
+    pub loses_entries: bool,
+    /// A VM that lost its disk restarts under its old identity.
+    pub keeps_identity_without_disk: bool,
+    /// A leader answers reads without confirmation by a majority.
+    pub skips_read_confirmation: bool,
 }
 
-/// What a data folder holds.
+/// Content of a data folder.
 #[derive(Clone, Debug, Default)]
 struct Disk {
     term: u64,
@@ -43,7 +42,7 @@
     entries: Vec<LogEntry>,
 }
 
-/// One VM.
+/// One VM and its replica, if it runs.
 struct Vm {
     name: Arc<str>,
     id: u64,
@@ -54,49 +53,54 @@
     applied_index: u64,
 }
 
-/// A whole group.
+/// A group of simulated VMs.
 pub struct Group {
     vms: Vec<Vm>,
     pub now_ms: u64,
-    next_id: u64,
+    next_identity: u64,
     next_command: u64,
+    /// Messages in flight, with the indices of sender and receiver.
     network: Vec<(usize, usize, RaftMessage)>,
-    cut: BTreeSet<usize>,
-    /// VMs that are suspended: they do nothing, and what is sent to them waits.
-    frozen: BTreeSet<usize>,
-    /// Reads in progress: by request_id the highest index that anybody had applied when the read was asked for.
+    /// VMs that are partitioned: messages from and to them are lost.
+    partitioned: BTreeSet<usize>,
+    /// VMs that are suspended: they do nothing, and messages to them wait.
+    suspended: BTreeSet<usize>,
+    /// Pending reads by request id: the highest index that any replica had applied when the read was requested.
     reads: BTreeMap<u64, u64>,
     /// Reads that were answered.
     pub reads_answered: usize,
-    planted: Planted,
-    /// Number of voters to keep; all VMs vote without one.
+    bugs: InjectedBugs,
+    /// Number of voters to keep; `None` if all VMs are voters.
     voters: Option<usize>,
-    /// The command that was first applied at each index, by any replica.
-    chosen: BTreeMap<u64, (u64, u64)>,
-    /// Commands whose proposer was told that they are committed.
+    /// The term and command that a replica first applied at each index.
+    first_applied: BTreeMap<u64, (u64, u64)>,
+    /// Commands that were acknowledged to their proposer as committed.
     pub acknowledged: BTreeSet<u64>,
-    waiting: BTreeMap<(usize, u64), (u64, u64)>,
+    /// Proposals that are not applied yet: by VM and log index, the term and the command.
+    appended: BTreeMap<(usize, u64), (u64, u64)>,
+    /// Identity of the leader of each term.
     leaders: BTreeMap<u64, u64>,
     /// When the leader of each term was elected, in milliseconds.
     elected_ms: BTreeMap<u64, u64>,
+    /// Violations that the checks found.
     pub problems: Vec<String>,
     /// Messages sent so far.
     pub sent: usize,
-    /// Log entries in them.
+    /// Log entries in those messages.
     pub sent_entries: usize,
 }
 
 impl Group {
-    pub fn new(count: usize, planted: Planted) -> Self {
-        Self::build(count, None, planted)
+    pub fn new(count: usize, bugs: InjectedBugs) -> Self {
+        Self::build(count, None, bugs)
     }
 
-    /// A group that keeps `voters` voters out of `count` VMs; the first of them form it.
+    /// A group that keeps `voters` voters out of `count` VMs. The first `voters` VMs form it.
     pub fn with_voters(count: usize, voters: usize) -> Self {
-        Self::build(count, Some(voters), Planted::default())
+        Self::build(count, Some(voters), InjectedBugs::default())
     }
 
-    fn build(count: usize, voters: Option<usize>, planted: Planted) -> Self {
+    fn build(count: usize, voters: Option<usize>, bugs: InjectedBugs) -> Self {
         let vms = (0..count)
             .map(|index| Vm {
                 name: Arc::from(format!("vm{index}")),
@@ -110,18 +114,18 @@
         let mut group = Self {
             vms,
             now_ms: 1,
-            next_id: 1_000,
+            next_identity: 1_000,
             next_command: 1,
             network: Vec::new(),
-            cut: BTreeSet::new(),
-            frozen: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
+            suspended: BTreeSet::new(),
             reads: BTreeMap::new(),
             reads_answered: 0,
-            planted,
+            bugs,
             voters,
-            chosen: BTreeMap::new(),
+            first_applied: BTreeMap::new(),
             acknowledged: BTreeSet::new(),
-            waiting: BTreeMap::new(),
+            appended: BTreeMap::new(),
             leaders: BTreeMap::new(),
             elected_ms: BTreeMap::new(),
             problems: Vec::new(),
@@ -148,12 +152,12 @@
                 .as_mut()
                 .map(|replica| replica.form(members.clone()))
                 .unwrap_or_default();
-            group.carry_out(index, outputs);
+            group.execute(index, outputs);
         }
         group
     }
 
-    fn wanted(&self) -> VoterPolicy {
+    fn voter_policy(&self) -> VoterPolicy {
         match self.voters {
             Some(count) => VoterPolicy::Count {
                 count,
@@ -163,7 +167,7 @@
         }
     }
 
-    /// Names of the voters as the leader sees them.
+    /// Names of the voters, as the leader knows them.
     pub fn voter_names(&self) -> BTreeSet<String> {
         let leader = self
             .leader()
@@ -172,7 +176,7 @@
         members.into_iter().map(|member| member.name).collect()
     }
 
-    /// Starts a VM from what its disk holds.
+    /// Starts a VM with the state on its disk, unless it runs.
     pub fn start(&mut self, index: usize) {
         if self.vms[index].replica.is_some() {
             return;
@@ -182,7 +186,7 @@
             id: self.vms[index].id,
             name: self.vms[index].name.clone(),
             durable: true,
-            voter_policy: self.wanted(),
+            voter_policy: self.voter_policy(),
             heartbeat_ms: HEARTBEAT_MS,
             election_timeout_ms: ELECTION_MS,
             first_election_timeout_ms: 2 * HEARTBEAT_MS,
@@ -207,69 +211,70 @@
         vm.replica = Some(Replica::new(config, restored, now_ms));
     }
 
-    /// Kills a VM; only what was synced stays.
+    /// Kills a VM. Only what was synced stays, and messages in flight to it are lost.
     pub fn kill(&mut self, index: usize) {
         self.vms[index].replica = None;
         self.network.retain(|(_, to, _)| *to != index);
-        self.waiting.retain(|(vm, _), _| *vm != index);
+        self.appended.retain(|(vm, _), _| *vm != index);
     }
 
-    /// Kills a VM and starts it again at once; messages on their way to it still arrive.
+    /// Kills a VM and starts it again at once. Messages in flight to it still arrive.
     pub fn restart(&mut self, index: usize) {
         if self.vms[index].replica.is_some() {
             self.vms[index].replica = None;
-            self.waiting.retain(|(vm, _), _| *vm != index);
+            self.appended.retain(|(vm, _), _| *vm != index);
             self.start(index);
         }
     }
 
-    /// Kills a VM and empties its disk: it comes back with a new identity.
+    /// Kills a VM and empties its disk, so that it restarts with a new identity.
     pub fn lose_disk(&mut self, index: usize) {
         self.kill(index);
         self.vms[index].disk = Disk::default();
-        if !self.planted.keeps_identity {
-            self.vms[index].id = self.next_id;
-            self.next_id += 1;
+        if !self.bugs.keeps_identity_without_disk {
+            self.vms[index].id = self.next_identity;
+            self.next_identity += 1;
         }
     }
 
-    pub fn set_cut(&mut self, index: usize, cut: bool) {
-        if cut {
-            self.cut.insert(index);
+    /// Partitions a VM from all others, or heals the partition.
+    pub fn set_partitioned(&mut self, index: usize, partitioned: bool) {
+        if partitioned {
+            self.partitioned.insert(index);
         } else {
-            self.cut.remove(&index);
+            self.partitioned.remove(&index);
         }
     }
 
-    /// Suspends a VM, or lets it go on.
-    pub fn set_frozen(&mut self, index: usize, frozen: bool) {
-        if frozen {
-            self.frozen.insert(index);
+    /// Suspends a VM, or resumes it.
+    pub fn set_suspended(&mut self, index: usize, suspended: bool) {
+        if suspended {
+            self.suspended.insert(index);
         } else {
-            self.frozen.remove(&index);
+            self.suspended.remove(&index);
         }
     }
 
-    /// VMs that take themselves for the leader, suspended and cut off ones among them.
-    pub fn would_be_leaders(&self) -> Vec<usize> {
+    /// VMs that believe that they lead, including suspended and partitioned ones.
+    pub fn self_declared_leaders(&self) -> Vec<usize> {
         let leads = |vm: &Vm| vm.replica.as_ref().is_some_and(Replica::is_leader);
         (0..self.vms.len())
             .filter(|index| leads(&self.vms[*index]))
             .collect()
     }
 
-    /// Asks a VM for a read. Its answer must hold all that anybody had applied by now. A frozen VM takes it up later: that is for whoever
-    /// calls this to do then.
+    /// Requests a read from a VM. Its answer must include everything that any replica has applied by now. A suspended VM ignores the request;
+    /// the caller must repeat it later.
     pub fn read(&mut self, index: usize) {
         let request_id = self.next_command;
         self.next_command += 1;
-        let applied = self.chosen.keys().next_back().copied().unwrap_or(0);
+        let applied = self.first_applied.keys().next_back().copied().unwrap_or(0);
         self.reads.insert(request_id, applied);
-        if self.planted.reads_at_once {
+        if self.bugs.skips_read_confirmation {
             let replica = self.vms[index].replica.as_ref();
             if let Some(replica) = replica.filter(|replica| replica.is_leader()) {
                 let commit = replica.commit();
-                self.note_read(request_id, commit);
+                self.check_read(request_id, commit);
             }
             return;
         }
@@ -277,14 +282,14 @@
         self.step(index, Event::Flush);
     }
 
-    fn note_read(&mut self, request_id: u64, index: u64) {
+    fn check_read(&mut self, request_id: u64, index: u64) {
         let Some(applied) = self.reads.remove(&request_id) else {
             return;
         };
         self.reads_answered += 1;
         if index < applied {
             self.problems.push(format!(
-                "a read is answered as of {index}, though {applied} was applied before it was asked for"
+                "a read is answered as of {index}, though {applied} was applied before the read was requested"
             ));
         }
     }
@@ -297,7 +302,7 @@
         self.vms.iter().filter(|vm| vm.replica.is_some()).count()
     }
 
-    /// Voters as the leader with the newest term sees them, and which VMs of them run and hold that identity.
+    /// Number of voters, as the replica with the highest term and commit index knows them, and how many of them run under that identity.
     pub fn live_voters(&self) -> (usize, usize) {
         let newest = self
             .vms
@@ -316,9 +321,10 @@
         (members.len(), live)
     }
 
+    /// The leader with the highest term that is not partitioned.
     pub fn leader(&self) -> Option<usize> {
         (0..self.vms.len())
-            .filter(|index| !self.cut.contains(index))
+            .filter(|index| !self.partitioned.contains(index))
             .filter(|index| {
                 self.vms[*index]
                     .replica
@@ -328,7 +334,7 @@
             .max_by_key(|index| self.vms[*index].replica.as_ref().map_or(0, Replica::term))
     }
 
-    /// Lets time pass and every VM tick.
+    /// Advances the time and ticks every VM.
     pub fn advance(&mut self, by_ms: u64) {
         self.now_ms += by_ms;
         for index in 0..self.vms.len() {
@@ -336,7 +342,7 @@
         }
     }
 
-    /// Proposes a new command to a VM.
+    /// Proposes a new command on a VM.
     pub fn propose(&mut self, index: usize) {
         let number = self.next_command;
         self.next_command += 1;
@@ -350,21 +356,21 @@
         self.step(index, Event::Flush);
     }
 
-    /// Delivers the message at a place in the network; `repeat` leaves a copy there.
-    pub fn deliver(&mut self, place: usize, repeat: bool) {
+    /// Delivers the message at a position in the network, modulo its length. `keep_copy` leaves a copy there.
+    pub fn deliver(&mut self, position: usize, keep_copy: bool) {
         if self.network.is_empty() {
             return;
         }
-        let place = place % self.network.len();
-        let (from, to, message) = if repeat {
-            self.network[place].clone()
+        let position = position % self.network.len();
+        let (from, to, message) = if keep_copy {
+            self.network[position].clone()
         } else {
-            self.network.swap_remove(place)
+            self.network.swap_remove(position)
         };
-        if self.cut.contains(&from) || self.cut.contains(&to) {
+        if self.partitioned.contains(&from) || self.partitioned.contains(&to) {
             return;
         }
-        if self.frozen.contains(&to) {
+        if self.suspended.contains(&to) {
             self.network.push((from, to, message));
             return;
         }
@@ -372,43 +378,44 @@
         self.step(to, Event::Flush);
     }
 
-    pub fn drop_message(&mut self, place: usize) {
+    /// Loses the message at a position in the network, modulo its length.
+    pub fn drop_message(&mut self, position: usize) {
         if !self.network.is_empty() {
-            let place = place % self.network.len();
-            self.network.swap_remove(place);
+            let position = position % self.network.len();
+            self.network.swap_remove(position);
         }
     }
 
-    /// Delivers everything in order until nothing is on its way but to VMs that are suspended.
-    pub fn settle(&mut self) {
-        const MOST: usize = 20_000;
+    /// Delivers messages in order until none are in flight except those to suspended VMs.
+    pub fn deliver_all(&mut self) {
+        const MAX_DELIVERIES: usize = 20_000;
         let mut held = Vec::new();
-        for _ in 0..MOST {
+        for _ in 0..MAX_DELIVERIES {
             if self.network.is_empty() {
                 self.network = held;
                 return;
             }
             let (from, to, message) = self.network.remove(0);
-            if self.frozen.contains(&to) {
+            if self.suspended.contains(&to) {
                 held.push((from, to, message));
                 continue;
             }
-            if !self.cut.contains(&from) && !self.cut.contains(&to) {
+            if !self.partitioned.contains(&from) && !self.partitioned.contains(&to) {
                 self.step(to, Event::Receive(message));
             }
         }
         self.problems.push("messages without end".to_owned());
     }
 
-    /// Runs without faults for a while.
-    pub fn calm(&mut self, rounds: usize) {
+    /// Runs the group for this many rounds of a tick and the delivery of all messages.
+    pub fn run_rounds(&mut self, rounds: usize) {
         for _ in 0..rounds {
             self.advance(HEARTBEAT_MS / 2);
-            self.settle();
+            self.deliver_all();
         }
     }
 
-    /// Saves the state machine of a VM and compacts its log.
+    /// Takes a snapshot of a VM's state machine and compacts its log.
     pub fn snapshot(&mut self, index: usize) {
         let vm = &self.vms[index];
         let (at, state) = (vm.applied_index, encode(&vm.applied));
@@ -416,7 +423,7 @@
     }
 
     fn step(&mut self, index: usize, event: Event) {
-        if self.frozen.contains(&index) {
+        if self.suspended.contains(&index) {
             return;
         }
         let now_ms = self.now_ms;
@@ -430,7 +437,7 @@
         let confirmed_ms = replica.quorum_confirmed_ms(now_ms);
         if is_leader && !was_leader {
             self.elected_ms.insert(term, now_ms);
-            // Election safety: one leader a term.
+            // Election safety: at most one leader in a term.
             if let Some(other) = self.leaders.insert(term, id)
                 && other != id
             {
@@ -438,24 +445,24 @@
                     .push(format!("two leaders in term {term}: {other} and {id}"));
             }
         }
-        self.check_confirmed(term, confirmed_ms);
-        self.carry_out(index, outputs);
+        self.check_quorum_confirmed(term, confirmed_ms);
+        self.execute(index, outputs);
     }
 
-    /// A leader takes itself for the only one up to the time at which it says a majority supported it: no later one was elected before that.
-    fn check_confirmed(&mut self, term: u64, confirmed_ms: Option<u64>) {
+    /// Checks that no leader of a later term was elected before the time up to which this leader claims that a majority supported it.
+    fn check_quorum_confirmed(&mut self, term: u64, confirmed_ms: Option<u64>) {
         let later = self.elected_ms.range(term + 1..).next();
         if let (Some(confirmed_ms), Some((next, elected_ms))) = (confirmed_ms, later)
             && *elected_ms < confirmed_ms
         {
             let problem = format!(
-                "term {term} was confirmed for {confirmed_ms} ms, but term {next} began at {elected_ms} ms"
+                "term {term} was confirmed up to {confirmed_ms} ms, but term {next} began at {elected_ms} ms"
             );
             self.problems.push(problem);
         }
     }
 
-    fn carry_out(&mut self, index: usize, outputs: Vec<Output>) {
+    fn execute(&mut self, index: usize, outputs: Vec<Output>) {
         for output in &outputs {
             self.save(index, output);
         }
@@ -465,14 +472,14 @@
     }
 
     fn save(&mut self, index: usize, output: &Output) {
-        let planted = self.planted;
+        let bugs = self.bugs;
         let disk = &mut self.vms[index].disk;
         match output {
             Output::SaveVote { term, voted_for } => {
                 disk.term = *term;
-                disk.voted_for = if planted.forgets_votes { 0 } else { *voted_for };
+                disk.voted_for = if bugs.loses_votes { 0 } else { *voted_for };
             }
-            Output::SaveEntries(entries) if !planted.forgets_entries => {
+            Output::SaveEntries(entries) if !bugs.loses_entries => {
                 if let Some(first) = entries.first() {
                     disk.entries.retain(|entry| entry.index < first.index);
                 }
@@ -518,22 +525,22 @@
                 let vm = &mut self.vms[index];
                 vm.applied = decode(&state);
                 vm.applied_index = at;
-                self.waiting
-                    .retain(|(vm, waiting), _| *vm != index || *waiting > at);
+                self.appended
+                    .retain(|(vm, appended_at), _| *vm != index || *appended_at > at);
             }
             Output::Appended {
                 request_id,
                 index: at,
                 term,
             } => {
-                self.waiting.insert((index, at), (term, request_id));
+                self.appended.insert((index, at), (term, request_id));
             }
-            Output::ReadIndex { request_id, index } => self.note_read(request_id, index),
+            Output::ReadIndex { request_id, index } => self.check_read(request_id, index),
             _ => {}
         }
     }
 
-    /// Applies an entry, checking that every replica applies the same one at each index.
+    /// Applies an entry, and checks that all replicas apply the same entry at each index.
     fn apply(&mut self, index: usize, entry: &LogEntry) {
         let command = entry
             .command
@@ -541,7 +548,7 @@
             .try_into()
             .map_or(0, u64::from_le_bytes);
         let seen = *self
-            .chosen
+            .first_applied
             .entry(entry.index)
             .or_insert((entry.term, command));
         if seen != (entry.term, command) {
@@ -562,15 +569,15 @@
         if command != 0 {
             vm.applied.push(command);
         }
-        if let Some((term, request_id)) = self.waiting.remove(&(index, entry.index))
+        if let Some((term, request_id)) = self.appended.remove(&(index, entry.index))
             && term == entry.term
         {
             self.acknowledged.insert(request_id);
         }
     }
 
-    /// What must hold at the end of a run, after a calm time with every VM up: a leader, equal states, nothing
-    /// acknowledged lost.
+    /// Checks the invariants at the end of a run, after some time without faults and with every VM up: all states are equal and no
+    /// acknowledged command is lost.
     pub fn check_end(&mut self) {
         let longest = self
             .vms
--- a/crates/bh-consensus/tests/support/runner.rs
+++ b/crates/bh-consensus/tests/support/runner.rs
@@ -1,4 +1,4 @@
-//! The runner of random steps: its cases and seed come from the environment, else from the test.
+//! The runner of random steps. The environment may set its number of cases and its seed; otherwise the test does.
 
 use proptest::test_runner::Config;
 use proptest::test_runner::RngAlgorithm;
--- a/crates/bh-storage/tests/journal.rs
+++ b/crates/bh-storage/tests/journal.rs
@@ -1,7 +1,7 @@
-//! The journal when writes are cut short and bytes are damaged.
+//! Incomplete writes, damaged bytes and full disks against the journal; the identity of a data folder.
 #![expect(
     clippy::unwrap_used,
-    reason = "a test that meets the unexpected shall end"
+    reason = "an unexpected result must fail the test"
 )]
 
 use bh_protocol::Code;
@@ -37,8 +37,8 @@
     }
 }
 
-/// The process dies in the middle of a write: whatever part of the last record reached the disk is cut off, and all
-/// synced before it is there again.
+/// The process crashes in the middle of a write. The part of the last record that reached the disk is truncated, and all records synced before
+/// it are recovered.
 #[test]
 fn a_torn_tail_is_cut() {
     let folder = tempfile::tempdir().unwrap();
@@ -63,8 +63,8 @@
     assert_eq!(Journal::open(&path).unwrap().1.entries.len(), 5);
 }
 
-/// A byte in the middle went bad: going on would silently forget acknowledged entries, so the journal refuses with a
-/// code and the place.
+/// A byte in the middle of the journal is damaged. To go on would lose acknowledged entries silently, so the opening fails with a code and the
+/// position.
 #[test]
 fn a_damaged_middle_stops_with_a_code() {
     let folder = tempfile::tempdir().unwrap();
@@ -79,7 +79,7 @@
     assert!(failure.label.contains("at byte"), "{failure}");
 }
 
-/// A crash while a snapshot is written aside leaves the old journal; after the rename only the new one counts.
+/// A crash while the temporary file of a snapshot is written leaves the old journal in use. After the rename the new one is in use.
 #[test]
 fn a_snapshot_replaces_the_journal_as_a_whole() {
     let folder = tempfile::tempdir().unwrap();
@@ -123,8 +123,8 @@
     Err(std::io::Error::from(std::io::ErrorKind::StorageFull))
 }
 
-/// The disk takes half of a record and then no more. The journal says so, is as it was before, and takes the record once there is
-/// room: a replica that ended instead would be started again and again on a disk that is still full.
+/// The disk is full after half of a record. The journal returns an error, its file is as before, and a retry writes the record once there is
+/// space. A replica that stopped instead would be restarted again and again on a disk that is still full.
 #[test]
 fn a_full_disk_is_waited_out() {
     let folder = tempfile::tempdir().unwrap();
@@ -151,11 +151,11 @@
     assert_eq!(recovered.entries.len(), 3);
 }
 
-/// A folder that was emptied gives a new identity; one of another VM, or in use, is refused.
+/// A folder that was emptied gets a new identity. A folder of another VM, or one in use, is refused.
 #[test]
 fn identity_goes_with_the_folder() {
-    let place = tempfile::tempdir().unwrap();
-    let path = place.path().join("data");
+    let parent = tempfile::tempdir().unwrap();
+    let path = parent.path().join("data");
     let first = Folder::open(&path, "vm1").unwrap();
     assert_eq!(
         Folder::open(&path, "vm1").unwrap_err().code,
@@ -175,14 +175,14 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(20_261_202), ..ProptestConfig::default() })]
 
-    /// Arbitrary bytes are read without a panic, and what is read is never more than there is.
+    /// Decoding arbitrary bytes doesn't panic, and the headers of the decoded records fit in the bytes.
     #[test]
     fn fuzz_arbitrary_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let (records, _) = decode_all(&bytes);
         prop_assert!(records.len() * 8 <= bytes.len());
     }
 
-    /// One flipped bit anywhere never yields a record that was not written.
+    /// One flipped bit anywhere is detected, and only records that were written are decoded.
     #[test]
     fn fuzz_a_flipped_bit(bit in 0usize..2_000, count in 1u64..8) {
         let folder = tempfile::tempdir().unwrap();
@@ -190,8 +190,8 @@
         write(&path, count);
         let good = std::fs::read(&path).unwrap();
         let mut bytes = good.clone();
-        let place = bit % (bytes.len() * 8);
-        bytes[place / 8] ^= 1 << (place % 8);
+        let position = bit % (bytes.len() * 8);
+        bytes[position / 8] ^= 1 << (position % 8);
         let (whole, _) = decode_all(&good);
         let (read, problem) = decode_all(&bytes);
         prop_assert!(problem.is_some());
--- a/crates/bh-storage/tests/out_of_descriptors.rs
+++ b/crates/bh-storage/tests/out_of_descriptors.rs
@@ -1,4 +1,4 @@
-//! A process that has as many files and connections open as it may. Alone in its file: the limit holds for the whole process.
+//! A process that has reached its limit of open files and connections. The test is alone in its file, since the limit is per process.
 
 use bh_protocol::Code;
 use bh_protocol::wire::LogEntry;
@@ -10,9 +10,9 @@
 use rustix::process::getrlimit;
 use rustix::process::setrlimit;
 
-/// A leader has a connection to every worker of a fleet that has grown, and no descriptor is left when it writes its record anew. A process that
-/// took that for a failed disk ended, and the next leader had the same number of workers to talk to. The old record is untouched, so it goes
-/// on, and writes the new one once some connections are closed.
+/// A leader has a connection to every worker of a fleet that has grown, so no file descriptor is left when it replaces its journal. A process
+/// that took this for a failed disk stopped, and the next leader had the same number of connections. The old journal is intact, so the leader
+/// goes on with it and replaces it once some connections are closed.
 #[test]
 fn a_journal_that_cannot_be_replaced_for_want_of_descriptors_stays_in_force() {
     let folder = tempfile::tempdir().unwrap();
