--- a/crates/bh-consensus/src/config.rs
+++ b/crates/bh-consensus/src/config.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Which replicas the leader makes voters.
+/// Which replicas are to be voters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum VoterPolicy {
     /// The replicas on the VMs with these names.
--- a/crates/bh-consensus/src/log.rs
+++ b/crates/bh-consensus/src/log.rs
@@ -1,4 +1,4 @@
-//! The log in memory: the last snapshot and the entries that are kept.
+//! The log in memory: the last snapshot and the entries that were not dropped.
 
 use bh_protocol::wire::LogEntry;
 use bh_protocol::wire::Member;
--- a/crates/bh-consensus/src/membership.rs
+++ b/crates/bh-consensus/src/membership.rs
@@ -82,7 +82,7 @@
                 None => self.voters_with(*id, &p.name),
             });
         }
-        // A voter that the policy doesn't name is removed once all that it names are voters. A leader never removes itself.
+        // A voter that the policy doesn't name is removed once all that it names are voters. The leader doesn't remove itself here.
         let present = self
             .voters
             .iter()
--- a/crates/bh-consensus/src/progress.rs
+++ b/crates/bh-consensus/src/progress.rs
@@ -16,7 +16,7 @@
     pub matched: u64,
     /// Index of the next entry to send.
     pub next: u64,
-    /// When the replica last answered.
+    /// When the replica last answered or, as an observer, announced itself.
     pub last_contact_ms: u64,
     /// Latest time, in milliseconds, at which the replica certainly knew of no later leader: when the leader sent the latest message that it
     /// answered. The time at which the leader reads the answer doesn't show that, since the answer may have waited in a buffer.
--- a/crates/bh-group/src/driver.rs
+++ b/crates/bh-group/src/driver.rs
@@ -71,7 +71,7 @@
     next_request_id: u64,
     /// Proposals that are not appended yet, by request id.
     proposals: BTreeMap<u64, ProposalReply>,
-    /// By log index.
+    /// Appended proposals by log index.
     appended: BTreeMap<u64, AppendedProposal>,
     /// Reads that are not confirmed yet, by request id.
     reads: BTreeMap<u64, ReadReply>,
