--- a/crates/bh-control/src/core/driver.rs
+++ b/crates/bh-control/src/core/driver.rs
@@ -3,7 +3,7 @@
 use super::core_node::CoreNode;
 use crate::config::LocalConfig;
 use bh_consensus::Config;
-use bh_consensus::Wanted;
+use bh_consensus::VoterPolicy;
 use bh_group::Driver;
 use bh_group::Group;
 use bh_group::Hooks;
@@ -64,19 +64,19 @@
 ) -> Result<(Driver<Workload>, Group<Workload>), Failure> {
     let consensus = Config {
         group: Arc::from(GROUP),
-        id: folder.replica(),
+        id: folder.replica_id(),
         // A VM is identified by its address: a replaced VM comes back under another one, a wiped VM under the same.
         name: Arc::from(config.ip.to_string()),
         durable: true,
-        wanted_voters: Wanted::Count {
+        voter_policy: VoterPolicy::Count {
             count: config.voters(),
             replace_after_ms: REPLACE_AFTER_MS,
         },
         heartbeat_ms: HEARTBEAT_INTERVAL_MS,
-        election_ms: ELECTION_TIMEOUT_MS,
-        first_election_ms: FIRST_ELECTION_TIMEOUT_MS,
+        election_timeout_ms: ELECTION_TIMEOUT_MS,
+        first_election_timeout_ms: FIRST_ELECTION_TIMEOUT_MS,
         election_delay_ms: 0,
-        seed: folder.replica(),
+        seed: folder.replica_id(),
     };
     let machine = Machine::new(Workload::default(), Workload::CODEC);
     let storage = Some(folder.journal(GROUP)?);
--- a/crates/bh-control/src/core/leader_loop.rs
+++ b/crates/bh-control/src/core/leader_loop.rs
@@ -69,7 +69,7 @@
     let status = core.group.status();
     let led_term = core.leadership.borrow().as_ref().map(|held| held.term);
     if !status.is_leader {
-        core.last_led_ms.set(status.heard_ms);
+        core.last_led_ms.set(status.last_leader_contact_ms);
         if led_term.is_some() {
             step_down(core, "another leads, or no majority answers");
         }
@@ -84,8 +84,8 @@
     }
     let now_ms = core.clock.now_ms();
     let confirmed = status
-        .quorum_heard_ms
-        .is_some_and(|heard_ms| now_ms < heard_ms + QUORUM_TIMEOUT_MS);
+        .quorum_confirmed_ms
+        .is_some_and(|confirmed_ms| now_ms < confirmed_ms + QUORUM_TIMEOUT_MS);
     if !confirmed {
         surveys::survey(core, confirmed);
         return;
--- a/crates/bh-storage/src/folder.rs
+++ b/crates/bh-storage/src/folder.rs
@@ -1,9 +1,9 @@
-//! The data folder and the identity it gives its VM.
+//! The data folder, which holds the identity of its VM's replicas.
 
 use crate::journal::Journal;
 use crate::journal::disk_failed;
 use crate::journal::sync_parent;
-use crate::recovered::Recovered;
+use crate::recovered_state::RecoveredState;
 use bh_protocol::Code;
 use bh_protocol::Failure;
 use std::fs::File;
@@ -17,20 +17,19 @@
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
-    replica: u64,
+    replica_id: u64,
     _lock: File,
 }
 
 impl Folder {
-    /// Opens the folder at `path` for the VM `name`, creating it when there is none.
+    /// Opens the folder at `path` for the VM `name`, creating the folder if there is none.
     ///
-    /// The first opening draws a random replica identity and syncs it. A folder that was emptied therefore gives a
-    /// new identity: the replica it was is never heard of again, so it cannot vote twice in a term or forget what
-    /// it acknowledged.
+    /// The first opening draws a random replica identity and syncs it. A folder that was emptied therefore gets a new identity. The old
+    /// identity is never used again, so no replica votes twice in a term or forgets entries that it acknowledged.
     ///
     /// # Errors
     ///
-    /// [`Code::FolderInUse`] when the folder is another VM's or another process uses it, [`Code::DiskFailed`].
+    /// [`Code::FolderInUse`] if the folder belongs to another VM or another process uses it, [`Code::DiskFailed`].
     pub fn open(path: impl Into<PathBuf>, name: &str) -> Result<Folder, Failure> {
         let path = path.into();
         std::fs::create_dir_all(&path).map_err(|error| disk_failed(&path, &error))?;
@@ -41,8 +40,8 @@
                 format!("{} is in use by another process", path.display()),
             ));
         }
-        let replica = match read_identity(&path)? {
-            Some((owner, replica)) if owner == name => replica,
+        let replica_id = match read_identity(&path)? {
+            Some((owner, replica_id)) if owner == name => replica_id,
             Some((owner, _)) => {
                 return Err(Failure::new(
                     Code::FolderInUse,
@@ -53,22 +52,22 @@
         };
         Ok(Folder {
             path,
-            replica,
+            replica_id,
             _lock: lock,
         })
     }
 
     /// Identity of the replicas in this folder.
-    pub fn replica(&self) -> u64 {
-        self.replica
+    pub fn replica_id(&self) -> u64 {
+        self.replica_id
     }
 
-    /// Opens the journal of `group`; `/` in the name is written as `_`.
+    /// Opens the journal of `group`. Its file name is the group's name with `_` for `/`.
     ///
     /// # Errors
     ///
-    /// As [`Journal::open`].
-    pub fn journal(&self, group: &str) -> Result<(Journal, Recovered), Failure> {
+    /// Those of [`Journal::open`].
+    pub fn journal(&self, group: &str) -> Result<(Journal, RecoveredState), Failure> {
         Journal::open(
             self.path
                 .join(format!("{}.journal", group.replace('/', "_"))),
@@ -81,12 +80,12 @@
     }
 }
 
-/// A random replica identity, never 0.
+/// A random replica identity, which is never 0.
 ///
 /// # Errors
 ///
-/// [`Code::Internal`] when the system has no random numbers.
-pub fn random_replica() -> Result<u64, Failure> {
+/// [`Code::Internal`] if the system gives no random numbers.
+pub fn random_replica_id() -> Result<u64, Failure> {
     let number = getrandom::u64()
         .map_err(|error| Failure::new(Code::Internal, format!("no random numbers: {error}")))?;
     Ok(number.max(1))
@@ -113,17 +112,17 @@
 }
 
 fn write_identity(path: &Path, name: &str) -> Result<u64, Failure> {
-    let replica = random_replica()?;
+    let replica_id = random_replica_id()?;
     let file = path.join(IDENTITY_FILE);
-    let aside = path.join("identity.new");
+    let temporary = path.join("identity.new");
     let write = || -> std::io::Result<()> {
-        let mut handle = File::create(&aside)?;
-        handle.write_all(format!("{name} {replica:016x}\n").as_bytes())?;
+        let mut handle = File::create(&temporary)?;
+        handle.write_all(format!("{name} {replica_id:016x}\n").as_bytes())?;
         handle.sync_all()?;
-        std::fs::rename(&aside, &file)?;
+        std::fs::rename(&temporary, &file)?;
         sync_parent(&file)?;
         sync_parent(path)
     };
     write().map_err(|error| disk_failed(&file, &error))?;
-    Ok(replica)
+    Ok(replica_id)
 }
