--- a/crates/bh-testkit/src/model_worker.rs
+++ b/crates/bh-testkit/src/model_worker.rs
@@ -14,9 +14,9 @@
 
 /// A worker that breaks the protocol, to see the checks catch what follows from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Planted {
+pub enum ProtocolFault {
     /// It keeps the protocol.
-    Nothing,
+    None,
     /// Its clock runs at half the rate, so its leases last twice as long as the leader reckons.
     HalfClock,
     /// It takes runs that were stopped before they came.
@@ -72,12 +72,12 @@
     pub lapses: u64,
     /// Highest number of an end that was listed when the lease last ran out.
     lapsed_to: u64,
-    planted: Planted,
+    planted: ProtocolFault,
 }
 
 impl ModelWorker {
     /// A worker that runs nothing and started at time 0 of the site. `rate` is in thousandths; `offset_ms` is what its clock showed then.
-    pub fn new(id: Incarnation, rate: u64, offset_ms: u64, planted: Planted) -> Self {
+    pub fn new(id: Incarnation, rate: u64, offset_ms: u64, planted: ProtocolFault) -> Self {
         Self {
             id,
             rate,
@@ -104,7 +104,7 @@
 
     /// What its clock shows at `now_ms` of the site.
     pub fn clock_ms(&self, now_ms: u64) -> u64 {
-        let rate = if self.planted == Planted::HalfClock {
+        let rate = if self.planted == ProtocolFault::HalfClock {
             self.rate / 2
         } else {
             self.rate
@@ -138,12 +138,12 @@
         let all: Vec<RunId> = self.runs.keys().copied().collect();
         for run in all {
             let state = self.runs[&run].clone();
-            if clock_ms >= self.lease_until_ms && self.planted != Planted::IgnoresLease {
+            if clock_ms >= self.lease_until_ms && self.planted != ProtocolFault::IgnoresLease {
                 self.end(run, EndKind::Lapsed);
             } else if state.stopping_ms.is_some_and(|at_ms| now_ms >= at_ms) {
                 self.end(run, EndKind::Stopped);
             } else if state.done_ms.is_some_and(|done_ms| now_ms >= done_ms)
-                && self.planted != Planted::NeverEnds
+                && self.planted != ProtocolFault::NeverEnds
             {
                 let kind = if state.fails {
                     EndKind::Failed
@@ -201,7 +201,7 @@
                 ..
             } => {
                 let late = self.clock_ms(now_ms) >= *lease_until_ms;
-                if late && self.planted != Planted::IgnoresLease {
+                if late && self.planted != ProtocolFault::IgnoresLease {
                     return denied(Denial::Late);
                 }
                 self.extend_lease(now_ms, *lease_until_ms);
@@ -209,7 +209,7 @@
                     return (done, None);
                 }
                 let fence = self.fenced.get(&run.task).copied().unwrap_or(0);
-                if run.attempt <= fence && self.planted != Planted::ForgetsStops {
+                if run.attempt <= fence && self.planted != ProtocolFault::ForgetsStops {
                     return denied(Denial::Outdated);
                 }
                 let state = ModelRun {
@@ -264,7 +264,7 @@
             load: 0,
         });
         let skipped = match self.planted {
-            Planted::SkipsEnds => self.ended.len().saturating_sub(1),
+            ProtocolFault::SkipsEnds => self.ended.len().saturating_sub(1),
             _ => 0,
         };
         Report {
@@ -282,9 +282,8 @@
     /// How it lists an end.
     fn listed(&self, end: &Ended) -> Ended {
         let kind = match (self.planted, end.kind) {
-            (Planted::HidesSuccess, EndKind::Done) | (Planted::HidesFailures, EndKind::Failed) => {
-                EndKind::Lapsed
-            }
+            (ProtocolFault::HidesSuccess, EndKind::Done)
+            | (ProtocolFault::HidesFailures, EndKind::Failed) => EndKind::Lapsed,
             (_, kind) => kind,
         };
         Ended {
--- a/crates/bh-workload/tests/delays/faults.rs
+++ b/crates/bh-workload/tests/delays/faults.rs
@@ -1,7 +1,7 @@
 //! What is done to a site while its jobs run.
 
 use super::fleet::Fleet;
-use bh_testkit::model_worker::Planted;
+use bh_testkit::model_worker::ProtocolFault;
 use proptest::prelude::*;
 
 /// Workers of a site.
@@ -108,7 +108,7 @@
     /// When each fault begins, in milliseconds.
     pub faults: Vec<(u64, Fault)>,
     /// What the workers do wrong.
-    pub planted: Planted,
+    pub planted: ProtocolFault,
     /// Whether some steps are gangs.
     pub gangs: bool,
     pub fleet: Fleet,
@@ -176,7 +176,7 @@
                 failing_percent,
                 busy_percent,
                 faults,
-                planted: Planted::Nothing,
+                planted: ProtocolFault::None,
                 gangs: false,
                 fleet: Fleet::SMALL,
             },
@@ -247,7 +247,7 @@
                 failing_percent,
                 busy_percent: 0,
                 faults: faults.collect(),
-                planted: Planted::Nothing,
+                planted: ProtocolFault::None,
                 gangs: true,
                 fleet,
             }
--- a/crates/bh-workload/tests/fuzz_delays.rs
+++ b/crates/bh-workload/tests/fuzz_delays.rs
@@ -8,7 +8,7 @@
 mod delays;
 mod support;
 
-use bh_testkit::model_worker::Planted;
+use bh_testkit::model_worker::ProtocolFault;
 use delays::Reached;
 use delays::Stretch;
 use delays::faults::Case;
@@ -280,7 +280,7 @@
         failing_percent,
         busy_percent: 0,
         faults,
-        planted: Planted::Nothing,
+        planted: ProtocolFault::None,
         gangs: false,
         fleet: Fleet::SMALL,
     }
@@ -485,14 +485,17 @@
 
 /// Each fault is planted in the workers in turn, and must show as the rule that it breaks. A check that lets all of them pass would prove nothing.
 #[rstest]
-#[case(Planted::HalfClock, Rule::OneAtOnce)]
-#[case(Planted::IgnoresLease, Rule::OneAtOnce)]
-#[case(Planted::ForgetsStops, Rule::OneAtOnce)]
-#[case(Planted::HidesSuccess, Rule::NotAfterDone)]
-#[case(Planted::HidesFailures, Rule::NotAfterFailures)]
-#[case(Planted::SkipsEnds, Rule::RecordedFirst)]
-#[case(Planted::NeverEnds, Rule::JobsEnd)]
-fn a_worker_that_breaks_the_protocol_is_noticed(#[case] planted: Planted, #[case] rule: Rule) {
+#[case(ProtocolFault::HalfClock, Rule::OneAtOnce)]
+#[case(ProtocolFault::IgnoresLease, Rule::OneAtOnce)]
+#[case(ProtocolFault::ForgetsStops, Rule::OneAtOnce)]
+#[case(ProtocolFault::HidesSuccess, Rule::NotAfterDone)]
+#[case(ProtocolFault::HidesFailures, Rule::NotAfterFailures)]
+#[case(ProtocolFault::SkipsEnds, Rule::RecordedFirst)]
+#[case(ProtocolFault::NeverEnds, Rule::JobsEnd)]
+fn a_worker_that_breaks_the_protocol_is_noticed(
+    #[case] planted: ProtocolFault,
+    #[case] rule: Rule,
+) {
     let config = ProptestConfig {
         max_shrink_iters: 0,
         ..config()
--- a/crates/bh-workload/tests/fuzz_orders.rs
+++ b/crates/bh-workload/tests/fuzz_orders.rs
@@ -11,7 +11,7 @@
 use bh_protocol::Incarnation;
 use bh_testkit::Random;
 use bh_testkit::model_worker::ModelWorker;
-use bh_testkit::model_worker::Planted;
+use bh_testkit::model_worker::ProtocolFault;
 use bh_workload::dispatch::Answer;
 use bh_workload::dispatch::Dispatcher;
 use bh_workload::dispatch::Order;
@@ -156,7 +156,7 @@
     random: Random,
     term: u64,
     failing_percent: u64,
-    planted: Planted,
+    planted: ProtocolFault,
     jobs: Vec<JobId>,
     cancelled_ms: BTreeMap<JobId, u64>,
     /// Runs recorded as lost: their worker's lease had run out unseen.
@@ -870,7 +870,7 @@
         .map_or(0, |spec| spec.needs.accelerators)
 }
 
-fn run(seed: u64, failing_percent: u64, faults: &[(u64, Fault)], planted: Planted) {
+fn run(seed: u64, failing_percent: u64, faults: &[(u64, Fault)], planted: ProtocolFault) {
     run_with_crashing(seed, failing_percent, faults, planted, 0);
 }
 
@@ -880,7 +880,7 @@
     seed: u64,
     failing_percent: u64,
     faults: &[(u64, Fault)],
-    planted: Planted,
+    planted: ProtocolFault,
     crashing: usize,
 ) -> (u32, usize) {
     let summary = run_with_restarts(seed, failing_percent, faults, planted, (crashing, false));
@@ -902,7 +902,7 @@
     seed: u64,
     failing_percent: u64,
     faults: &[(u64, Fault)],
-    planted: Planted,
+    planted: ProtocolFault,
     (crashing, reuses_ids): (usize, bool),
 ) -> Summary {
     let mut site = Site::new(WORKERS, 2);
@@ -1033,7 +1033,7 @@
         failing_percent in prop_oneof![3 => Just(0u64), 1 => 1u64..15],
         faults in proptest::collection::vec(fault(), 0..12),
     ) {
-        run(seed, failing_percent, &faults, Planted::Nothing);
+        run(seed, failing_percent, &faults, ProtocolFault::None);
     }
 }
 
@@ -1047,7 +1047,7 @@
         failing_percent in prop_oneof![3 => Just(0u64), 1 => 1u64..15],
         faults in proptest::collection::vec(carried_fault(), 0..12),
     ) {
-        run(seed, failing_percent, &faults, Planted::Nothing);
+        run(seed, failing_percent, &faults, ProtocolFault::None);
     }
 }
 
@@ -1062,7 +1062,7 @@
         crashing in 1usize..4,
         faults in proptest::collection::vec(carried_fault(), 0..12),
     ) {
-        run_with_crashing(seed, 0, &faults, Planted::Nothing, crashing);
+        run_with_crashing(seed, 0, &faults, ProtocolFault::None, crashing);
     }
 }
 
@@ -1077,7 +1077,7 @@
         crashing in 0usize..3,
         faults in proptest::collection::vec(shrinking_fault(), 2..14),
     ) {
-        run_with_crashing(seed, 0, &faults, Planted::Nothing, crashing);
+        run_with_crashing(seed, 0, &faults, ProtocolFault::None, crashing);
     }
 }
 
@@ -1092,7 +1092,7 @@
         crashing in 0usize..2,
         faults in proptest::collection::vec(evacuating_fault(), 2..14),
     ) {
-        run_with_crashing(seed, 0, &faults, Planted::Nothing, crashing);
+        run_with_crashing(seed, 0, &faults, ProtocolFault::None, crashing);
     }
 }
 
@@ -1109,7 +1109,7 @@
     ) {
         let mut faults = faults;
         faults.push((0, Fault::SlowBreaks));
-        run(seed, failing_percent, &faults, Planted::Nothing);
+        run(seed, failing_percent, &faults, ProtocolFault::None);
     }
 }
 
@@ -1131,7 +1131,7 @@
         failing_percent in prop_oneof![3 => Just(0u64), 1 => 1u64..15],
         faults in proptest::collection::vec(restarting_fault(), 2..14),
     ) {
-        run_with_restarts(seed, failing_percent, &faults, Planted::Nothing, (0, true));
+        run_with_restarts(seed, failing_percent, &faults, ProtocolFault::None, (0, true));
     }
 }
 
@@ -1148,7 +1148,7 @@
             restart(6_001, 0),
             restart(9_001, 2),
         ];
-        let summary = run_with_restarts(seed, 0, &faults, Planted::Nothing, (0, true));
+        let summary = run_with_restarts(seed, 0, &faults, ProtocolFault::None, (0, true));
         reached += u64::from(summary.restart_reports > 0);
     }
     assert!(reached * 2 > SEEDS, "{reached} of {SEEDS}");
@@ -1160,7 +1160,13 @@
 fn a_crash_in_the_moment_of_the_lapse_counts_once() {
     let late = |percent, for_ms| Fault::Late { percent, for_ms };
     let faults = [(8_451, late(28, 5_950)), (14_401, late(40, 5_900))];
-    run_with_crashing(18_040_824_988_759_608_289, 0, &faults, Planted::Nothing, 3);
+    run_with_crashing(
+        18_040_824_988_759_608_289,
+        0,
+        &faults,
+        ProtocolFault::None,
+        3,
+    );
 }
 
 /// A worker is cut off, shrinks to nothing behind the cut, and another core is elected meanwhile, which finds it silent. It answers again a
@@ -1200,7 +1206,13 @@
         ),
         (18_151, Fault::Leader),
     ];
-    run_with_crashing(5_824_376_788_456_637_682, 0, &faults, Planted::Nothing, 2);
+    run_with_crashing(
+        5_824_376_788_456_637_682,
+        0,
+        &faults,
+        ProtocolFault::None,
+        2,
+    );
 }
 
 /// Tasks that crash their workers, and no other fault: two workers are lost to each where that is enough to know it, three at most, and no
@@ -1211,7 +1223,7 @@
     const MOST_CRASHES: u32 = 3;
     for seed in 0..SEEDS {
         let crashing = 1 + usize::try_from(seed % 3).unwrap();
-        let (most, sound) = run_with_crashing(seed, 0, &[], Planted::Nothing, crashing);
+        let (most, sound) = run_with_crashing(seed, 0, &[], ProtocolFault::None, crashing);
         assert!(most <= MOST_CRASHES, "seed {seed}: {most} crashes");
         assert_eq!(sound, 0, "seed {seed}: sound jobs given up");
     }
@@ -1219,10 +1231,10 @@
 
 /// Each fault is planted in the workers in turn. A check that lets all of them pass would prove nothing of the leader.
 #[rstest]
-#[case(Planted::HalfClock)]
-#[case(Planted::ForgetsStops)]
-#[case(Planted::IgnoresLease)]
-fn a_worker_that_breaks_the_protocol_is_noticed(#[case] planted: Planted) {
+#[case(ProtocolFault::HalfClock)]
+#[case(ProtocolFault::ForgetsStops)]
+#[case(ProtocolFault::IgnoresLease)]
+fn a_worker_that_breaks_the_protocol_is_noticed(#[case] planted: ProtocolFault) {
     const CASES: u32 = 400;
     let config = ProptestConfig {
         cases: CASES,
