--- a/crates/bh-testkit/src/model_worker.rs
+++ b/crates/bh-testkit/src/model_worker.rs
@@ -129,7 +129,7 @@
     }
 
     /// Lets time pass: leases run out, stops take effect, work is done.
-    pub fn pass(&mut self, now_ms: u64) {
+    pub fn advance(&mut self, now_ms: u64) {
         let clock_ms = self.clock_ms(now_ms);
         if self.is_leased && clock_ms >= self.lease_until_ms {
             self.is_leased = false;
@@ -183,7 +183,7 @@
         run_ms: u64,
         fails: bool,
     ) -> (Answer, Option<RunId>) {
-        self.pass(now_ms);
+        self.advance(now_ms);
         let clock_ms = Some(self.clock_ms(now_ms));
         let denied = |denial| (Answer::Denied { clock_ms, denial }, None);
         if token < self.token {
--- a/crates/bh-workload/tests/delays/site.rs
+++ b/crates/bh-workload/tests/delays/site.rs
@@ -365,7 +365,7 @@
         let now_ms = self.now_ms;
         for index in 0..self.workers.len() {
             let worker = &mut self.workers[index];
-            worker.pass(now_ms);
+            worker.advance(now_ms);
             let known = self.listed[index].last().map_or(0, |end| end.0);
             let newer = worker.ended.iter().filter(|end| end.number > known);
             let newer: Vec<_> = newer.map(|end| (end.number, end.run, end.kind)).collect();
--- a/crates/bh-workload/tests/fuzz_orders.rs
+++ b/crates/bh-workload/tests/fuzz_orders.rs
@@ -358,7 +358,7 @@
         let OrderBody::Look { recorded_to, .. } = order else {
             return Vec::new();
         };
-        self.workers[index].pass(self.site.now_ms);
+        self.workers[index].advance(self.site.now_ms);
         let noted = self.workers[index].noted_by(*recorded_to);
         let done = noted.filter(|end| end.kind == EndKind::Done);
         done.map(|end| end.run.task).collect()
@@ -812,7 +812,7 @@
         self.evacuate();
         self.bring_back();
         for worker in &mut self.workers {
-            worker.pass(now_ms);
+            worker.advance(now_ms);
         }
         self.pass_gangs();
         let (due, later): (Vec<Held>, Vec<Held>) = std::mem::take(&mut self.held)
