--- a/crates/bh-testkit/src/model_worker.rs
+++ b/crates/bh-testkit/src/model_worker.rs
@@ -175,7 +175,7 @@
     }
 
     /// Carries an order out; returns the answer, and the run that began.
-    pub fn take(
+    pub fn handle_order(
         &mut self,
         now_ms: u64,
         token: u64,
--- a/crates/bh-workload/tests/delays/network.rs
+++ b/crates/bh-workload/tests/delays/network.rs
@@ -226,7 +226,7 @@
             wait_ms: 0,
         };
         let now_ms = self.now_ms;
-        match self.workers[index].take(now_ms, order.fencing_token(), &body, 0, false) {
+        match self.workers[index].handle_order(now_ms, order.fencing_token(), &body, 0, false) {
             (Answer::Done { clock_ms, .. }, _) => Answer::Denied {
                 clock_ms,
                 denial: Denial::NoRoom,
@@ -246,8 +246,13 @@
         });
         let fails = self.chance(self.case.failing_percent.max(fails_all));
         let run_ms = self.run_ms(fails);
-        let (answer, began) =
-            self.workers[index].take(now_ms, order.fencing_token(), &order.body, run_ms, fails);
+        let (answer, began) = self.workers[index].handle_order(
+            now_ms,
+            order.fencing_token(),
+            &order.body,
+            run_ms,
+            fails,
+        );
         self.reached.misdelivered += usize::from(is_restarted);
         if let Some(run) = began
             && is_restarted
--- a/crates/bh-workload/tests/fuzz_orders.rs
+++ b/crates/bh-workload/tests/fuzz_orders.rs
@@ -310,8 +310,13 @@
         let run_ms = 500 + self.random.below(4_000);
         let fails = self.random.below(100) < self.failing_percent;
         let before = self.site.workload.clone();
-        let (answer, began) =
-            self.workers[index].take(now_ms, order.fencing_token(), &order.body, run_ms, fails);
+        let (answer, began) = self.workers[index].handle_order(
+            now_ms,
+            order.fencing_token(),
+            &order.body,
+            run_ms,
+            fails,
+        );
         if matches!(answer, Answer::Done { .. }) {
             self.noted_done.extend(done);
         }
