--- a/crates/bh-testkit/src/model_worker.rs
+++ b/crates/bh-testkit/src/model_worker.rs
@@ -169,7 +169,7 @@
     }
 
     /// Ends that a cursor at `recorded_to` takes note of: those between which and the cursor the lease has not run out.
-    pub fn noted_by(&self, recorded_to: u64) -> impl Iterator<Item = &Ended> {
+    pub fn acknowledged_ends(&self, recorded_to: u64) -> impl Iterator<Item = &Ended> {
         let ends = self.ended.iter();
         ends.filter(move |end| end.number <= recorded_to && end.number > self.lapsed_to)
     }
--- a/crates/bh-workload/tests/fuzz_orders.rs
+++ b/crates/bh-workload/tests/fuzz_orders.rs
@@ -364,7 +364,7 @@
             return Vec::new();
         };
         self.workers[index].advance(self.site.now_ms);
-        let noted = self.workers[index].noted_by(*recorded_to);
+        let noted = self.workers[index].acknowledged_ends(*recorded_to);
         let done = noted.filter(|end| end.kind == EndKind::Done);
         done.map(|end| end.run.task).collect()
     }
