--- a/crates/beechhollow/tests/requests.rs
+++ b/crates/beechhollow/tests/requests.rs
@@ -4,7 +4,7 @@
 
 use bh_testkit::Cluster;
 use bh_testkit::Faults;
-use bh_testkit::history::RequestSeen;
+use bh_testkit::history::ObservedRequest;
 use bh_testkit::history::check_requests;
 use rstest::rstest;
 use std::collections::BTreeMap;
@@ -164,7 +164,7 @@
         let answer =
             bh_testkit::http_raw::post(address, path, &[("idempotency-key", key)], key.as_bytes());
         let body = (answer.code() == Some(0)).then(|| answer.text());
-        RequestSeen {
+        ObservedRequest {
             key: key.to_owned(),
             ran: answer.header("x-ran").map(str::to_owned),
             body,
--- a/crates/beechhollow/tests/settings.rs
+++ b/crates/beechhollow/tests/settings.rs
@@ -8,8 +8,8 @@
 
 use bh_testkit::Cluster;
 use bh_testkit::cluster::ADMINISTRATOR_SHA256;
-use bh_testkit::history::ChangeSeen;
-use bh_testkit::history::ReadSeen;
+use bh_testkit::history::ObservedChange;
+use bh_testkit::history::ObservedRead;
 use bh_testkit::history::check_changes;
 use bh_testkit::history::check_reads;
 use std::sync::Mutex;
@@ -35,7 +35,7 @@
     number: usize,
     start: Instant,
     until: &AtomicBool,
-    seen: &Mutex<Vec<ChangeSeen>>,
+    seen: &Mutex<Vec<ObservedChange>>,
 ) {
     let mut count = 0;
     while !until.load(Ordering::SeqCst) {
@@ -54,7 +54,7 @@
                 Some(code) if answer.header("x-ran") == Some("no") => Some(Err(code)),
                 _ => None,
             };
-            let change = ChangeSeen {
+            let change = ObservedChange {
                 change_id: change_id.clone(),
                 base_revision,
                 sent,
@@ -71,12 +71,12 @@
     entry: &str,
     start: Instant,
     until: &AtomicBool,
-    seen: &Mutex<Vec<ReadSeen>>,
+    seen: &Mutex<Vec<ObservedRead>>,
 ) {
     while !until.load(Ordering::SeqCst) {
         let at = micros(start);
         if let Some(revision) = cluster.revision(entry) {
-            seen.lock().unwrap().push(ReadSeen {
+            seen.lock().unwrap().push(ObservedRead {
                 entry: entry.to_owned(),
                 at,
                 revision,
--- a/crates/bh-testkit/src/history.rs
+++ b/crates/bh-testkit/src/history.rs
@@ -5,7 +5,7 @@
 
 /// One change of settings as its operator saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ChangeSeen {
+pub struct ObservedChange {
     /// Id of the change.
     pub change_id: String,
     /// Revision it was made against.
@@ -20,7 +20,7 @@
 
 /// One read of what is in force on an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ReadSeen {
+pub struct ObservedRead {
     /// Entry.
     pub entry: String,
     /// When it was read.
@@ -31,10 +31,10 @@
 
 /// Checks changes of one subtree made by racing operators: the accepted ones form one chain, each made against the one
 /// before it, in an order that real time allows; and the same change never has two answers.
-pub fn check_changes(changes: &[ChangeSeen]) -> Vec<String> {
+pub fn check_changes(changes: &[ObservedChange]) -> Vec<String> {
     let mut problems = Vec::new();
     let mut by_id: BTreeMap<&str, u64> = BTreeMap::new();
-    let mut accepted: BTreeMap<u64, &ChangeSeen> = BTreeMap::new();
+    let mut accepted: BTreeMap<u64, &ObservedChange> = BTreeMap::new();
     for change in changes {
         let Some(Ok(revision)) = change.answer else {
             continue;
@@ -67,7 +67,7 @@
             }
         }
     }
-    let chain: Vec<(&u64, &&ChangeSeen)> = accepted.iter().collect();
+    let chain: Vec<(&u64, &&ObservedChange)> = accepted.iter().collect();
     for pair in chain.windows(2) {
         let ((earlier, _), (later, change)) = (pair[0], pair[1]);
         if change.base_revision < *earlier {
@@ -95,10 +95,10 @@
 }
 
 /// Checks that no entry ever goes back, and that what a later read on the same entry shows is not older.
-pub fn check_reads(reads: &[ReadSeen]) -> Vec<String> {
+pub fn check_reads(reads: &[ObservedRead]) -> Vec<String> {
     let mut newest: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
     let mut problems = Vec::new();
-    let mut ordered: Vec<&ReadSeen> = reads.iter().collect();
+    let mut ordered: Vec<&ObservedRead> = reads.iter().collect();
     ordered.sort_by_key(|read| read.at);
     for read in ordered {
         let (revision, at) = newest
@@ -118,7 +118,7 @@
 
 /// One answer to a non-idempotent request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RequestSeen {
+pub struct ObservedRequest {
     /// Its key.
     pub key: String,
     /// Whether the answer says that it ran: `yes`, `no` or `unknown`; `None` when the answer was lost.
@@ -128,14 +128,14 @@
 }
 
 /// Checks the answers about non-idempotent requests against how often workers ran each key.
-pub fn check_requests(answers: &[RequestSeen], runs: &BTreeMap<String, u64>) -> Vec<String> {
+pub fn check_requests(answers: &[ObservedRequest], runs: &BTreeMap<String, u64>) -> Vec<String> {
     let mut problems = Vec::new();
     for (key, count) in runs {
         if *count > 1 {
             problems.push(format!("key {key} ran {count} times"));
         }
     }
-    let mut by_key: BTreeMap<&str, Vec<&RequestSeen>> = BTreeMap::new();
+    let mut by_key: BTreeMap<&str, Vec<&ObservedRequest>> = BTreeMap::new();
     for answer in answers {
         by_key.entry(&answer.key).or_default().push(answer);
     }
--- a/crates/bh-testkit/tests/history.rs
+++ b/crates/bh-testkit/tests/history.rs
@@ -1,15 +1,21 @@
 //! The checkers of histories are shown histories with a fault, and must find it.
 
-use bh_testkit::history::ChangeSeen;
-use bh_testkit::history::ReadSeen;
-use bh_testkit::history::RequestSeen;
+use bh_testkit::history::ObservedChange;
+use bh_testkit::history::ObservedRead;
+use bh_testkit::history::ObservedRequest;
 use bh_testkit::history::check_changes;
 use bh_testkit::history::check_reads;
 use bh_testkit::history::check_requests;
 use std::collections::BTreeMap;
 
-fn change(id: &str, base: u64, sent: u64, answered: u64, answer: Result<u64, u32>) -> ChangeSeen {
-    ChangeSeen {
+fn change(
+    id: &str,
+    base: u64,
+    sent: u64,
+    answered: u64,
+    answer: Result<u64, u32>,
+) -> ObservedChange {
+    ObservedChange {
         change_id: id.to_owned(),
         base_revision: base,
         sent,
@@ -18,16 +24,16 @@
     }
 }
 
-fn read(entry: &str, at: u64, revision: u64) -> ReadSeen {
-    ReadSeen {
+fn read(entry: &str, at: u64, revision: u64) -> ObservedRead {
+    ObservedRead {
         entry: entry.to_owned(),
         at,
         revision,
     }
 }
 
-fn request(key: &str, ran: &str, body: Option<&str>) -> RequestSeen {
-    RequestSeen {
+fn request(key: &str, ran: &str, body: Option<&str>) -> ObservedRequest {
+    ObservedRequest {
         key: key.to_owned(),
         ran: Some(ran.to_owned()),
         body: body.map(str::to_owned),
