--- a/crates/beechhollow/tests/refusals.rs
+++ b/crates/beechhollow/tests/refusals.rs
@@ -87,7 +87,10 @@
         Some(104)
     );
     assert_eq!(
-        workers.iter().map(|worker| worker.seen().runs).sum::<u64>(),
+        workers
+            .iter()
+            .map(|worker| worker.stats().runs)
+            .sum::<u64>(),
         0
     );
 }
--- a/crates/beechhollow/tests/requests.rs
+++ b/crates/beechhollow/tests/requests.rs
@@ -67,7 +67,7 @@
     for number in 0..12 {
         read(number, "a2");
     }
-    let tried = || workers[0].seen().runs > 0 || broken.truncates;
+    let tried = || workers[0].stats().runs > 0 || broken.truncates;
     if !tried() && was_undecided(&cluster) {
         // Nobody owned the broken worker while there was no leader, and all went to the other one.
         wait_in_force(&cluster, 2);
@@ -132,7 +132,7 @@
             let logs = cluster.logs();
             assert_eq!(seen, (Some(0), "w1 ran: b".to_owned()), "{logs}");
         }
-        assert_eq!(open.seen().runs_by_key.get(&key), Some(&1));
+        assert_eq!(open.stats().runs_by_key.get(&key), Some(&1));
     }
 }
 
@@ -195,7 +195,7 @@
     });
     let mut runs: BTreeMap<String, u64> = BTreeMap::new();
     for worker in &workers {
-        for (key, count) in worker.seen().runs_by_key {
+        for (key, count) in worker.stats().runs_by_key {
             *runs.entry(key).or_insert(0) += count;
         }
     }
@@ -213,9 +213,9 @@
     assert_eq!(check_requests(&answers, &runs), Vec::<String>::new());
     for worker in &workers {
         assert!(
-            worker.seen().most_in_progress <= 8,
+            worker.stats().most_in_progress <= 8,
             "a worker had {} requests at a time",
-            worker.seen().most_in_progress
+            worker.stats().most_in_progress
         );
     }
 }
@@ -285,7 +285,7 @@
         thread::sleep(Duration::from_millis(1_500));
     });
     for worker in &workers {
-        let most = worker.seen().most_in_progress;
+        let most = worker.stats().most_in_progress;
         assert!(
             (1..=8).contains(&most),
             "a worker had {most} requests at a time"
@@ -312,7 +312,7 @@
     workers[1].set_faults(fault(|f| f.silent = true));
     cluster.kill("a3");
     thread::sleep(Duration::from_millis(3_500));
-    let before: Vec<u64> = workers.iter().map(|worker| worker.seen().runs).collect();
+    let before: Vec<u64> = workers.iter().map(|worker| worker.stats().runs).collect();
     // When the killed entry also led, the next leader waits for the leases it may have granted before the third worker is used again.
     let mut served = 0;
     for entry in ["a1", "a2"] {
@@ -332,9 +332,9 @@
         );
         assert_eq!(answer.code(), Some(0), "{answer:?}\n{}", cluster.logs());
     }
-    assert_eq!(workers[0].seen().runs, before[0]);
-    assert_eq!(workers[1].seen().runs, before[1]);
-    assert_eq!(workers[2].seen().runs, before[2] + 30 + served);
+    assert_eq!(workers[0].stats().runs, before[0]);
+    assert_eq!(workers[1].stats().runs, before[1]);
+    assert_eq!(workers[2].stats().runs, before[2] + 30 + served);
 }
 
 /// An entry is told to end while callers send through it. Every request that it took is answered, none is lost, and its
@@ -458,8 +458,8 @@
             Some(0)
         );
     }
-    assert!(linked.seen().runs > 0 && plain.seen().runs > 0);
-    let before = linked.seen().runs;
+    assert!(linked.stats().runs > 0 && plain.stats().runs > 0);
+    let before = linked.stats().runs;
     link.silence_open_connections();
     for number in 0..30 {
         let start = Instant::now();
@@ -476,7 +476,7 @@
         SOON,
         || {
             request(&cluster, "a1", "read", None, "y");
-            linked.seen().runs > before
+            linked.stats().runs > before
         },
     );
     let caller = bh_testkit::Link::start(any, cluster.http("a1"));
@@ -557,7 +557,7 @@
     };
     let (mut caller, mut first) = (Caller::default(), send());
     cluster.wait_until("the request is on the worker", SOON, || {
-        let runs = worker.seen().runs;
+        let runs = worker.stats().runs;
         if runs == 0 && first.is_finished() {
             let refused = std::mem::replace(&mut first, send()).join().unwrap();
             let logs = cluster.logs();
@@ -576,7 +576,7 @@
     cluster.wait_until("slots again", SOON, || has_slots(&cluster));
     let again = request_to_end(&cluster, "a1", "book", Some("k"), "x");
     assert!(matches!(again.code(), Some(400 | 401)), "{again:?}");
-    assert_eq!(worker.seen().runs_by_key.get("k"), Some(&1));
+    assert_eq!(worker.stats().runs_by_key.get("k"), Some(&1));
 }
 
 /// Two of a data centre's three entries die, so that it has no quorum. The one that is left goes on: after the leases of
@@ -615,7 +615,7 @@
         }
     });
     for worker in &workers {
-        assert!(worker.seen().most_in_progress <= 8);
+        assert!(worker.stats().most_in_progress <= 8);
     }
     let refused = cluster.apply(left, "refused", 1, &support::settings("y: {}"));
     let seen = (refused.code(), refused.header("x-ran"));
--- a/crates/bh-testkit/src/worker/announce.rs
+++ b/crates/bh-testkit/src/worker/announce.rs
@@ -124,7 +124,7 @@
         slots: options.slots,
         connections: 64,
         busy_slots: state
-            .seen
+            .stats
             .lock()
             .expect("no panic under the lock")
             .in_progress,
--- a/crates/bh-testkit/src/worker/mod.rs
+++ b/crates/bh-testkit/src/worker/mod.rs
@@ -10,4 +10,4 @@
 pub use faults::Faults;
 pub use options::WorkerOptions;
 pub use serve::Worker;
-pub use state::Seen;
+pub use state::WorkerStats;
--- a/crates/bh-testkit/src/worker/serve.rs
+++ b/crates/bh-testkit/src/worker/serve.rs
@@ -3,8 +3,8 @@
 use super::announce::announce;
 use super::faults::Faults;
 use super::options::WorkerOptions;
-use super::state::Seen;
 use super::state::State;
+use super::state::WorkerStats;
 use super::tasks::Tasks;
 use bh_net::Clock;
 use bh_net::http_server;
@@ -56,7 +56,7 @@
         let state = Arc::new(State {
             options,
             faults: Mutex::new(Faults::default()),
-            seen: Mutex::new(Seen::default()),
+            stats: Mutex::new(WorkerStats::default()),
             tasks: Mutex::new(Tasks::default()),
             stop: AtomicBool::new(false),
             incarnation: base * 1_000 + NEXT_INCARNATION.fetch_add(1, Ordering::SeqCst),
@@ -84,10 +84,10 @@
         *self.state.faults.lock().expect("no panic under the lock") = faults;
     }
 
-    /// What it has seen.
-    pub fn seen(&self) -> Seen {
+    /// What it has stats.
+    pub fn stats(&self) -> WorkerStats {
         self.state
-            .seen
+            .stats
             .lock()
             .expect("no panic under the lock")
             .clone()
@@ -198,18 +198,18 @@
 
 impl InProgress {
     fn new(state: &Arc<State>) -> Self {
-        let mut seen = state.seen.lock().expect("no panic under the lock");
-        seen.in_progress += 1;
-        seen.most_in_progress = seen.most_in_progress.max(seen.in_progress);
-        drop(seen);
+        let mut stats = state.stats.lock().expect("no panic under the lock");
+        stats.in_progress += 1;
+        stats.most_in_progress = stats.most_in_progress.max(stats.in_progress);
+        drop(stats);
         Self(state.clone())
     }
 }
 
 impl Drop for InProgress {
     fn drop(&mut self) {
-        if let Ok(mut seen) = self.0.seen.lock() {
-            seen.in_progress -= 1;
+        if let Ok(mut stats) = self.0.stats.lock() {
+            stats.in_progress -= 1;
         }
     }
 }
@@ -243,19 +243,19 @@
 }
 
 fn note_run(state: &State, request: &Request<Bytes>) {
-    let mut seen = state.seen.lock().expect("no panic under the lock");
-    seen.runs += 1;
+    let mut stats = state.stats.lock().expect("no panic under the lock");
+    stats.runs += 1;
     let body = String::from_utf8_lossy(request.body())
         .chars()
         .take(100)
         .collect();
-    *seen.runs_by_body.entry(body).or_insert(0) += 1;
+    *stats.runs_by_body.entry(body).or_insert(0) += 1;
     if let Some(key) = request
         .headers()
         .get(request::IDEMPOTENCY_KEY)
         .and_then(|value| value.to_str().ok())
     {
-        *seen.runs_by_key.entry(key.to_owned()).or_insert(0) += 1;
+        *stats.runs_by_key.entry(key.to_owned()).or_insert(0) += 1;
     }
 }
 
@@ -285,7 +285,7 @@
         .is_err_and(|reason| reason.ends_with("is known"))
     {
         state
-            .seen
+            .stats
             .lock()
             .expect("no panic under the lock")
             .stale_orders += 1;
--- a/crates/bh-testkit/src/worker/state.rs
+++ b/crates/bh-testkit/src/worker/state.rs
@@ -1,4 +1,4 @@
-//! What a stand-in worker holds and has seen.
+//! What a stand-in worker holds and has stats.
 
 use super::faults::Faults;
 use super::options::WorkerOptions;
@@ -9,7 +9,7 @@
 
 /// What a worker has seen, for the checks of a test.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct WorkerStats {
     /// Times each idempotency key was run.
     pub runs_by_key: BTreeMap<String, u64>,
     /// Bodies of short requests that were run.
@@ -28,7 +28,7 @@
 pub(super) struct State {
     pub options: WorkerOptions,
     pub faults: Mutex<Faults>,
-    pub seen: Mutex<Seen>,
+    pub stats: Mutex<WorkerStats>,
     pub tasks: Mutex<Tasks>,
     pub stop: AtomicBool,
     pub incarnation: u64,
