--- a/crates/beechhollow/benches/control.rs
+++ b/crates/beechhollow/benches/control.rs
@@ -54,7 +54,7 @@
             options
         }
     });
-    let mut cluster = Cluster::new(BINARY, options.collect()).with_extra(extra);
+    let mut cluster = Cluster::new(BINARY, options.collect()).with_config_lines(extra);
     if links {
         cluster = cluster.with_links();
     }
--- a/crates/beechhollow/tests/gangs.rs
+++ b/crates/beechhollow/tests/gangs.rs
@@ -150,7 +150,7 @@
 fn an_isolated_leader_starts_nothing_twice() {
     let mut cluster = Cluster::new(BINARY, entries())
         .with_links()
-        .with_extra("target_lease_ms: 1500\n");
+        .with_config_lines("target_lease_ms: 1500\n");
     cluster.start_all();
     prepare(&cluster);
     let workers = workers(&cluster, 4);
--- a/crates/beechhollow/tests/operating.rs
+++ b/crates/beechhollow/tests/operating.rs
@@ -17,7 +17,8 @@
 
 /// One entry with settings in force and these lines more in its file.
 fn single(extra: &str) -> Cluster {
-    let mut cluster = Cluster::new(BINARY, vec![EntryOptions::new("a1", "a")]).with_extra(extra);
+    let mut cluster =
+        Cluster::new(BINARY, vec![EntryOptions::new("a1", "a")]).with_config_lines(extra);
     cluster.start_all();
     cluster.wait_ready();
     assert_eq!(cluster.apply("a1", "one", 0, &settings("")).code(), Some(0));
--- a/crates/beechhollow/tests/refusals.rs
+++ b/crates/beechhollow/tests/refusals.rs
@@ -136,7 +136,7 @@
         support::BINARY,
         vec![bh_testkit::EntryOptions::new("a1", "a")],
     )
-    .with_extra("idle_connection_ms: 400\n");
+    .with_config_lines("idle_connection_ms: 400\n");
     cluster.start_all();
     cluster.wait_ready();
     let mut slow = TcpStream::connect(cluster.http("a1")).unwrap();
--- a/crates/beechhollow/tests/requests.rs
+++ b/crates/beechhollow/tests/requests.rs
@@ -141,7 +141,7 @@
 /// all whole answers to a key are the same.
 #[test]
 fn non_idempotent_requests_run_at_most_once() {
-    let mut cluster = Cluster::new(BINARY, entries()).with_extra("target_lease_ms: 1500\n");
+    let mut cluster = Cluster::new(BINARY, entries()).with_config_lines("target_lease_ms: 1500\n");
     cluster.start_all();
     prepare(&cluster);
     let workers = workers(&cluster, 4);
@@ -525,7 +525,7 @@
 #[test]
 fn a_resend_after_a_restart_does_not_run_again() {
     let mut cluster = Cluster::new(BINARY, vec![bh_testkit::EntryOptions::new("a1", "a")])
-        .with_extra("target_lease_ms: 1500\n");
+        .with_config_lines("target_lease_ms: 1500\n");
     cluster.start_all();
     cluster.wait_ready();
     assert_eq!(
--- a/crates/beechhollow/tests/settings.rs
+++ b/crates/beechhollow/tests/settings.rs
@@ -93,7 +93,7 @@
 fn racing_operators_under_faults() {
     let mut cluster = Cluster::new(BINARY, entries())
         .with_links()
-        .with_extra("snapshot_entries: 64\n");
+        .with_config_lines("snapshot_entries: 64\n");
     cluster.start_all();
     prepare(&cluster);
     let (start, until) = (Instant::now(), AtomicBool::new(false));
@@ -200,7 +200,7 @@
 /// a second VM is lost for good. What was accepted stays in force, and new changes are accepted by the two that remain.
 #[test]
 fn a_second_vm_lost_right_after_a_repair() {
-    let mut cluster = Cluster::new(BINARY, entries()).with_extra("snapshot_entries: 32\n");
+    let mut cluster = Cluster::new(BINARY, entries()).with_config_lines("snapshot_entries: 32\n");
     cluster.start_all();
     prepare(&cluster);
     for revision in 1..100 {
@@ -328,7 +328,7 @@
         .collect();
     let mut cluster = Cluster::new(BINARY, options)
         .with_links()
-        .with_extra("target_lease_ms: 1500\n");
+        .with_config_lines("target_lease_ms: 1500\n");
     cluster.start_all();
     prepare(&cluster);
     let start = |name: &str, centre: &str| {
--- a/crates/beechhollow/tests/support/mod.rs
+++ b/crates/beechhollow/tests/support/mod.rs
@@ -57,7 +57,7 @@
 
 /// Three entries in one data centre and one in another, all ready, with settings in force.
 pub fn small_system() -> Cluster {
-    let mut cluster = Cluster::new(BINARY, entries()).with_extra("target_lease_ms: 1500\n");
+    let mut cluster = Cluster::new(BINARY, entries()).with_config_lines("target_lease_ms: 1500\n");
     cluster.start_all();
     prepare(&cluster);
     cluster
--- a/crates/bh-testkit/src/cluster.rs
+++ b/crates/bh-testkit/src/cluster.rs
@@ -67,7 +67,7 @@
     entries: BTreeMap<String, Entry>,
     peer_addresses: BTreeMap<String, SocketAddr>,
     links: BTreeMap<(String, String), Link>,
-    extra: String,
+    config_lines: String,
 }
 
 impl Cluster {
@@ -111,13 +111,13 @@
             entries,
             peer_addresses,
             links: BTreeMap::new(),
-            extra: String::new(),
+            config_lines: String::new(),
         }
     }
 
     /// Adds lines to every entry's file.
-    pub fn with_extra(mut self, lines: &str) -> Self {
-        self.extra = lines.to_owned();
+    pub fn with_config_lines(mut self, lines: &str) -> Self {
+        self.config_lines = lines.to_owned();
         self
     }
 
@@ -229,7 +229,7 @@
         if self.entries[name].options.disk {
             let _ = writeln!(text, "data_folder: {}", self.data_folder(name).display());
         }
-        text.push_str(&self.extra);
+        text.push_str(&self.config_lines);
         text.push_str("\nentries:\n");
         for (other, entry) in &self.entries {
             let link = self.links.get(&(name.to_owned(), other.clone()));
