--- a/crates/bh-node/src/background.rs
+++ b/crates/bh-node/src/background.rs
@@ -1,4 +1,4 @@
-//! Tasks that run beside the requests: taking connections, renewing targets, ticking the router, keeping counters.
+//! Background tasks: accept connections, renew targets, tick the router, and maintain the counters.
 
 use crate::http_api;
 use crate::leader::LeaderAnswer;
@@ -11,15 +11,16 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// Time between looks at the router's queue and the idle connections, in milliseconds.
+/// Time between checks of the router's queue and of the idle connections, in milliseconds.
 const ROUTER_TICK_MS: u64 = 20;
-/// Renewals of targets within a target's lease.
+/// Number of renewals within a target's lease.
 const RENEWALS_PER_LEASE: u64 = 10;
-/// Time between writes of the service-level counters, in milliseconds.
-const COUNTERS_MS: u64 = 5_000;
-/// Wait after a connection could not be taken, in milliseconds.
+/// Time between writes of the service-level counters, and between reports of the gauges, in milliseconds.
+const COUNTERS_INTERVAL_MS: u64 = 5_000;
+/// Wait after a connection could not be accepted, in milliseconds.
 const ACCEPT_RETRY_MS: u64 = 10;
 
+/// Accepts HTTP connections and serves their requests until the node closes.
 pub(crate) async fn accept_callers(node: Rc<Node>, listener: TcpListener) {
     let limits = Limits::new(node.config.idle_connection_ms);
     loop {
@@ -28,7 +29,7 @@
             () = node.closing.cancelled() => return,
         };
         let Ok((stream, _)) = accepted else {
-            // Out of descriptors, most likely: those that close free some.
+            // Most likely the process has no free file descriptors; connections that close free some.
             sleep_ms(ACCEPT_RETRY_MS).await;
             continue;
         };
@@ -54,13 +55,14 @@
     }
 }
 
-/// Without a leader, takes the targets that announce themselves to this entry alone; returns whether it did.
-fn renew_alone(node: &Node, now_ms: u64) -> bool {
-    let mut alone = node.alone.borrow_mut();
-    if !alone.is_leaderless(now_ms) {
+/// While this entry reaches no leader, uses the targets that announce themselves to it; returns whether the owned targets
+/// were updated.
+fn renew_without_leader(node: &Node, now_ms: u64) -> bool {
+    let mut leaderless = node.leaderless_targets.borrow_mut();
+    if !leaderless.is_leaderless(now_ms) {
         return false;
     }
-    let targets = alone.usable(now_ms);
+    let targets = leaderless.usable(now_ms);
     node.router
         .borrow_mut()
         .owned_targets
@@ -68,9 +70,9 @@
     true
 }
 
-/// Keeps this entry's share of the targets.
+/// Renews the targets that this entry owns, until the node stops.
 pub(crate) async fn renew_targets(node: Rc<Node>) {
-    let wait_ms = (node.config.target_lease_ms / RENEWALS_PER_LEASE).max(1);
+    let interval_ms = (node.config.target_lease_ms / RENEWALS_PER_LEASE).max(1);
     let data_centre = node.config.own.data_centre.clone();
     while !node.stop.is_cancelled() {
         let sent_ms = node.clock.now_ms();
@@ -83,42 +85,44 @@
             .ask_leader(
                 &data_centre,
                 &LeaderCall::Renew(claims),
-                wait_ms.max(ROUTER_TICK_MS),
+                interval_ms.max(ROUTER_TICK_MS),
             )
             .await;
         let now_ms = node.clock.now_ms();
         let has_changed = match answer {
             Ok(LeaderAnswer::Renewed(grant)) => {
-                node.alone.borrow_mut().note_leader(now_ms);
+                node.leaderless_targets.borrow_mut().note_leader(now_ms);
                 node.router
                     .borrow_mut()
                     .owned_targets
                     .accept(sent_ms, grant);
                 true
             }
-            _ => renew_alone(&node, now_ms),
+            _ => renew_without_leader(&node, now_ms),
         };
         if has_changed {
             let decisions = node.router.borrow_mut().tick(now_ms);
-            node.carry_out(decisions);
+            node.deliver_decisions(decisions);
         }
-        sleep_ms(wait_ms).await;
+        sleep_ms(interval_ms).await;
     }
 }
 
+/// Ticks the router and drops connections that have been idle too long.
 pub(crate) async fn tick_router(node: Rc<Node>) {
     while !node.stop.is_cancelled() {
         let now_ms = node.clock.now_ms();
         let decisions = node.router.borrow_mut().tick(now_ms);
-        node.carry_out(decisions);
+        node.deliver_decisions(decisions);
         node.pool.age_out(now_ms);
         sleep_ms(ROUTER_TICK_MS).await;
     }
 }
 
-pub(crate) async fn keep_counters(node: Rc<Node>, path: Option<PathBuf>) {
+/// Regularly compacts the service-level counters, reports the gauges, and writes the counters to `path`.
+pub(crate) async fn maintain_counters(node: Rc<Node>, path: Option<PathBuf>) {
     while !node.stop.is_cancelled() {
-        sleep_ms(COUNTERS_MS).await;
+        sleep_ms(COUNTERS_INTERVAL_MS).await;
         let wall_ms = node.clock.wall_ms();
         node.counters.borrow_mut().compact(wall_ms);
         report_gauges(&node);
--- a/crates/bh-node/src/group/spawn.rs
+++ b/crates/bh-node/src/group/build.rs
@@ -1,4 +1,4 @@
-//! From the entry's file to the groups it takes part in.
+//! Builds and starts the groups that the entry takes part in, as its configuration file says.
 
 use super::Driver;
 use super::Formation;
@@ -6,8 +6,8 @@
 use super::Hooks;
 use super::Machine;
 use super::form;
-use crate::node::Late;
 use crate::node::Node;
+use crate::node::NodeHandle;
 use crate::node::from_json;
 use bh_consensus::Config;
 use bh_consensus::Wanted;
@@ -22,18 +22,19 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Wait for a formation's answer, in milliseconds.
-const FORMATION_MS: u64 = 1_000;
+/// Longest wait for another entry's formation, in milliseconds.
+const FORMATION_TIMEOUT_MS: u64 = 1_000;
 
-/// What is needed to run one group.
-pub(crate) struct Spawned {
+/// A group that is built and not started yet.
+pub(crate) struct BuiltGroup {
     pub driver: Driver,
     pub group: Group,
+    /// Names of the entries that should be voters.
     pub wanted: BTreeSet<Arc<str>>,
 }
 
-/// Data centres whose group this entry takes part in: its own, and those it votes in.
-pub(crate) fn hosted(config: &EntryConfig) -> Vec<Arc<str>> {
+/// Data centres whose group this entry takes part in: its own, and those where it is a voter.
+pub(crate) fn hosted_data_centres(config: &EntryConfig) -> Vec<Arc<str>> {
     config
         .data_centres()
         .into_iter()
@@ -44,24 +45,24 @@
         .collect()
 }
 
-/// What all groups of the entry are spawned with.
-pub(crate) struct Spawner<'a> {
+/// What all groups of the entry are built from.
+pub(crate) struct GroupBuilder<'a> {
     pub config: &'a EntryConfig,
     pub folder: &'a Option<Folder>,
     pub clock: &'a Clock,
-    pub late: &'a Late,
-    /// Identity of the entry's replicas.
+    pub node_handle: &'a NodeHandle,
+    /// Id of the entry's replicas.
     pub replica: u64,
 }
 
-impl Spawner<'_> {
-    /// The replica of the group `name`, with what its journal held; it runs once it is driven.
-    pub fn spawn(
+impl GroupBuilder<'_> {
+    /// Builds the replica of the group `name`, restored from its journal; [`start_group`] runs it.
+    pub fn build(
         &self,
         name: &str,
         machine: Machine,
         wanted: BTreeSet<Arc<str>>,
-    ) -> Result<Spawned, Failure> {
+    ) -> Result<BuiltGroup, Failure> {
         let storage = match self.folder {
             Some(folder) => Some(folder.journal(name)?),
             None => None,
@@ -78,12 +79,12 @@
             election_delay_ms: election_delay_ms(self.config, name),
             seed: self.replica,
         };
-        let hooks = hooks(self.late, name);
+        let hooks = hooks(self.node_handle, name);
         let (driver, group) = Driver::new(config, machine, storage, self.clock.clone(), hooks)?;
         let driver = driver
             .with_snapshot_entries(self.config.snapshot_entries)
             .with_group_sync(self.config.group_sync);
-        Ok(Spawned {
+        Ok(BuiltGroup {
             driver,
             group,
             wanted,
@@ -91,8 +92,8 @@
     }
 }
 
-/// A voter made up from another data centre leads only when none of the data centre's own can: its orders to workers
-/// would cross the link that is cut first.
+/// Extra delay before this entry stands for election. A voter from another data centre leads only when no entry of the
+/// group's own data centre can: its orders to workers would cross the link between data centres, the first to be cut.
 pub(crate) fn election_delay_ms(config: &EntryConfig, group: &str) -> u64 {
     match group.strip_prefix("jobs/") {
         Some(data_centre) if data_centre != &*config.own.data_centre => config.election_ms,
@@ -100,28 +101,33 @@
     }
 }
 
-pub(crate) fn hooks(late: &Late, name: &str) -> Hooks {
-    let (sending, applying, changing) = (late.clone(), late.clone(), late.clone());
+/// The hooks by which the group `name` sends messages and reports applied commands and role changes to the node.
+pub(crate) fn hooks(node_handle: &NodeHandle, name: &str) -> Hooks {
+    let (send_handle, applied_handle, changed_handle) = (
+        node_handle.clone(),
+        node_handle.clone(),
+        node_handle.clone(),
+    );
     let data_centre: Option<Arc<str>> = name.strip_prefix("jobs/").map(Arc::from);
-    let of_change = data_centre.clone();
+    let changed_data_centre = data_centre.clone();
     Hooks {
         send: Box::new(move |message| {
-            if let Some(node) = sending.get() {
+            if let Some(node) = send_handle.get() {
                 node.send_raft(message);
             }
         }),
         applied: Box::new(move |command, answer| {
-            let jobs = applying
+            let jobs = applied_handle
                 .get()
-                .and_then(|node| node.rc_of(data_centre.as_deref()?));
+                .and_then(|node| node.node_and_group(data_centre.as_deref()?));
             if let Some((node, jobs)) = jobs {
-                jobs.applied(&node, command, answer);
+                jobs.command_applied(&node, command, answer);
             }
         }),
         changed: Box::new(move || {
-            let jobs = changing
+            let jobs = changed_handle
                 .get()
-                .and_then(|node| node.rc_of(of_change.as_deref()?));
+                .and_then(|node| node.node_and_group(changed_data_centre.as_deref()?));
             if let Some((node, jobs)) = jobs {
                 jobs.role_changed(&node);
             }
@@ -129,20 +135,20 @@
     }
 }
 
-/// Runs a group's driver and takes part in its formation.
-pub(crate) fn drive(
+/// Runs a group's driver and takes part in the group's formation. A failure of the driver is sent to `failed`.
+pub(crate) fn start_group(
     node: &Rc<Node>,
-    spawned: Spawned,
+    built: BuiltGroup,
     failed: Rc<Cell<Option<oneshot::Sender<Failure>>>>,
 ) {
-    let Spawned {
+    let BuiltGroup {
         driver,
         group,
         wanted,
-    } = spawned;
-    let (asking, name) = (node.clone(), group.name.clone());
+    } = built;
+    let (asking_node, name) = (node.clone(), group.name.clone());
     let ask = move |vm: Arc<str>| {
-        let (node, name) = (asking.clone(), name.clone());
+        let (node, name) = (asking_node.clone(), name.clone());
         async move {
             let peer = node.peers.get(&vm)?.clone();
             let reply = peer
@@ -151,7 +157,7 @@
                     &name,
                     String::new(),
                     Vec::new(),
-                    FORMATION_MS,
+                    FORMATION_TIMEOUT_MS,
                 )
                 .await
                 .ok()?;
--- a/crates/bh-node/src/group/machine.rs
+++ b/crates/bh-node/src/group/machine.rs
@@ -6,7 +6,7 @@
 use bh_group::encode;
 use bh_protocol::Failure;
 
-/// State of one kind of group.
+/// State of a group, by kind of group.
 pub enum MachineState {
     /// The settings.
     Settings(bh_settings::Machine),
@@ -14,11 +14,11 @@
     Jobs(JobsMachine),
 }
 
-/// A machine of the entry's groups.
+/// A state machine of one of the entry's groups.
 pub type Machine = bh_group::Machine<MachineState>;
 
 impl MachineState {
-    /// How the state is changed and kept.
+    /// Functions that apply commands, and write and restore snapshots.
     pub const CODEC: Codec<MachineState> = Codec {
         apply: MachineState::apply,
         snapshot: MachineState::snapshot,
--- a/crates/bh-node/src/http_api/announce.rs
+++ b/crates/bh-node/src/http_api/announce.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/targets/announce`: a worker says that it is there, and what became of its tasks.
+//! `POST /v1/targets/announce`: a worker announces itself and reports its tasks.
 
 use super::answer;
 use crate::leader::LeaderAnswer;
@@ -15,17 +15,17 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Announcements within a target's lease while there is no leader.
+/// Number of announcements that a target makes within its lease while this entry reaches no leader.
 const RENEWALS_PER_LEASE: u64 = 4;
-/// Longest wait for the leader, in milliseconds: within a worker's own time for renewing.
-const LEADER_MS: u64 = 1_000;
+/// Longest wait for the leader, in milliseconds; it must stay within the time that a worker allows for a renewal.
+const LEADER_TIMEOUT_MS: u64 = 1_000;
 
 pub(super) async fn serve(
     node: &Rc<Node>,
     request: &Request<Bytes>,
 ) -> Result<Response<Bytes>, Failure> {
     let announcement: Announcement = answer::read(request)?;
-    check(node, &announcement)?;
+    validate(node, &announcement)?;
     if announcement.leaving {
         log::info!(target_name = &*announcement.name; "target is leaving");
         node.router
@@ -33,32 +33,36 @@
             .owned_targets
             .note_leaving(&announcement.name);
     }
-    if let Some(reply) = answer_alone(node, &announcement) {
+    if let Some(reply) = answer_without_leader(node, &announcement) {
         return Ok(answer::json(&reply));
     }
     let data_centre = announcement.data_centre.clone();
     let call = LeaderCall::Announce(announcement);
-    match node.ask_leader(&data_centre, &call, LEADER_MS).await? {
+    match node
+        .ask_leader(&data_centre, &call, LEADER_TIMEOUT_MS)
+        .await?
+    {
         LeaderAnswer::Announced(reply) => Ok(answer::json(&reply)),
         _ => Err(Failure::new(
             Code::Internal,
-            "the leader answered another question",
+            "unexpected kind of answer from the leader",
         )),
     }
 }
 
-/// While this entry reaches no leader it answers for itself, and names only itself: the worker stays with it, and nobody
-/// else uses the worker's slots. No task's lease is renewed, since no leader wants it.
+/// While this entry reaches no leader, it answers by itself and names only itself as an entry: the worker keeps announcing
+/// itself here, and no other entry uses its slots. No task lease is renewed, since only a leader decides that.
 ///
-/// That ends with the next renewal a leader answers, not sooner: an announcement passed on before that would let the
-/// leader give the target away while this entry still uses it.
-fn answer_alone(node: &Node, announcement: &Announcement) -> Option<AnnounceReply> {
+/// This ends when a leader next answers a renewal, not earlier: an announcement forwarded before that would let the
+/// leader give the target to another entry while this one still uses it.
+fn answer_without_leader(node: &Node, announcement: &Announcement) -> Option<AnnounceReply> {
     let now_ms = node.clock.now_ms();
-    let mut alone = node.alone.borrow_mut();
-    if !alone.is_leaderless(now_ms) || announcement.data_centre != node.config.own.data_centre {
+    let mut leaderless = node.leaderless_targets.borrow_mut();
+    if !leaderless.is_leaderless(now_ms) || announcement.data_centre != node.config.own.data_centre
+    {
         return None;
     }
-    alone.announce(now_ms, announcement.clone());
+    leaderless.announce(now_ms, announcement.clone());
     Some(AnnounceReply {
         lease_ms: node.config.target_lease_ms,
         renew_ms: node.config.target_lease_ms / RENEWALS_PER_LEASE,
@@ -67,11 +71,11 @@
     })
 }
 
-fn check(node: &Node, announcement: &Announcement) -> Result<(), Failure> {
+fn validate(node: &Node, announcement: &Announcement) -> Result<(), Failure> {
     let malformed = |label: String| Err(Failure::new(Code::MalformedBody, label));
     if announcement.address.parse::<SocketAddr>().is_err() {
         return malformed(format!(
-            "address `{}` is not an IP number and a port",
+            "address `{}` is not an IP address and a port",
             announcement.address
         ));
     }
--- a/crates/bh-node/src/http_api/answer.rs
+++ b/crates/bh-node/src/http_api/answer.rs
@@ -1,4 +1,4 @@
-//! Answers and what is read from requests.
+//! Builds answers and reads parts of requests.
 
 use bh_protocol::Code;
 use bh_protocol::Failure;
@@ -12,7 +12,7 @@
 pub(super) use bh_net::http_server::answer::json;
 pub(super) use bh_net::http_server::answer::text;
 
-/// The body as JSON.
+/// Parses the body as JSON.
 ///
 /// # Errors
 ///
@@ -22,7 +22,7 @@
         .map_err(|error| Failure::new(Code::MalformedBody, error.to_string()))
 }
 
-/// The bearer token, if there is one.
+/// The bearer token of the request, if it has one.
 pub(super) fn token(headers: &HeaderMap) -> Option<&str> {
     headers
         .get("authorization")?
@@ -31,12 +31,12 @@
         .strip_prefix("Bearer ")
 }
 
-/// A header as text.
+/// The value of a header as text.
 pub(super) fn header<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// A parameter of the query.
+/// The value of a query parameter.
 pub(super) fn parameter<'a>(request: &'a Request<Bytes>, name: &str) -> Option<&'a str> {
     let pairs = request.uri().query()?.split('&');
     pairs
--- a/crates/bh-node/src/http_api/health.rs
+++ b/crates/bh-node/src/http_api/health.rs
@@ -1,4 +1,4 @@
-//! `GET /healthz` and `GET /readyz`: for the platform's balancer.
+//! `GET /healthz` and `GET /readyz`, for the platform's load balancer.
 
 use super::answer;
 use crate::node::Node;
@@ -8,12 +8,12 @@
 use http::Response;
 use std::rc::Rc;
 
-/// The process is alive.
+/// Answers that the process is alive.
 pub(super) fn live() -> Response<Bytes> {
     answer::text("text/plain", "alive\n".to_owned())
 }
 
-/// Whether callers shall be sent here.
+/// Answers whether the load balancer should send callers to this entry.
 pub(super) fn ready(node: &Rc<Node>) -> Response<Bytes> {
     if node.is_ready() {
         return answer::text("text/plain", "ready\n".to_owned());
--- a/crates/bh-node/src/http_api/in_force.rs
+++ b/crates/bh-node/src/http_api/in_force.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/settings/in-force`: what is in force on every entry that answers, and which do not.
+//! `GET /v1/settings/in-force`: the settings in force on every entry that answers, and the entries that do not answer.
 
 use super::answer;
 use crate::node::Node;
@@ -12,23 +12,29 @@
 use std::rc::Rc;
 
 /// Longest wait for another entry, in milliseconds.
-const PEER_MS: u64 = 1_000;
+const PEER_TIMEOUT_MS: u64 = 1_000;
 
 pub(super) async fn serve(node: &Rc<Node>) -> Result<Response<Bytes>, Failure> {
-    let mut asking = Vec::new();
+    let mut calls = Vec::new();
     for peer in node.peers.iter().cloned() {
         let name = peer.vm.name.clone();
         let task = monoio::spawn(async move {
-            peer.call(RpcKind::InForce, "", String::new(), Vec::new(), PEER_MS)
-                .await
+            peer.call(
+                RpcKind::InForce,
+                "",
+                String::new(),
+                Vec::new(),
+                PEER_TIMEOUT_MS,
+            )
+            .await
         });
-        asking.push((name, task));
+        calls.push((name, task));
     }
     let mut everywhere = InForceEverywhere {
         entries: vec![node.in_force()],
         silent: Vec::new(),
     };
-    for (name, task) in asking {
+    for (name, task) in calls {
         let answer = task
             .await
             .ok()
--- a/crates/bh-node/src/http_api/jobs.rs
+++ b/crates/bh-node/src/http_api/jobs.rs
@@ -1,4 +1,4 @@
-//! `/v1/customers/{customer}/jobs`: long jobs are submitted, read back and cancelled.
+//! `/v1/customers/{customer}/jobs`: submits, lists and cancels long jobs.
 
 use super::answer;
 use crate::jobs_machine::JobsAnswer;
@@ -26,11 +26,11 @@
 use std::sync::Arc;
 
 /// Longest wait for the leader or a quorum, in milliseconds.
-const LEADER_MS: u64 = 5_000;
-/// Largest payload, in bytes: it is kept in the replicated record.
+const LEADER_TIMEOUT_MS: u64 = 5_000;
+/// Largest payload, in bytes; the replicated record stores it.
 const MAX_PAYLOAD_BYTES: usize = 64 << 10;
-/// Most jobs cancelled at once.
-const MAX_WAVE: usize = 10_000;
+/// Largest number of jobs in one cancellation.
+const MAX_CANCELLED_JOBS: usize = 10_000;
 
 /// Body of a cancellation.
 #[derive(Deserialize)]
@@ -40,20 +40,20 @@
 }
 
 fn data_centre<'a>(node: &'a Node, request: &'a Request<Bytes>) -> Result<&'a str, Failure> {
-    let Some(asked) = answer::parameter(request, "data_centre") else {
+    let Some(requested) = answer::parameter(request, "data_centre") else {
         return Ok(&node.config.own.data_centre);
     };
-    if node.config.data_centres().contains(asked) {
-        Ok(asked)
+    if node.config.data_centres().contains(requested) {
+        Ok(requested)
     } else {
         Err(Failure::new(
             Code::NotFound,
-            format!("data centre `{asked}`"),
+            format!("data centre `{requested}`"),
         ))
     }
 }
 
-/// Submits a job: the answer comes when its record is synced on a quorum.
+/// Submits a job. The answer is sent when the job's record is synced on a quorum.
 pub(super) async fn submit(
     node: &Rc<Node>,
     request: &Request<Bytes>,
@@ -62,7 +62,7 @@
     let submission: Submission = answer::read(request)?;
     let data_centre = data_centre(node, request)?;
     let spec = resolve(node, request, customer, submission)?;
-    refuse_what_never_fits(node, data_centre, &spec).await?;
+    check_can_fit(node, data_centre, &spec).await?;
     let command = Command::Submit {
         spec,
         submitted_wall_ms: node.clock.wall_ms(),
@@ -74,9 +74,9 @@
                 &json!({ "job": job, "data_centre": data_centre }),
             ))
         }
-        outcome => Err(outcome
-            .failure()
-            .unwrap_or_else(|| Failure::new(Code::Internal, "an unexpected answer of the record"))),
+        outcome => Err(outcome.failure().unwrap_or_else(|| {
+            Failure::new(Code::Internal, "unexpected answer from the job table")
+        })),
     }
 }
 
@@ -124,14 +124,14 @@
     Ok(())
 }
 
-/// Refuses at once a job that could not run even on an empty data centre.
-async fn refuse_what_never_fits(
-    node: &Rc<Node>,
-    data_centre: &str,
-    spec: &Spec,
-) -> Result<(), Failure> {
+/// Refuses a job that could not run even on an empty data centre, before it is recorded.
+async fn check_can_fit(node: &Rc<Node>, data_centre: &str, spec: &Spec) -> Result<(), Failure> {
     let answer = node
-        .ask_leader(data_centre, &LeaderCall::CanFit(spec.shape), LEADER_MS)
+        .ask_leader(
+            data_centre,
+            &LeaderCall::CanFit(spec.shape),
+            LEADER_TIMEOUT_MS,
+        )
         .await?;
     match answer {
         LeaderAnswer::CanFit(Some(false)) => Err(Failure::new(
@@ -145,13 +145,13 @@
 async fn propose(node: &Rc<Node>, data_centre: &str, command: Command) -> Result<Outcome, Failure> {
     let bytes = to_json(&JobsCommand::Job(command))?;
     let answer = node
-        .propose(&jobs_group(data_centre), bytes, LEADER_MS)
+        .propose(&jobs_group(data_centre), bytes, LEADER_TIMEOUT_MS)
         .await?;
     match from_json(&answer)? {
         JobsAnswer::Job(outcome) => Ok(outcome),
         JobsAnswer::Request(_) => Err(Failure::new(
             Code::Internal,
-            "an answer about a request to a job",
+            "the group answered about a request, not about the job",
         )),
     }
 }
@@ -164,7 +164,7 @@
     check::authorize_caller(team, answer::token(request.headers()))
 }
 
-/// Cancels jobs in one wave: all of them, or none when one is not the customer's.
+/// Cancels jobs together: all of them, or none if one is not the customer's.
 pub(super) async fn cancel(
     node: &Rc<Node>,
     request: &Request<Bytes>,
@@ -172,10 +172,10 @@
 ) -> Result<Response<Bytes>, Failure> {
     authorize(node, request, customer)?;
     let cancellation: Cancellation = answer::read(request)?;
-    if cancellation.jobs.len() > MAX_WAVE {
+    if cancellation.jobs.len() > MAX_CANCELLED_JOBS {
         return Err(Failure::new(
             Code::MalformedBody,
-            format!("at most {MAX_WAVE} jobs at once"),
+            format!("at most {MAX_CANCELLED_JOBS} jobs at once"),
         ));
     }
     let data_centre = data_centre(node, request)?;
@@ -185,13 +185,13 @@
     };
     match propose(node, data_centre, command).await? {
         Outcome::Cancelled { jobs } => Ok(answer::json(&json!({ "cancelled": jobs }))),
-        outcome => Err(outcome
-            .failure()
-            .unwrap_or_else(|| Failure::new(Code::Internal, "an unexpected answer of the record"))),
+        outcome => Err(outcome.failure().unwrap_or_else(|| {
+            Failure::new(Code::Internal, "unexpected answer from the job table")
+        })),
     }
 }
 
-/// Reads a customer's jobs, or one of them, from the leader.
+/// Lists a customer's jobs, or one of them, as the leader reports them.
 pub(super) async fn list(
     node: &Rc<Node>,
     request: &Request<Bytes>,
@@ -204,10 +204,13 @@
         customer: Arc::from(customer),
         job,
     };
-    let LeaderAnswer::Jobs(mut jobs) = node.ask_leader(data_centre, &call, LEADER_MS).await? else {
+    let LeaderAnswer::Jobs(mut jobs) = node
+        .ask_leader(data_centre, &call, LEADER_TIMEOUT_MS)
+        .await?
+    else {
         return Err(Failure::new(
             Code::Internal,
-            "the leader answered another question",
+            "unexpected kind of answer from the leader",
         ));
     };
     match (job, jobs.pop()) {
--- a/crates/bh-node/src/http_api/mod.rs
+++ b/crates/bh-node/src/http_api/mod.rs
@@ -1,4 +1,4 @@
-//! The HTTP surface: one route a file.
+//! The HTTP API, with one file for each route.
 
 mod announce;
 mod answer;
--- a/crates/bh-node/src/http_api/reports.rs
+++ b/crates/bh-node/src/http_api/reports.rs
@@ -1,4 +1,4 @@
-//! `/v1/reports`: service-level burn and fragmentation.
+//! `/v1/reports`: error budget burn of the service-level objectives, and fragmentation.
 
 use super::answer;
 use crate::leader::LeaderAnswer;
@@ -21,18 +21,18 @@
 use std::sync::Arc;
 
 /// Longest wait for another entry's counters, in milliseconds.
-const PEER_MS: u64 = 1_000;
-/// Largest counters of an entry, in bytes.
+const PEER_TIMEOUT_MS: u64 = 1_000;
+/// Largest answer with another entry's counters, in bytes.
 const MAX_COUNTERS_BYTES: u64 = 64 << 20;
 /// Longest wait for a leader, in milliseconds.
-const LEADER_MS: u64 = 2_000;
+const LEADER_TIMEOUT_MS: u64 = 2_000;
 
-/// This entry's own counters, for the entry that makes the report.
+/// This entry's counters, for the entry that builds the report.
 pub(super) fn counters(node: &Rc<Node>) -> Response<Bytes> {
     answer::json(&*node.counters.borrow())
 }
 
-/// The burn report over all entries that answer, as JSON or, with `format=html`, as a page.
+/// The burn report over all entries that answer, as JSON or, with `format=html`, as an HTML page.
 pub(super) async fn burn(
     node: &Rc<Node>,
     request: &Request<Bytes>,
@@ -40,15 +40,15 @@
     let mut sum = node.counters.borrow().clone();
     let mut entries = vec![node.config.own.name.clone()];
     let mut silent = Vec::new();
-    let mut asking = Vec::new();
+    let mut calls = Vec::new();
     for peer in node.peers.iter() {
         let address = peer.vm.http_address;
-        asking.push((
+        calls.push((
             peer.vm.name.clone(),
             monoio::spawn(async move { fetch_counters(address).await }),
         ));
     }
-    for (name, task) in asking {
+    for (name, task) in calls {
         match task.await {
             Some(counters) => {
                 sum.merge(&counters);
@@ -92,42 +92,42 @@
 }
 
 async fn fetch_counters(address: SocketAddr) -> Option<Counters> {
-    let mut connection = Connection::open(address, PEER_MS).await.ok()?;
+    let mut connection = Connection::open(address, PEER_TIMEOUT_MS).await.ok()?;
     let request = Request::builder()
         .uri("/v1/reports/counters")
         .header("host", address.to_string())
         .body(Bytes::new())
         .ok()?;
     let response = connection
-        .send(request, PEER_MS, MAX_COUNTERS_BYTES)
+        .send(request, PEER_TIMEOUT_MS, MAX_COUNTERS_BYTES)
         .await
         .ok()?;
     serde_json::from_slice(response.body()).ok()
 }
 
-/// Fragmentation of one data centre, or of all whose leader answers, as JSON or, with `format=html`, as a page.
+/// The fragmentation of one data centre, or of all whose leader answers, as JSON or, with `format=html`, as an HTML page.
 pub(super) async fn fragmentation(
     node: &Rc<Node>,
     request: &Request<Bytes>,
 ) -> Result<Response<Bytes>, Failure> {
-    let asked = answer::parameter(request, "data_centre");
+    let requested = answer::parameter(request, "data_centre");
     let mut reports: Vec<FragmentationReport> = Vec::new();
     for data_centre in node.config.data_centres() {
-        if asked.is_some_and(|asked| asked != &*data_centre) {
+        if requested.is_some_and(|requested| requested != &*data_centre) {
             continue;
         }
         match node
-            .ask_leader(&data_centre, &LeaderCall::Fragmentation, LEADER_MS)
+            .ask_leader(&data_centre, &LeaderCall::Fragmentation, LEADER_TIMEOUT_MS)
             .await
         {
             Ok(LeaderAnswer::Fragmentation(report)) => reports.push(report),
             Ok(_) => {
                 return Err(Failure::new(
                     Code::Internal,
-                    "the leader answered another question",
+                    "unexpected kind of answer from the leader",
                 ));
             }
-            Err(failure) if asked.is_some() => return Err(failure),
+            Err(failure) if requested.is_some() => return Err(failure),
             Err(_) => {}
         }
     }
@@ -140,7 +140,7 @@
     Ok(answer::json(&reports))
 }
 
-/// Reads the counters kept at `path`; none when there are none or they cannot be read.
+/// Reads the counters stored at `path`; returns empty counters if the file is missing or unreadable.
 pub fn load_counters(path: &Path) -> Counters {
     std::fs::read(path)
         .ok()
@@ -148,15 +148,15 @@
         .unwrap_or_default()
 }
 
-/// Writes the counters aside, syncs and renames them.
+/// Writes the counters to a temporary file, syncs it, and renames it to `path`, so that a crash leaves no partial file.
 ///
 /// # Errors
 ///
-/// When the disk refuses.
+/// When the file cannot be written, synced or renamed.
 pub fn save_counters(path: &Path, counters: &Counters) -> std::io::Result<()> {
-    let aside = path.with_extension("new");
-    let mut file = std::fs::File::create(&aside)?;
+    let temporary_path = path.with_extension("new");
+    let mut file = std::fs::File::create(&temporary_path)?;
     file.write_all(&serde_json::to_vec(counters)?)?;
     file.sync_all()?;
-    std::fs::rename(&aside, path)
+    std::fs::rename(&temporary_path, path)
 }
--- a/crates/bh-node/src/http_api/request.rs
+++ b/crates/bh-node/src/http_api/request.rs
@@ -1,10 +1,10 @@
-//! `POST /v1/customers/{customer}/requests/{type}`: a short request.
+//! `POST /v1/customers/{customer}/requests/{type}`: runs a short request.
 
 use super::answer;
 use crate::node::Node;
 use crate::requests;
 use crate::requests::FinalAnswer;
-use crate::requests::Work;
+use crate::requests::ShortRequest;
 use bh_protocol::Code;
 use bh_protocol::Failure;
 use bh_protocol::request as names;
@@ -25,17 +25,23 @@
     kind: &str,
 ) -> Result<Response<Bytes>, Failure> {
     let start_ms = node.clock.now_ms();
-    let (work, objective_ms) = resolve(node, request, customer, kind)?;
-    let (customer, request_type) = (work.customer.clone(), work.request_type.clone());
-    let final_answer = requests::execute(node, work, false).await;
+    let (short_request, objective_ms) = resolve(node, request, customer, kind)?;
+    let (customer, request_type) = (
+        short_request.customer.clone(),
+        short_request.request_type.clone(),
+    );
+    let final_answer = requests::execute(node, short_request, false).await;
     let took_ms = node.clock.now_ms().saturating_sub(start_ms);
     let code = final_answer.code();
-    let good = code == Code::Done && took_ms <= objective_ms;
-    node.counters
-        .borrow_mut()
-        .note(node.clock.wall_ms(), &customer, &request_type, good);
+    let met_objective = code == Code::Done && took_ms <= objective_ms;
+    node.counters.borrow_mut().note(
+        node.clock.wall_ms(),
+        &customer,
+        &request_type,
+        met_objective,
+    );
     node.metrics
-        .request(&customer, &request_type, code.number(), took_ms);
+        .record_request(&customer, &request_type, code.number(), took_ms);
     log::debug!(customer = &*customer, request_type = &*request_type, code = code.number(), took_ms = took_ms; "request ended");
     Ok(to_response(final_answer))
 }
@@ -45,7 +51,7 @@
     request: &Request<Bytes>,
     customer: &str,
     kind: &str,
-) -> Result<(Work, u64), Failure> {
+) -> Result<(ShortRequest, u64), Failure> {
     let (_, settings) = node.settings_in_force();
     let headers = request.headers();
     let resolved = check::resolve(&settings, customer, kind, answer::token(headers))?;
@@ -58,7 +64,7 @@
         );
         return Err(Failure::new(Code::BodyTooLarge, label));
     }
-    let work = Work {
+    let short_request = ShortRequest {
         customer: Arc::from(customer),
         weight: resolved.customer.weight,
         request_type: Arc::from(kind),
@@ -69,10 +75,10 @@
         content_type: answer::header(headers, "content-type").map(str::to_owned),
         body: request.body().clone(),
     };
-    Ok((work, request_type.objective_ms))
+    Ok((short_request, request_type.objective_ms))
 }
 
-/// The caller's key, or one that no other request has: without a key a resend is a new request.
+/// The caller's idempotency key, or a unique generated one: without a key from the caller, a resend is a new request.
 fn key(node: &Node, headers: &http::HeaderMap) -> Result<Arc<str>, Failure> {
     match answer::header(headers, names::IDEMPOTENCY_KEY) {
         Some(key) if key.is_empty() || key.len() > MAX_KEY_BYTES => Err(Failure::new(
@@ -84,17 +90,17 @@
             "own-{:016x}-{}-{}",
             node.replica,
             node.clock.wall_ms(),
-            node.request_number()
+            node.next_request_number()
         ))),
     }
 }
 
-fn deadline_ms(headers: &http::HeaderMap, longest_ms: u64) -> Result<u64, Failure> {
+fn deadline_ms(headers: &http::HeaderMap, max_ms: u64) -> Result<u64, Failure> {
     match answer::header(headers, names::DEADLINE_MS) {
-        None => Ok(longest_ms),
+        None => Ok(max_ms),
         Some(text) => text
             .parse::<u64>()
-            .map(|asked| asked.min(longest_ms))
+            .map(|requested_ms| requested_ms.min(max_ms))
             .map_err(|_| {
                 Failure::new(
                     Code::MalformedBody,
--- a/crates/bh-node/src/http_api/route.rs
+++ b/crates/bh-node/src/http_api/route.rs
@@ -1,4 +1,4 @@
-//! From method and path to the file that serves them.
+//! Routes requests by method and path.
 
 use super::announce;
 use super::answer;
@@ -62,7 +62,7 @@
         (true, _, ["v1", "reports", "fragmentation"]) => {
             reports::fragmentation(node, request).await
         }
-        _ if is_known(&parts) => Err(Failure::new(
+        _ if is_known_path(&parts) => Err(Failure::new(
             Code::MethodNotAllowed,
             format!("{} {path}", request.method()),
         )),
@@ -70,7 +70,7 @@
     }
 }
 
-fn is_known(parts: &[&str]) -> bool {
+fn is_known_path(parts: &[&str]) -> bool {
     matches!(
         parts,
         ["healthz" | "readyz"]
--- a/crates/bh-node/src/http_api/settings.rs
+++ b/crates/bh-node/src/http_api/settings.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/settings` and `GET /v1/settings`: operators change the settings and read them.
+//! `POST /v1/settings` and `GET /v1/settings`: change and read the settings.
 
 use super::answer;
 use crate::node::Node;
@@ -18,11 +18,11 @@
 use std::rc::Rc;
 
 /// Longest wait for a quorum, in milliseconds.
-const APPLY_MS: u64 = 5_000;
+const APPLY_TIMEOUT_MS: u64 = 5_000;
 /// Longest change id, in bytes.
 const MAX_ID_BYTES: usize = 128;
 
-/// Applies a change: the answer comes when it is synced on a quorum, or refused by the state machine.
+/// Applies a change. The answer is sent when the change is synced on a quorum or refused by the state machine.
 pub(super) async fn apply(
     node: &Rc<Node>,
     request: &Request<Bytes>,
@@ -52,15 +52,15 @@
         settings,
     };
     let answer = node
-        .propose(SETTINGS_GROUP, to_json(&command)?, APPLY_MS)
+        .propose(SETTINGS_GROUP, to_json(&command)?, APPLY_TIMEOUT_MS)
         .await?;
     let accepted = from_json::<Outcome>(&answer)?.into_result()?;
     log::info!(revision = accepted.revision, change = &*command.change_id; "settings changed");
     Ok(answer::json(&accepted))
 }
 
-/// The settings in force here, as YAML, with their revision in a header. Digests of tokens are shown only to their
-/// administrators.
+/// The settings in force on this entry, as YAML, with their revision in a header. Only administrators see the digests of
+/// tokens.
 pub(super) fn get(node: &Rc<Node>, request: &Request<Bytes>) -> Result<Response<Bytes>, Failure> {
     let (revision, settings) = node.settings_in_force();
     let mut shown = (*settings).clone();
--- a/crates/bh-node/src/http_api/status.rs
+++ b/crates/bh-node/src/http_api/status.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/status`: what this entry is and does.
+//! `GET /v1/status`: the state of this entry.
 
 use super::answer;
 use crate::group::Group;
@@ -20,15 +20,15 @@
     pub role: String,
     /// Name of the leader's VM, if one is known.
     pub leader: Option<String>,
-    /// Term.
+    /// Current term.
     pub term: u64,
-    /// Last index applied.
+    /// Index of the last applied log entry.
     pub applied: u64,
-    /// Last index the snapshot covers.
+    /// Index of the last log entry that the snapshot covers.
     pub snapshot_index: u64,
     /// Names of the voters.
     pub voters: Vec<String>,
-    /// Milliseconds since the leader was heard; `None` before the first time.
+    /// Time since the entry last heard from the group's leader, in milliseconds; `None` before the first time.
     pub confirmed_ms: Option<u64>,
 }
 
@@ -37,34 +37,34 @@
 pub struct PeerView {
     /// Name of the entry.
     pub name: Arc<str>,
-    /// Its data centre.
+    /// The entry's data centre.
     pub data_centre: Arc<str>,
     /// Whether the link is open.
     pub linked: bool,
-    /// Free slots it last reported.
+    /// Free slots in the entry's latest heartbeat.
     pub free_slots: u32,
 }
 
-/// What an entry says of itself.
+/// The state of an entry.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EntryStatus {
-    /// Settings in force.
+    /// Settings in force on the entry.
     pub in_force: InForce,
-    /// Whether the balancer shall send callers here.
+    /// Whether the load balancer should send callers to the entry.
     pub ready: bool,
     /// Requests in progress.
     pub in_progress: u32,
     /// Requests that wait for a slot.
     pub queued: usize,
-    /// Free slots over the targets this entry owns.
+    /// Free slots on the targets that the entry owns.
     pub free_slots: u32,
-    /// Slots over those targets.
+    /// All slots on the targets that the entry owns.
     pub slots: u32,
-    /// Bytes sent to other entries since the start.
+    /// Bytes sent to other entries since the process started.
     pub link_bytes: u64,
-    /// Its groups.
+    /// Replication groups that the entry takes part in.
     pub groups: Vec<GroupView>,
-    /// Its links.
+    /// Links to the other entries.
     pub peers: Vec<PeerView>,
 }
 
--- a/crates/bh-node/src/http_api/targets.rs
+++ b/crates/bh-node/src/http_api/targets.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/targets`: all targets of a data centre.
+//! `GET /v1/targets`: lists the targets of a data centre.
 
 use super::answer;
 use crate::leader::LeaderAnswer;
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 
 /// Longest wait for the leader, in milliseconds.
-const LEADER_MS: u64 = 2_000;
+const LEADER_TIMEOUT_MS: u64 = 2_000;
 
 pub(super) async fn serve(
     node: &Rc<Node>,
@@ -21,13 +21,13 @@
     let own = node.config.own.data_centre.clone();
     let data_centre = answer::parameter(request, "data_centre").unwrap_or(&own);
     match node
-        .ask_leader(data_centre, &LeaderCall::Targets, LEADER_MS)
+        .ask_leader(data_centre, &LeaderCall::Targets, LEADER_TIMEOUT_MS)
         .await?
     {
         LeaderAnswer::Targets(targets) => Ok(answer::json(&targets)),
         _ => Err(Failure::new(
             Code::Internal,
-            "the leader answered another question",
+            "unexpected kind of answer from the leader",
         )),
     }
 }
--- a/crates/bh-node/src/jobs_machine.rs
+++ b/crates/bh-node/src/jobs_machine.rs
@@ -12,9 +12,9 @@
 /// A change of the group's state.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum JobsCommand {
-    /// Of a job.
+    /// A change of a job.
     Job(Command),
-    /// Of a non-idempotent request.
+    /// A change of a non-idempotent request's record.
     Request(LedgerCommand),
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl JobsMachine {
-    /// No jobs and no requests.
+    /// A state without jobs and requests.
     pub fn new() -> Self {
         Self::default()
     }
--- a/crates/bh-node/src/leader/carry_out.rs
+++ b/crates/bh-node/src/leader/actions.rs
@@ -1,10 +1,10 @@
-//! Carries out what the scheduler asks for.
+//! Executes the scheduler's actions: orders to workers and records in the group's log.
 
-use super::duties::task_lease_ms;
 use super::jobs_group::JobsGroup;
+use super::leader_state::task_lease_ms;
 use super::orders;
+use super::orders::OrderTemplate;
 use super::orders::Recipient;
-use super::orders::Template;
 use crate::jobs_machine::JobsAnswer;
 use crate::jobs_machine::JobsCommand;
 use crate::node::Node;
@@ -21,36 +21,36 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Longest wait for one record, in milliseconds; it is proposed again while this entry leads.
-const RECORD_MS: u64 = 2_000;
+/// Longest wait until a proposed command is recorded, in milliseconds; it is proposed again while this entry leads.
+const RECORD_TIMEOUT_MS: u64 = 2_000;
 /// Time between attempts to record, in milliseconds.
-const RETRY_MS: u64 = 50;
+const RETRY_INTERVAL_MS: u64 = 50;
 
 impl JobsGroup {
     /// Starts every action in a task of its own.
-    pub(super) fn carry_out_all(&self, node: &Node, actions: Vec<Action>) {
+    pub(super) fn execute_actions(&self, node: &Node, actions: Vec<Action>) {
         if actions.is_empty() {
             return;
         }
-        let Some((node, jobs)) = node.rc_of(&self.data_centre) else {
+        let Some((node, jobs)) = node.node_and_group(&self.data_centre) else {
             return;
         };
         for action in actions {
-            monoio::spawn(carry_out(node.clone(), jobs.clone(), action));
+            monoio::spawn(execute_action(node.clone(), jobs.clone(), action));
         }
     }
 
     fn address_of(&self, worker: &str) -> Option<Arc<str>> {
-        self.duties_ref(|duties| duties.registry.address_of(worker))
+        self.with_leader_state(|leader_state| leader_state.registry.address_of(worker))
             .flatten()
     }
 
-    /// An order gives tasks a new lease, from its arrival at the latest.
-    fn note_orders(&self, node: &Node, placement: &Placement) {
+    /// Notes contact with the workers of the placement: an order gives their tasks a new lease when it arrives.
+    fn record_order_contact(&self, node: &Node, placement: &Placement) {
         let now_ms = node.clock.now_ms();
-        self.duties_mut(|duties| {
+        self.with_leader_state_mut(|leader_state| {
             for worker in placement.per_worker().keys() {
-                duties.task_leases.note_contact(now_ms, worker);
+                leader_state.task_leases.note_contact(now_ms, worker);
             }
         });
     }
@@ -65,15 +65,15 @@
     }
 }
 
-async fn carry_out(node: Rc<Node>, jobs: Rc<JobsGroup>, action: Action) {
+async fn execute_action(node: Rc<Node>, jobs: Rc<JobsGroup>, action: Action) {
     match action {
         Action::Prepare {
             job,
             epoch,
             placement,
         } => {
-            let refused = order(&node, &jobs, TaskVerb::Prepare, job, epoch, &placement).await;
-            jobs.feed(
+            let refused = send_order(&node, &jobs, TaskVerb::Prepare, job, epoch, &placement).await;
+            jobs.handle_event(
                 &node,
                 Event::Prepared {
                     job,
@@ -93,8 +93,8 @@
             placement,
         } => {
             log::info!(job = job, epoch = epoch, data_centre = &*jobs.data_centre; "gang starts");
-            let refused = order(&node, &jobs, TaskVerb::Start, job, epoch, &placement).await;
-            jobs.feed(
+            let refused = send_order(&node, &jobs, TaskVerb::Start, job, epoch, &placement).await;
+            jobs.handle_event(
                 &node,
                 Event::StartSent {
                     job,
@@ -109,7 +109,7 @@
             workers,
         } => {
             log::info!(job = job, epoch = epoch; "gang checkpoints");
-            stop(&node, &jobs, TaskVerb::Checkpoint, job, epoch, workers).await;
+            stop_tasks(&node, &jobs, TaskVerb::Checkpoint, job, epoch, workers).await;
         }
         Action::Stop {
             job,
@@ -117,9 +117,10 @@
             workers,
         } => {
             log::info!(job = job, epoch = epoch; "gang stops");
-            for (worker, confirmed) in stop(&node, &jobs, TaskVerb::Stop, job, epoch, workers).await
+            for (worker, confirmed) in
+                stop_tasks(&node, &jobs, TaskVerb::Stop, job, epoch, workers).await
             {
-                jobs.feed(
+                jobs.handle_event(
                     &node,
                     Event::StopSent {
                         job,
@@ -131,9 +132,9 @@
             }
         }
         Action::RecordRequeue { job, epoch, reason } => {
-            log::info!(job = job, epoch = epoch, reason = &*reason; "job waits again");
+            log::info!(job = job, epoch = epoch, reason = &*reason; "job requeued");
             record(&node, &jobs, Command::Requeue { job, epoch, reason }).await;
-            jobs.feed(&node, Event::Requeued { job, epoch });
+            jobs.handle_event(&node, Event::Requeued { job, epoch });
         }
         Action::RecordEnd {
             job,
@@ -157,8 +158,8 @@
     }
 }
 
-/// Sends an order to every worker of the placement; returns those that refused or did not answer.
-async fn order(
+/// Sends an order to every worker of the placement; returns the workers that refused it or did not answer.
+async fn send_order(
     node: &Rc<Node>,
     jobs: &Rc<JobsGroup>,
     verb: TaskVerb,
@@ -166,7 +167,7 @@
     epoch: u64,
     placement: &Placement,
 ) -> BTreeSet<Arc<str>> {
-    let Some(template) = template(node, jobs, verb, job, epoch) else {
+    let Some(template) = order_template(node, jobs, verb, job, epoch) else {
         return placement.per_worker().into_keys().collect();
     };
     let workers = placement
@@ -182,9 +183,9 @@
             )
         })
         .collect();
-    jobs.note_orders(node, placement);
+    jobs.record_order_contact(node, placement);
     let results = orders::send_all(node, &template, workers).await;
-    jobs.note_orders(node, placement);
+    jobs.record_order_contact(node, placement);
     results
         .into_iter()
         .filter(|(_, accepted)| !accepted)
@@ -192,7 +193,7 @@
         .collect()
 }
 
-async fn stop(
+async fn stop_tasks(
     node: &Rc<Node>,
     jobs: &Rc<JobsGroup>,
     verb: TaskVerb,
@@ -200,7 +201,7 @@
     epoch: u64,
     workers: BTreeSet<Arc<str>>,
 ) -> BTreeMap<Arc<str>, bool> {
-    let template = Template {
+    let template = OrderTemplate {
         verb,
         job,
         epoch,
@@ -223,16 +224,16 @@
     orders::send_all(node, &template, workers).await
 }
 
-fn template(
+fn order_template(
     node: &Rc<Node>,
     jobs: &Rc<JobsGroup>,
     verb: TaskVerb,
     job: u64,
     epoch: u64,
-) -> Option<Template> {
+) -> Option<OrderTemplate> {
     let lease_ms = task_lease_ms(node.config.target_lease_ms);
     jobs.group.machine.read().jobs().map(|machine| {
-        machine.table.get(job).map(|record| Template {
+        machine.table.get(job).map(|record| OrderTemplate {
             verb,
             job,
             epoch,
@@ -243,8 +244,9 @@
     })?
 }
 
-/// Records the decision to start. Whether a proposal without an answer was taken is read back from the record, so that
-/// the gang is neither started without a decision nor left prepared with one.
+/// Records the decision to start. If the record refuses it, an earlier proposal whose answer was lost may already have been
+/// applied. The job's recorded phase tells, so that the gang is never started without a recorded start, and never stays
+/// prepared with one.
 async fn record_start(
     node: Rc<Node>,
     jobs: Rc<JobsGroup>,
@@ -265,10 +267,10 @@
     let accepted = match outcome {
         Some(Outcome::Recorded) => true,
         Some(_) => jobs.record_phase(job) == Some((Phase::Started, epoch)),
-        // This entry does not lead any more: its successor decides.
+        // This entry no longer leads: the next leader decides.
         None => return,
     };
-    jobs.feed(
+    jobs.handle_event(
         &node,
         Event::StartRecorded {
             job,
@@ -278,11 +280,11 @@
     );
 }
 
-/// Records a change, again and again while this entry leads; `None` when it does not any more.
+/// Proposes a command until it is recorded; returns `None` when this entry no longer leads or stops.
 async fn record(node: &Rc<Node>, jobs: &Rc<JobsGroup>, command: Command) -> Option<Outcome> {
     let bytes = serde_json::to_vec(&JobsCommand::Job(command)).ok()?;
-    while jobs.is_on_duty() {
-        if let Ok(answer) = jobs.group.propose(bytes.clone(), RECORD_MS).await
+    while jobs.is_serving_leader() {
+        if let Ok(answer) = jobs.group.propose(bytes.clone(), RECORD_TIMEOUT_MS).await
             && let Ok(JobsAnswer::Job(outcome)) = serde_json::from_slice(&answer)
         {
             return Some(outcome);
@@ -290,7 +292,7 @@
         if node.stop.is_cancelled() {
             return None;
         }
-        sleep_ms(RETRY_MS).await;
+        sleep_ms(RETRY_INTERVAL_MS).await;
     }
     None
 }
--- a/crates/bh-node/src/leader/call.rs
+++ b/crates/bh-node/src/leader/call.rs
@@ -1,4 +1,4 @@
-//! Questions to the leader of a data centre, and its answers.
+//! Calls to the leader of a data centre's group, and its answers.
 
 use bh_membership::Claims;
 use bh_membership::Grant;
@@ -12,25 +12,25 @@
 use serde::Serialize;
 use std::sync::Arc;
 
-/// A question to the leader.
+/// A call to the leader.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum LeaderCall {
-    /// A target announced itself to some entry.
+    /// A target announced itself to an entry.
     Announce(Announcement),
-    /// An entry renews the targets it owns.
+    /// An entry renews its leases on the targets it owns.
     Renew(Claims),
-    /// All targets.
+    /// Lists all targets.
     Targets,
-    /// Jobs of a customer, or one of them.
+    /// Lists the jobs of a customer, or one of them.
     Jobs {
         /// Customer.
         customer: Arc<str>,
-        /// One job, or all.
+        /// Number of the job; `None` for all jobs of the customer.
         job: Option<u64>,
     },
-    /// Whether a shape can ever be placed.
+    /// Asks whether a shape could be placed if the data centre were empty.
     CanFit(Shape),
-    /// Fragmentation for the shapes that wait or are guaranteed.
+    /// Asks for the fragmentation for the queued and the guaranteed shapes.
     Fragmentation,
 }
 
@@ -45,7 +45,7 @@
     Targets(Vec<TargetView>),
     /// To [`LeaderCall::Jobs`].
     Jobs(Vec<Status>),
-    /// To [`LeaderCall::CanFit`]; `None` while it is not known.
+    /// To [`LeaderCall::CanFit`]; `None` while the leader does not know.
     CanFit(Option<bool>),
     /// To [`LeaderCall::Fragmentation`].
     Fragmentation(FragmentationReport),
--- a/crates/bh-node/src/leader/jobs_group.rs
+++ b/crates/bh-node/src/leader/jobs_group.rs
@@ -1,9 +1,9 @@
-//! A data centre's group as this entry sees it, with the duties of its leader while this entry leads.
+//! A data centre's group on this entry, with the leader's state while this entry leads.
 
 use super::call::LeaderAnswer;
 use super::call::LeaderCall;
-use super::duties::Duties;
-use super::duties::GroupPlace;
+use super::leader_state::GroupContext;
+use super::leader_state::LeaderState;
 use crate::group::Group;
 use crate::jobs_machine::JobsAnswer;
 use crate::jobs_machine::JobsCommand;
@@ -21,20 +21,20 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Time between the duties' ticks, in milliseconds.
+/// Time between ticks of the leader's state, in milliseconds.
 const TICK_MS: u64 = 50;
 /// Longest wait for a confirmed read at the start of a term, in milliseconds.
-const READ_MS: u64 = 5_000;
+const READ_TIMEOUT_MS: u64 = 5_000;
 
-/// A data centre's group.
+/// A data centre's replication group on this entry.
 pub struct JobsGroup {
     /// Data centre.
     pub data_centre: Arc<str>,
-    /// Its replication.
+    /// The replication group.
     pub group: Group,
-    duties: RefCell<Option<Duties>>,
-    term_on_duty: Cell<u64>,
-    /// Settings revision that the scheduler's limits were made from.
+    leader_state: RefCell<Option<LeaderState>>,
+    served_term: Cell<u64>,
+    /// Settings revision that the scheduler's limits were computed from.
     limits_revision: Cell<u64>,
 }
 
@@ -44,78 +44,80 @@
         Self {
             data_centre,
             group,
-            duties: RefCell::new(None),
-            term_on_duty: Cell::new(0),
+            leader_state: RefCell::new(None),
+            served_term: Cell::new(0),
             limits_revision: Cell::new(0),
         }
     }
 
-    /// Whether this entry leads and has caught up with what earlier leaders recorded.
-    pub fn is_on_duty(&self) -> bool {
-        self.group.is_leader() && self.duties.borrow().is_some()
+    /// Whether this entry leads and has caught up with what earlier leaders recorded, so that it serves calls.
+    pub fn is_serving_leader(&self) -> bool {
+        self.group.is_leader() && self.leader_state.borrow().is_some()
     }
 
-    /// Answers a question to the leader.
+    /// Answers a call to the leader.
     ///
     /// # Errors
     ///
-    /// [`bh_protocol::Code::NoQuorum`] when this entry does not lead, or what the question is refused with.
+    /// [`bh_protocol::Code::NoQuorum`] when this entry does not lead, or the reason the call is refused.
     pub fn answer(&self, node: &Node, call: LeaderCall) -> Result<LeaderAnswer, Failure> {
         let (answer, actions) = {
-            let mut duties = self.duties.borrow_mut();
-            let duties = duties.as_mut().ok_or_else(|| self.group.no_quorum())?;
-            let place = GroupPlace {
+            let mut leader_state = self.leader_state.borrow_mut();
+            let leader_state = leader_state
+                .as_mut()
+                .ok_or_else(|| self.group.no_quorum())?;
+            let context = GroupContext {
                 data_centre: &self.data_centre,
                 group: &self.group,
             };
-            duties.answer(node, &place, call)?
+            leader_state.answer(node, &context, call)?
         };
-        self.carry_out_all(node, actions);
+        self.execute_actions(node, actions);
         Ok(answer)
     }
 
-    /// Takes up or lays down the duties as the role says.
+    /// Starts or ends this entry's leadership after its role in the group has changed.
     pub fn role_changed(self: &Rc<Self>, node: &Rc<Node>) {
         let status = self.group.status();
         if !status.is_leader {
-            if self.duties.borrow_mut().take().is_some() {
+            if self.leader_state.borrow_mut().take().is_some() {
                 log::info!(group = &*self.group.name, term = status.term; "no longer leader");
             }
-            self.term_on_duty.set(0);
+            self.served_term.set(0);
             return;
         }
-        if self.term_on_duty.get() == status.term {
+        if self.served_term.get() == status.term {
             return;
         }
-        self.term_on_duty.set(status.term);
+        self.served_term.set(status.term);
         log::info!(group = &*self.group.name, term = status.term; "elected leader");
         monoio::spawn(serve_term(node.clone(), self.clone(), status.term));
     }
 
-    /// Reads the duties, while this entry has them.
-    pub(super) fn duties_ref<T>(&self, read: impl FnOnce(&Duties) -> T) -> Option<T> {
-        self.duties.borrow().as_ref().map(read)
+    /// Reads the leader's state; returns `None` while this entry does not lead.
+    pub(super) fn with_leader_state<T>(&self, read: impl FnOnce(&LeaderState) -> T) -> Option<T> {
+        self.leader_state.borrow().as_ref().map(read)
     }
 
-    /// Changes the duties, while this entry has them.
-    pub(super) fn duties_mut(&self, change: impl FnOnce(&mut Duties)) {
-        if let Some(duties) = self.duties.borrow_mut().as_mut() {
-            change(duties);
+    /// Changes the leader's state; does nothing while this entry does not lead.
+    pub(super) fn with_leader_state_mut(&self, change: impl FnOnce(&mut LeaderState)) {
+        if let Some(leader_state) = self.leader_state.borrow_mut().as_mut() {
+            change(leader_state);
         }
     }
 
-    fn leads(&self, term: u64) -> bool {
+    fn leads_term(&self, term: u64) -> bool {
         let status = self.group.status();
         status.is_leader && status.term == term
     }
 
-    fn take_up(&self, node: &Node, term: u64) {
+    fn assume_leadership(&self, node: &Node, term: u64) {
         let now_ms = node.clock.now_ms();
         let (revision, settings) = node.settings_in_force();
         self.limits_revision.set(revision);
         let limits = Limits::new(&settings, &self.data_centre);
-        let duties = Duties::new(term, limits, node.config.target_lease_ms, now_ms);
-        *self.duties.borrow_mut() = Some(duties);
+        let leader_state = LeaderState::new(term, limits, node.config.target_lease_ms, now_ms);
+        *self.leader_state.borrow_mut() = Some(leader_state);
         let recorded = self.group.machine.read().jobs().map(|machine| {
             let open = machine
                 .table
@@ -125,48 +127,48 @@
                 .collect::<Vec<_>>()
         });
         for job in recorded.unwrap_or_default() {
-            self.feed(node, Event::JobRecorded(job));
+            self.handle_event(node, Event::JobRecorded(job));
         }
     }
 
-    /// Hands an event to the scheduler and carries out what it asks for.
-    pub fn feed(&self, node: &Node, event: Event) {
-        let actions = match self.duties.borrow_mut().as_mut() {
-            Some(duties) => duties.scheduler.step(node.clock.now_ms(), event),
+    /// Passes an event to the scheduler and executes the resulting actions.
+    pub fn handle_event(&self, node: &Node, event: Event) {
+        let actions = match self.leader_state.borrow_mut().as_mut() {
+            Some(leader_state) => leader_state.scheduler.step(node.clock.now_ms(), event),
             None => return,
         };
-        self.carry_out_all(node, actions);
+        self.execute_actions(node, actions);
     }
 
     fn tick(&self, node: &Node) {
         let now_ms = node.clock.now_ms();
-        let lost = match self.duties.borrow_mut().as_mut() {
-            Some(duties) => {
-                let gone = duties.registry.take_expired_targets(now_ms);
-                duties.task_leases.expire_workers(now_ms, &gone)
+        let lost = match self.leader_state.borrow_mut().as_mut() {
+            Some(leader_state) => {
+                let gone = leader_state.registry.take_expired_targets(now_ms);
+                leader_state.task_leases.expire_workers(now_ms, &gone)
             }
             None => return,
         };
-        self.take_new_limits(node);
+        self.apply_changed_limits(node);
         for name in lost {
             log::warn!(target_name = &*name, data_centre = &*self.data_centre; "target lost: its leases lapsed");
-            self.feed(node, Event::WorkerLost { name });
+            self.handle_event(node, Event::WorkerLost { name });
         }
-        self.feed(node, Event::Tick);
+        self.handle_event(node, Event::Tick);
     }
 
-    /// Hands changed settings to the scheduler.
-    fn take_new_limits(&self, node: &Node) {
+    /// Passes the limits of changed settings to the scheduler.
+    fn apply_changed_limits(&self, node: &Node) {
         let (revision, settings) = node.settings_in_force();
         if self.limits_revision.replace(revision) != revision {
             let limits = Limits::new(&settings, &self.data_centre);
-            self.feed(node, Event::LimitsChanged(limits));
+            self.handle_event(node, Event::LimitsChanged(limits));
         }
     }
 
-    /// A command was applied to the record: the scheduler hears of new and cancelled jobs.
-    pub fn applied(&self, node: &Node, command: &[u8], answer: &[u8]) {
-        if self.duties.borrow().is_none() {
+    /// Tells the scheduler of new and cancelled jobs after a command was applied to the group's state machine.
+    pub fn command_applied(&self, node: &Node, command: &[u8], answer: &[u8]) {
+        if self.leader_state.borrow().is_none() {
             return;
         }
         let (Ok(command), Ok(answer)) = (
@@ -188,11 +190,11 @@
                 });
                 if let Some(recorded) = recorded.filter(|recorded| recorded.phase == Phase::Queued)
                 {
-                    self.feed(node, Event::JobRecorded(recorded));
+                    self.handle_event(node, Event::JobRecorded(recorded));
                 }
             }
             (JobsCommand::Job(_), JobsAnswer::Job(Outcome::Cancelled { jobs })) => {
-                self.feed(node, Event::JobsCancelled { jobs });
+                self.handle_event(node, Event::JobsCancelled { jobs });
             }
             _ => {}
         }
@@ -214,19 +216,19 @@
     }
 }
 
-/// Serves one term of leadership: first catches up, then ticks until the term is over.
+/// Serves one term of leadership: catches up with the record, then ticks until the term ends.
 async fn serve_term(node: Rc<Node>, jobs: Rc<JobsGroup>, term: u64) {
-    while jobs.leads(term) {
-        if jobs.group.read(READ_MS).await.is_ok() {
+    while jobs.leads_term(term) {
+        if jobs.group.read(READ_TIMEOUT_MS).await.is_ok() {
             break;
         }
         sleep_ms(TICK_MS).await;
     }
-    if !jobs.leads(term) {
+    if !jobs.leads_term(term) {
         return;
     }
-    jobs.take_up(&node, term);
-    while jobs.leads(term) && !node.stop.is_cancelled() {
+    jobs.assume_leadership(&node, term);
+    while jobs.leads_term(term) && !node.stop.is_cancelled() {
         jobs.tick(&node);
         sleep_ms(TICK_MS).await;
     }
--- a/crates/bh-node/src/leader/duties.rs
+++ b/crates/bh-node/src/leader/leader_state.rs
@@ -1,4 +1,4 @@
-//! The leader's own state: targets and scheduler, kept in memory and learnt anew in each term.
+//! State that only the leader keeps: targets and scheduler. It is kept in memory and rebuilt in each term.
 
 use super::call::LeaderAnswer;
 use super::call::LeaderCall;
@@ -24,36 +24,36 @@
 use bh_scheduler::Scheduler;
 use std::sync::Arc;
 
-/// Announcements within a target's lease.
+/// Number of announcements that a target makes within its lease.
 const RENEWALS_PER_LEASE: u64 = 3;
 
-/// Lease of tasks on their workers, in milliseconds: shorter than the target's own, so that a worker that counts it from
-/// the answer to its announcement still ends its tasks before the leader gives their places away.
+/// Lease of tasks on their workers, in milliseconds. It is shorter than the target's lease: a worker counts it from the
+/// answer to its announcement, and must end its tasks before the leader gives their accelerators to others.
 pub fn task_lease_ms(target_lease_ms: u64) -> u64 {
     target_lease_ms - target_lease_ms / 5
 }
 
-/// The data centre and its record, as the duties read them.
-pub struct GroupPlace<'a> {
+/// The data centre and its group, as the leader's state reads them.
+pub struct GroupContext<'a> {
     /// Data centre.
     pub data_centre: &'a Arc<str>,
-    /// Its replication.
+    /// The data centre's replication group.
     pub group: &'a Group,
 }
 
-/// What only the leader keeps.
-pub struct Duties {
+/// State that only the leader keeps.
+pub struct LeaderState {
     /// The targets and their owners.
     pub registry: Registry,
-    /// When the tasks of lost workers have ended.
+    /// Task leases of lost workers, which tell when their tasks have ended.
     pub task_leases: TaskLeases,
-    /// The jobs' placements.
+    /// The scheduler, with the placements of the jobs.
     pub scheduler: Scheduler,
     target_lease_ms: u64,
 }
 
-impl Duties {
-    /// The duties of the leader of `term`, elected at `now_ms`.
+impl LeaderState {
+    /// The state of the leader of `term`, elected at `now_ms`.
     pub fn new(term: u64, limits: Limits, target_lease_ms: u64, now_ms: u64) -> Self {
         let mut scheduler = Scheduler::new(term, Limits::default(), target_lease_ms, now_ms);
         scheduler.step(now_ms, Event::LimitsChanged(limits));
@@ -71,31 +71,31 @@
         }
     }
 
-    /// Answers a question to the leader, with what the scheduler asks for because of it.
+    /// Answers a call; also returns the actions that the scheduler asks for because of it.
     ///
     /// # Errors
     ///
-    /// What the question is refused with.
+    /// The reason the call is refused.
     pub fn answer(
         &mut self,
         node: &Node,
-        place: &GroupPlace,
+        context: &GroupContext,
         call: LeaderCall,
     ) -> Result<(LeaderAnswer, Vec<Action>), Failure> {
         let now_ms = node.clock.now_ms();
         let answer = match call {
             LeaderCall::Announce(announcement) => {
-                return Ok(self.announce(node, place, announcement));
+                return Ok(self.announce(node, context, announcement));
             }
             LeaderCall::Renew(claims) => LeaderAnswer::Renewed(self.registry.renew(now_ms, claims)),
             LeaderCall::Targets => LeaderAnswer::Targets(self.registry.views(now_ms)),
             LeaderCall::Jobs { customer, job } => {
-                LeaderAnswer::Jobs(self.jobs(node, place, &customer, job))
+                LeaderAnswer::Jobs(self.jobs(node, context, &customer, job))
             }
             LeaderCall::CanFit(shape) => {
                 LeaderAnswer::CanFit(self.scheduler.can_ever_fit(&shape, now_ms))
             }
-            LeaderCall::Fragmentation => LeaderAnswer::Fragmentation(self.fragmentation(place)),
+            LeaderCall::Fragmentation => LeaderAnswer::Fragmentation(self.fragmentation(context)),
         };
         Ok((answer, Vec::new()))
     }
@@ -103,7 +103,7 @@
     fn announce(
         &mut self,
         node: &Node,
-        place: &GroupPlace,
+        context: &GroupContext,
         announcement: Announcement,
     ) -> (LeaderAnswer, Vec<Action>) {
         let now_ms = node.clock.now_ms();
@@ -123,24 +123,29 @@
         let mut reply = AnnounceReply {
             lease_ms: task_lease_ms(self.target_lease_ms),
             renew_ms: self.target_lease_ms / RENEWALS_PER_LEASE,
-            entries: entry_addresses(node, place.data_centre),
+            entries: entry_addresses(node, context.data_centre),
             ..AnnounceReply::default()
         };
         for report in &reports {
-            self.sort_report(place, report, &mut reply);
+            self.answer_task_report(context, report, &mut reply);
         }
         (LeaderAnswer::Announced(reply), actions)
     }
 
-    /// Says of a reported task whether it goes on, stops, or need not be reported any more.
-    fn sort_report(&self, place: &GroupPlace, report: &TaskReport, reply: &mut AnnounceReply) {
+    /// Tells the worker whether a task it reported continues, stops, or need no longer be reported.
+    fn answer_task_report(
+        &self,
+        context: &GroupContext,
+        report: &TaskReport,
+        reply: &mut AnnounceReply,
+    ) {
         let key = TaskKey {
             job: report.job,
             epoch: report.epoch,
             task: report.task,
         };
-        let holds = matches!(report.phase, TaskPhase::Prepared | TaskPhase::Running);
-        if holds {
+        let holds_accelerators = matches!(report.phase, TaskPhase::Prepared | TaskPhase::Running);
+        if holds_accelerators {
             if self.scheduler.should_renew_lease(&key) {
                 reply.renewed.push(key);
             } else {
@@ -148,10 +153,9 @@
             }
             return;
         }
-        // An ended task is forgotten by its worker only once the record says what it came to: a leader that died
-        // between hearing of it and recording it would otherwise leave a finished job that no worker knows of, and
-        // it would run again.
-        let settled = place
+        // A worker may forget an ended task only once its end is recorded. Otherwise, if the leader died after receiving the
+        // report and before recording it, no worker would know of the finished job, and it would run again.
+        let end_is_recorded = context
             .group
             .machine
             .read()
@@ -164,7 +168,7 @@
                 })
             })
             .unwrap_or(false);
-        if settled {
+        if end_is_recorded {
             reply.acknowledged.push(key);
         }
     }
@@ -172,24 +176,30 @@
     fn jobs(
         &self,
         node: &Node,
-        place: &GroupPlace,
+        context: &GroupContext,
         customer: &str,
         one: Option<u64>,
     ) -> Vec<Status> {
-        let statuses = place.group.machine.read().jobs().map(|machine| {
+        let statuses = context.group.machine.read().jobs().map(|machine| {
             machine
                 .table
                 .iter()
                 .filter(|(number, record)| {
                     *record.spec.customer == *customer && one.is_none_or(|one| one == *number)
                 })
-                .map(|(number, record)| self.status(node, place, number, record))
+                .map(|(number, record)| self.status(node, context, number, record))
                 .collect()
         });
         statuses.unwrap_or_default()
     }
 
-    fn status(&self, node: &Node, place: &GroupPlace, number: u64, record: &JobRecord) -> Status {
+    fn status(
+        &self,
+        node: &Node,
+        context: &GroupContext,
+        number: u64,
+        record: &JobRecord,
+    ) -> Status {
         let scheduled = self.scheduler.reason_of(number);
         let reason = if record.phase.is_final() || scheduled.is_empty() {
             &*record.reason
@@ -198,7 +208,7 @@
         };
         Status {
             job: number,
-            data_centre: place.data_centre.clone(),
+            data_centre: context.data_centre.clone(),
             customer: record.spec.customer.clone(),
             shape: record.spec.shape_name.clone(),
             phase: record.phase,
@@ -217,7 +227,7 @@
         }
     }
 
-    fn fragmentation(&self, place: &GroupPlace) -> FragmentationReport {
+    fn fragmentation(&self, context: &GroupContext) -> FragmentationReport {
         let inventory = self.scheduler.inventory();
         let live = || inventory.workers().iter().filter(|worker| worker.alive);
         let guarantees = self.scheduler.guarantees();
@@ -232,7 +242,7 @@
             }
         });
         FragmentationReport {
-            data_centre: place.data_centre.clone(),
+            data_centre: context.data_centre.clone(),
             accelerators: live().map(|worker| worker.capacity).sum(),
             free: live().map(|worker| worker.free()).sum(),
             guaranteed: guarantees.cells().len(),
@@ -243,7 +253,7 @@
 }
 
 fn entry_addresses(node: &Node, data_centre: &str) -> Vec<std::sync::Arc<str>> {
-    // The leader itself comes first: a worker that announces itself here costs no call between entries.
+    // The leader comes first: an announcement made to it needs no call between entries.
     let others = node
         .config
         .entries
--- a/crates/bh-node/src/leader/orders.rs
+++ b/crates/bh-node/src/leader/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to workers over HTTP.
+//! Sends orders to workers over HTTP.
 
 use crate::node::Node;
 use bh_net::http_client::Connection;
@@ -13,13 +13,13 @@
 use std::sync::Arc;
 
 /// Longest wait for a worker's answer to an order, in milliseconds.
-const ORDER_MS: u64 = 2_000;
+const ORDER_TIMEOUT_MS: u64 = 2_000;
 /// Largest answer to an order, in bytes.
 const MAX_REPLY_BYTES: u64 = 64 << 10;
 
 /// The part of an order that is the same for all workers of a gang.
 #[derive(Clone, Debug)]
-pub(super) struct Template {
+pub(super) struct OrderTemplate {
     pub verb: TaskVerb,
     pub job: u64,
     pub epoch: u64,
@@ -30,16 +30,16 @@
 
 /// A worker that an order goes to.
 pub(super) struct Recipient {
-    /// Its address; `None` when it is not known any more, so that the order counts as refused.
+    /// The worker's address; `None` when it is no longer known, and then the order counts as refused.
     pub address: Option<Arc<str>>,
-    /// Indices of the tasks meant; none means all tasks of the attempt.
+    /// Indices of the tasks the order is for; empty for all tasks of the attempt.
     pub tasks: Vec<u32>,
 }
 
-/// Sends the orders to all workers at once; returns for each whether it carried its order out.
+/// Sends the order to all workers concurrently; returns for each worker whether it accepted.
 pub(super) async fn send_all(
     node: &Rc<Node>,
-    template: &Template,
+    template: &OrderTemplate,
     workers: BTreeMap<Arc<str>, Recipient>,
 ) -> BTreeMap<Arc<str>, bool> {
     let mut sending = Vec::new();
@@ -85,7 +85,10 @@
     let Ok(mut connection) = Connection::open(address, node.config.target_connect_ms).await else {
         return false;
     };
-    match connection.send(request, ORDER_MS, MAX_REPLY_BYTES).await {
+    match connection
+        .send(request, ORDER_TIMEOUT_MS, MAX_REPLY_BYTES)
+        .await
+    {
         Ok(response) => serde_json::from_slice::<TaskOrderReply>(response.body())
             .is_ok_and(|reply| reply.accepted),
         Err(_) => false,
--- a/crates/bh-node/src/lib.rs
+++ b/crates/bh-node/src/lib.rs
@@ -1,6 +1,6 @@
-//! The entry process: replication groups, links to the other entries, the leader's duties and the HTTP surface.
+//! The entry process: replication groups, links to the other entries, the leader's work and the HTTP API.
 //!
-//! Decisions are made by the pure crates; this one carries them out on one loop.
+//! The other crates make the decisions without input or output of their own; this crate executes them on one event loop.
 
 mod background;
 pub mod group;
--- a/crates/bh-node/src/logging.rs
+++ b/crates/bh-node/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs on standard error, as text or JSON.
+//! Logging to standard error, as text or JSON.
 
 use bh_settings::EntryConfig;
 use log::LevelFilter;
@@ -6,7 +6,7 @@
 use logforth::layout::JsonLayout;
 use logforth::layout::TextLayout;
 
-/// Starts logging as the entry's file says. Lines of other libraries are left out below warnings.
+/// Starts logging as the entry's configuration says. Log lines of other libraries below the level `warn` are left out.
 pub fn start(config: &EntryConfig) {
     let level = match &*config.log_level {
         "debug" => LevelFilter::Debug,
--- a/crates/bh-node/src/metrics.rs
+++ b/crates/bh-node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics to a StatsD address. `docs/OPERATIONS.md` lists them with unit and type.
+//! Sends metrics to a StatsD server. `docs/OPERATIONS.md` lists them with unit and type.
 
 use cadence::Counted;
 use cadence::Gauged;
@@ -13,12 +13,12 @@
 
 /// Sends counters, gauges and timers.
 pub struct Metrics {
-    /// None without an address: formatting metrics that go nowhere would cost each request a few microseconds.
+    /// `None` without an address: formatting metrics that are not sent would cost each request a few microseconds.
     client: Option<StatsdClient>,
 }
 
 impl Metrics {
-    /// Metrics of the entry `name` to `address`; to nowhere when there is none or no socket can be had.
+    /// Metrics of the entry `name`, sent to `address`; not sent if there is no address or no socket can be opened.
     pub fn new(name: &Arc<str>, address: Option<SocketAddr>) -> Self {
         let sink = address.and_then(|address| {
             let any = if address.is_ipv4() {
@@ -27,7 +27,7 @@
                 "[::]:0"
             };
             let socket = UdpSocket::bind(any).ok()?;
-            // A full socket buffer loses a metric; it must not stop the loop.
+            // When the socket buffer is full a metric is lost, which is better than blocking the event loop.
             socket.set_nonblocking(true).ok()?;
             UdpMetricSink::from(address, socket).ok()
         });
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Notes the end of a short request.
-    pub fn request(&self, customer: &str, request_type: &str, code: u32, took_ms: u64) {
+    /// Records the result and duration of a short request.
+    pub fn record_request(&self, customer: &str, request_type: &str, code: u32, took_ms: u64) {
         let Some(client) = &self.client else {
             return;
         };
--- a/crates/bh-node/src/node/calls.rs
+++ b/crates/bh-node/src/node/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the leader of a group, wherever it is, and calls of other entries to this one.
+//! Calls to the leader of a group, on this or another entry, and calls of other entries to this one.
 
 use super::Node;
 use crate::group::Formation;
@@ -17,20 +17,20 @@
 use serde::de::DeserializeOwned;
 use std::rc::Rc;
 
-/// Head of a call that was passed on once already; it is not passed on again.
-const PASSED_ON: &str = "passed-on";
+/// Head of a call that was forwarded once already; it is not forwarded again.
+const ALREADY_FORWARDED: &str = "passed-on";
 /// Time between attempts to reach a leader, in milliseconds.
-const RETRY_MS: u64 = 30;
-/// Least time worth another attempt, in milliseconds. A proposal that is given up on before its refusal could come back
-/// counts as perhaps recorded, so that a change that nobody took would be answered "unknown" in place of "not run".
-const LEAST_ATTEMPT_MS: u64 = 300;
+const RETRY_INTERVAL_MS: u64 = 30;
+/// Shortest time left for which another attempt is made, in milliseconds. An attempt that times out before a refusal can
+/// come back counts as possibly recorded: a change that nobody recorded would be answered "unknown" instead of "not run".
+const MIN_ATTEMPT_MS: u64 = 300;
 /// Longest wait for one attempt, in milliseconds.
-const ATTEMPT_MS: u64 = 1_500;
+const ATTEMPT_TIMEOUT_MS: u64 = 1_500;
 
 /// Name of the group that replicates the settings.
 pub const SETTINGS_GROUP: &str = "settings";
 
-/// Name of the group of a data centre.
+/// Name of the group that replicates the jobs of a data centre.
 pub fn jobs_group(data_centre: &str) -> String {
     format!("jobs/{data_centre}")
 }
@@ -55,7 +55,8 @@
             .find(|group| *group.name == *name)
     }
 
-    /// The peer to ask about a group that this entry does not lead: its leader, or else one that hosts it.
+    /// The peer to call about a group that this entry does not lead: the leader if this entry takes part in the group,
+    /// otherwise one of the linked entries that do, a different one for each attempt.
     fn peer_for(&self, group: &str, attempt: usize) -> Option<Rc<Peer>> {
         if let Some(local) = self.group(group) {
             let leader = local.status().leader?;
@@ -78,9 +79,9 @@
         }
     }
 
-    /// Replicates `command` in `group`, wherever it is led, and returns the state machine's answer.
+    /// Replicates `command` in `group`, whichever entry leads it, and returns the state machine's answer.
     ///
-    /// Every command may be proposed again: it names its change, job or attempt, and the state machine knows it.
+    /// A command may be proposed more than once: it names its change, job or attempt, by which the state machine recognizes a repetition.
     ///
     /// # Errors
     ///
@@ -89,14 +90,14 @@
         &self,
         group: &str,
         command: Vec<u8>,
-        limit_ms: u64,
+        timeout_ms: u64,
     ) -> Result<Vec<u8>, Failure> {
-        let until_ms = self.clock.now_ms() + limit_ms;
+        let deadline_ms = self.clock.now_ms() + timeout_ms;
         let mut may_be_recorded = None;
         for attempt in 0.. {
-            let left_ms = until_ms.saturating_sub(self.clock.now_ms());
+            let left_ms = deadline_ms.saturating_sub(self.clock.now_ms());
             let result = self
-                .propose_once(group, &command, left_ms.min(ATTEMPT_MS), attempt)
+                .propose_once(group, &command, left_ms.min(ATTEMPT_TIMEOUT_MS), attempt)
                 .await;
             let failure = match result {
                 Ok(answer) => return Ok(answer),
@@ -107,10 +108,10 @@
                 Code::OutcomeUnknown => may_be_recorded = Some(failure.clone()),
                 _ => return Err(failure),
             }
-            if self.clock.now_ms() + RETRY_MS + LEAST_ATTEMPT_MS >= until_ms {
+            if self.clock.now_ms() + RETRY_INTERVAL_MS + MIN_ATTEMPT_MS >= deadline_ms {
                 return Err(may_be_recorded.unwrap_or(failure));
             }
-            sleep_ms(RETRY_MS).await;
+            sleep_ms(RETRY_INTERVAL_MS).await;
         }
         unreachable!("the loop above ends by returning")
     }
@@ -119,11 +120,11 @@
         &self,
         group: &str,
         command: &[u8],
-        limit_ms: u64,
+        timeout_ms: u64,
         attempt: usize,
     ) -> Result<Vec<u8>, Failure> {
         if let Some(local) = self.group(group).filter(|local| local.is_leader()) {
-            return local.propose(command.to_vec(), limit_ms).await;
+            return local.propose(command.to_vec(), timeout_ms).await;
         }
         let peer = self
             .peer_for(group, attempt)
@@ -134,7 +135,7 @@
                 group,
                 String::new(),
                 command.to_vec(),
-                limit_ms,
+                timeout_ms,
             )
             .await
             .map_err(|error| error.into_failure(group))?;
@@ -149,23 +150,29 @@
         .with_retry_after_ms(500)
     }
 
-    /// Asks the leader of a data centre's group.
+    /// Calls the leader of a data centre's group.
     ///
     /// # Errors
     ///
-    /// What the leader answers, or [`Code::NoQuorum`] when none answered in time.
+    /// The leader's failure, or [`Code::NoQuorum`] when no leader answered in time.
     pub async fn ask_leader(
         &self,
         data_centre: &str,
         call: &LeaderCall,
-        limit_ms: u64,
+        timeout_ms: u64,
     ) -> Result<LeaderAnswer, Failure> {
-        let until_ms = self.clock.now_ms() + limit_ms;
+        let deadline_ms = self.clock.now_ms() + timeout_ms;
         let group = jobs_group(data_centre);
         for attempt in 0.. {
-            let left_ms = until_ms.saturating_sub(self.clock.now_ms());
+            let left_ms = deadline_ms.saturating_sub(self.clock.now_ms());
             let failure = match self
-                .ask_once(&group, data_centre, call, left_ms.min(ATTEMPT_MS), attempt)
+                .ask_once(
+                    &group,
+                    data_centre,
+                    call,
+                    left_ms.min(ATTEMPT_TIMEOUT_MS),
+                    attempt,
+                )
                 .await
             {
                 Ok(answer) => return Ok(answer),
@@ -174,10 +181,10 @@
                 }
                 Err(failure) => return Err(failure),
             };
-            if self.clock.now_ms() + RETRY_MS >= until_ms {
+            if self.clock.now_ms() + RETRY_INTERVAL_MS >= deadline_ms {
                 return Err(Failure::new(Code::NoQuorum, failure.label).with_retry_after_ms(500));
             }
-            sleep_ms(RETRY_MS).await;
+            sleep_ms(RETRY_INTERVAL_MS).await;
         }
         unreachable!("the loop above ends by returning")
     }
@@ -187,11 +194,11 @@
         group: &str,
         data_centre: &str,
         call: &LeaderCall,
-        limit_ms: u64,
+        timeout_ms: u64,
         attempt: usize,
     ) -> Result<LeaderAnswer, Failure> {
         if let Some(jobs) = self.jobs.get(data_centre)
-            && jobs.is_on_duty()
+            && jobs.is_serving_leader()
         {
             return jobs.answer(self, call.clone());
         }
@@ -204,7 +211,7 @@
                 group,
                 String::new(),
                 to_json(call)?,
-                limit_ms,
+                timeout_ms,
             )
             .await
             .map_err(|error| error.into_failure(group))?;
@@ -212,7 +219,7 @@
         from_json(&body)
     }
 
-    /// Serves a call of another entry.
+    /// Serves a call from another entry.
     ///
     /// # Errors
     ///
@@ -235,7 +242,7 @@
             RpcKind::RunRequest => requests::serve_forwarded(self, request).await,
             RpcKind::Workload | RpcKind::Carry | RpcKind::Signs => Err(Failure::new(
                 Code::Internal,
-                "an entry with jobs of its own keeps no workload",
+                "this entry serves no workload calls",
             )),
             RpcKind::InForce => to_json(&self.in_force()).map(|body| (String::new(), body)),
             RpcKind::Formation => {
@@ -250,9 +257,9 @@
     async fn serve_propose(&self, request: RpcRequest) -> Result<Vec<u8>, Failure> {
         let local = self.group(&request.group);
         if let Some(group) = local.filter(|group| group.is_leader()) {
-            return group.propose(request.body, ATTEMPT_MS).await;
+            return group.propose(request.body, ATTEMPT_TIMEOUT_MS).await;
         }
-        self.pass_on(RpcKind::Propose, request).await
+        self.forward_to_leader(RpcKind::Propose, request).await
     }
 
     async fn serve_leader(&self, request: RpcRequest) -> Result<Vec<u8>, Failure> {
@@ -260,27 +267,37 @@
             .jobs
             .values()
             .find(|jobs| *jobs.group.name == *request.group);
-        if let Some(jobs) = jobs.filter(|jobs| jobs.is_on_duty()) {
+        if let Some(jobs) = jobs.filter(|jobs| jobs.is_serving_leader()) {
             return to_json(&jobs.answer(self, from_json(&request.body)?)?);
         }
-        self.pass_on(RpcKind::Leader, request).await
+        self.forward_to_leader(RpcKind::Leader, request).await
     }
 
-    async fn pass_on(&self, kind: RpcKind, request: RpcRequest) -> Result<Vec<u8>, Failure> {
+    async fn forward_to_leader(
+        &self,
+        kind: RpcKind,
+        request: RpcRequest,
+    ) -> Result<Vec<u8>, Failure> {
         let group = &*request.group;
         let peer = self
             .peer_for(group, 0)
-            .filter(|_| request.head != PASSED_ON)
+            .filter(|_| request.head != ALREADY_FORWARDED)
             .ok_or_else(|| self.no_leader(group))?;
         let reply = peer
-            .call(kind, group, PASSED_ON.to_owned(), request.body, ATTEMPT_MS)
+            .call(
+                kind,
+                group,
+                ALREADY_FORWARDED.to_owned(),
+                request.body,
+                ATTEMPT_TIMEOUT_MS,
+            )
             .await
             .map_err(|error| error.into_failure(group))?;
         into_result(reply).map(|(_, body)| body)
     }
 }
 
-/// The label and body of a reply, or its failure.
+/// Returns the label and body of a successful reply, or its failure.
 pub(crate) fn into_result(reply: RpcReply) -> Result<(String, Vec<u8>), Failure> {
     match Code::from_number(reply.code) {
         Some(Code::Done) => Ok((reply.label, reply.body)),
--- a/crates/bh-node/src/node/links.rs
+++ b/crates/bh-node/src/node/links.rs
@@ -1,4 +1,4 @@
-//! What the node tells the other entries, and takes from them.
+//! Messages that the node sends to the other entries and receives from them.
 
 use super::Node;
 use crate::peers::Peer;
@@ -7,11 +7,11 @@
 use bh_protocol::wire::RaftMessage;
 use std::rc::Rc;
 
-/// Heartbeats of a link within the election time.
+/// Number of heartbeats that a link sends within the election timeout.
 const LINK_HEARTBEATS: u64 = 3;
 
 impl Node {
-    /// The first frame of a link.
+    /// The first message on a link.
     pub fn hello(&self) -> Hello {
         Hello {
             name: self.config.own.name.to_string(),
@@ -21,12 +21,12 @@
         }
     }
 
-    /// Time between heartbeats of a link, in milliseconds.
+    /// Time between heartbeats on a link, in milliseconds.
     pub fn link_heartbeat_ms(&self) -> u64 {
         (self.config.election_ms / LINK_HEARTBEATS).max(1)
     }
 
-    /// What the other entries hear of this one.
+    /// The heartbeat that this entry sends to the others.
     pub fn heartbeat(&self) -> Heartbeat {
         let now_ms = self.clock.now_ms();
         let in_force = self.in_force();
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Takes another entry's heartbeat: its free slots take requests that find none here.
-    pub fn note_heartbeat(&self, peer: &Rc<Peer>, heartbeat: Heartbeat) {
+    /// Handles another entry's heartbeat: queued requests may be forwarded to its free slots.
+    pub fn handle_heartbeat(&self, peer: &Rc<Peer>, heartbeat: Heartbeat) {
         let now_ms = self.clock.now_ms();
         let free_slots = if heartbeat.draining {
             None
@@ -56,24 +56,24 @@
                 Vec::new()
             }
         };
-        self.carry_out(decisions);
+        self.deliver_decisions(decisions);
     }
 
-    /// The link to another entry has closed.
-    pub fn note_peer_gone(&self, peer: &Rc<Peer>) {
+    /// Handles a closed link: no requests are forwarded to that entry.
+    pub fn handle_link_closed(&self, peer: &Rc<Peer>) {
         self.router
             .borrow_mut()
             .set_peer_free_slots(&peer.vm.name, None);
     }
 
     /// Counts bytes sent to other entries.
-    pub fn note_link_bytes(&self, bytes: usize) {
+    pub fn count_link_bytes(&self, bytes: usize) {
         self.link_bytes
             .set(self.link_bytes.get() + u64::try_from(bytes).unwrap_or(u64::MAX));
     }
 
-    /// Hands a replication message to its group.
-    pub fn deliver(&self, message: RaftMessage) {
+    /// Delivers a replication message to its group.
+    pub fn deliver_raft(&self, message: RaftMessage) {
         if *message.group == *self.settings.name {
             self.settings.deliver(message);
             return;
--- a/crates/bh-node/src/node/mod.rs
+++ b/crates/bh-node/src/node/mod.rs
@@ -1,8 +1,8 @@
-//! One entry: its groups, peers, targets and requests in progress.
+//! The node: one entry's groups, peers, targets and requests in progress.
 
 mod calls;
-mod late;
 mod links;
+mod node_handle;
 mod state;
 
 pub use calls::SETTINGS_GROUP;
@@ -10,5 +10,5 @@
 pub(crate) use calls::into_result;
 pub use calls::jobs_group;
 pub(crate) use calls::to_json;
-pub use late::Late;
+pub use node_handle::NodeHandle;
 pub use state::Node;
--- a/crates/bh-node/src/node/state.rs
+++ b/crates/bh-node/src/node/state.rs
@@ -1,4 +1,4 @@
-//! What one entry holds.
+//! The state of one entry.
 
 use crate::group::Group;
 use crate::leader::JobsGroup;
@@ -22,55 +22,56 @@
 use std::sync::Arc;
 use tokio_util::sync::CancellationToken;
 
-/// Missed election times after which an entry counts as cut off from the settings quorum.
+/// Election timeouts without contact with the settings leader after which an entry counts as cut off from the quorum.
 const CUT_OFF_ELECTIONS: u64 = 2;
 
 /// One entry of the system.
 pub struct Node {
-    /// Its file.
+    /// Its configuration file.
     pub config: EntryConfig,
     /// Its clock.
     pub clock: Clock,
     /// Identity of its replicas.
     pub replica: u64,
-    /// Drawn anew at each start of the process.
+    /// Random number that identifies this start of the process.
     pub incarnation: u64,
-    /// The settings.
+    /// The group that replicates the settings.
     pub settings: Group,
     /// Groups of data centres that this entry votes in or observes, by data centre.
     pub jobs: BTreeMap<Arc<str>, Rc<JobsGroup>>,
     /// The other entries.
     pub peers: Peers,
-    /// Decisions about short requests.
+    /// Router that decides where short requests run.
     pub router: RefCell<Router>,
-    /// What the entry does while it reaches no leader.
-    pub alone: RefCell<LeaderlessTargets>,
-    /// Connections to targets.
+    /// Targets that this entry uses while it reaches no leader.
+    pub leaderless_targets: RefCell<LeaderlessTargets>,
+    /// Idle connections to targets.
     pub pool: Pool,
     /// Metrics.
     pub metrics: Metrics,
     /// Counters of the service-level report.
     pub counters: RefCell<Counters>,
-    /// Cancelled when the entry shuts down: it is not ready any more.
+    /// Cancelled when the shutdown begins: the entry is no longer ready.
     pub draining: CancellationToken,
-    /// Cancelled when the listener closes.
+    /// Cancelled when the entry stops accepting connections.
     pub closing: CancellationToken,
-    /// Cancelled at the very end.
+    /// Cancelled at the end of the shutdown: all tasks end.
     pub stop: CancellationToken,
-    /// Requests of callers in progress.
+    /// Requests of callers, and ledger records written in the background, that are in progress.
     pub in_progress: Cell<u32>,
-    /// Connections of callers and targets.
+    /// Open connections from callers and targets.
     pub connections: Cell<usize>,
     /// Bytes sent to other entries.
     pub link_bytes: Cell<u64>,
-    /// A handle to this node itself, for tasks that outlive the call they come from.
-    pub(crate) own: Weak<Node>,
-    pub(crate) decisions: RefCell<BTreeMap<u64, oneshot::Sender<Decision>>>,
+    /// A weak reference to this node, for tasks that outlive the call that spawns them.
+    pub(crate) weak_self: Weak<Node>,
+    /// Where the next decision about each request is sent, by request number.
+    pub(crate) pending_decisions: RefCell<BTreeMap<u64, oneshot::Sender<Decision>>>,
     pub(crate) next_request: Cell<u64>,
 }
 
 impl Node {
-    /// The settings in force here.
+    /// Revision and content of the settings in force on this entry.
     pub fn settings_in_force(&self) -> (u64, Arc<Settings>) {
         self.settings
             .machine
@@ -80,28 +81,31 @@
             .unwrap_or_default()
     }
 
-    /// What is in force here, and whether it may be behind.
+    /// Which settings are in force on this entry, and whether it may have missed newer ones.
     pub fn in_force(&self) -> InForce {
         let confirmed_ms = self.settings.confirmed_ms(self.clock.now_ms());
-        let limit_ms = self.config.election_ms * CUT_OFF_ELECTIONS;
+        let cut_off_ms = self.config.election_ms * CUT_OFF_ELECTIONS;
         InForce {
             entry: self.config.own.name.clone(),
             data_centre: self.config.own.data_centre.clone(),
             revision: self.settings_in_force().0,
             confirmed_ms: confirmed_ms.unwrap_or(u64::MAX),
-            cut_off: confirmed_ms.is_none_or(|confirmed| confirmed > limit_ms),
+            cut_off: confirmed_ms.is_none_or(|confirmed| confirmed > cut_off_ms),
         }
     }
 
-    /// Whether the balancer shall send callers here. Before it knows the settings in force an entry would tell them that their
-    /// customers are unknown.
+    /// Whether the load balancer should send callers to this entry. Until the entry knows the settings in force, it would
+    /// answer them that their customers are unknown.
     pub fn is_ready(&self) -> bool {
         let own = self.jobs.get(&self.config.own.data_centre);
-        let has_heard =
+        let has_leader_contact =
             own.is_some_and(|jobs| jobs.group.confirmed_ms(self.clock.now_ms()).is_some());
-        let serves_alone = self.alone.borrow().is_leaderless(self.clock.now_ms());
+        let is_leaderless = self
+            .leaderless_targets
+            .borrow()
+            .is_leaderless(self.clock.now_ms());
         let knows_settings = self.settings.has_caught_up();
-        (has_heard || serves_alone) && knows_settings && !self.draining.is_cancelled()
+        (has_leader_contact || is_leaderless) && knows_settings && !self.draining.is_cancelled()
     }
 
     /// The group of this entry's own data centre.
@@ -109,28 +113,31 @@
         self.jobs.get(&self.config.own.data_centre)
     }
 
-    /// Owned handles to this node and one of its groups.
-    pub(crate) fn rc_of(&self, data_centre: &str) -> Option<(Rc<Node>, Rc<JobsGroup>)> {
-        Some((self.own.upgrade()?, self.jobs.get(data_centre)?.clone()))
+    /// Owned references to this node and to one of its groups.
+    pub(crate) fn node_and_group(&self, data_centre: &str) -> Option<(Rc<Node>, Rc<JobsGroup>)> {
+        Some((
+            self.weak_self.upgrade()?,
+            self.jobs.get(data_centre)?.clone(),
+        ))
     }
 
-    /// A number for a request, unique in this process.
-    pub fn request_number(&self) -> u64 {
+    /// Returns a request number that is unique in this process.
+    pub fn next_request_number(&self) -> u64 {
         let number = self.next_request.get();
         self.next_request.set(number + 1);
         number
     }
 
-    /// Hands the router's decisions to the requests that wait for them.
-    pub fn carry_out(&self, decisions: Vec<Decision>) {
+    /// Delivers the router's decisions to the requests that wait for them.
+    pub fn deliver_decisions(&self, decisions: Vec<Decision>) {
         for decision in decisions {
             let id = match &decision {
                 Decision::Send { id, .. }
                 | Decision::Forward { id, .. }
                 | Decision::Refuse { id, .. } => *id,
             };
-            if let Some(waiting) = self.decisions.borrow_mut().remove(&id) {
-                let _ = waiting.send(decision);
+            if let Some(sender) = self.pending_decisions.borrow_mut().remove(&id) {
+                let _ = sender.send(decision);
             }
         }
     }
--- a/crates/bh-node/src/peers/accept.rs
+++ b/crates/bh-node/src/peers/accept.rs
@@ -1,4 +1,4 @@
-//! The links that other entries dial here.
+//! Accepts the links that other entries open to this one.
 
 use crate::node::Node;
 use bh_net::link;
@@ -15,7 +15,7 @@
 use monoio::net::TcpStream;
 use std::rc::Rc;
 
-/// Takes links until the node stops.
+/// Accepts links until the node stops.
 pub async fn accept(node: Rc<Node>, listener: TcpListener, key: LinkKey) {
     while !node.stop.is_cancelled() {
         let Ok((stream, from)) = listener.accept().await else {
@@ -28,7 +28,7 @@
                 Some(Ok(opened)) => serve(node, opened).await,
                 _ => {
                     node.metrics.count("link_strangers", 1);
-                    log::warn!(address = from.to_string(); "a link was refused: the other end does not hold the key");
+                    log::warn!(address = from.to_string(); "link refused: the handshake failed or timed out");
                 }
             }
         });
@@ -47,26 +47,26 @@
     }
     monoio::select! {
         () = read(&node, reader, sender) => {}
-        () = link::write_frames(writer, receiver, |bytes| node.note_link_bytes(bytes)) => {}
+        () = link::write_frames(writer, receiver, |bytes| node.count_link_bytes(bytes)) => {}
     }
 }
 
 async fn read(
     node: &Rc<Node>,
     mut reader: link::Reader<OwnedReadHalf<TcpStream>>,
-    queue: unbounded::Tx<Frame>,
+    replies: unbounded::Tx<Frame>,
 ) {
-    let silence_ms = node.config.election_ms;
+    let silence_timeout_ms = node.config.election_ms;
     loop {
-        match within_ms(silence_ms, reader.next()).await {
+        match within_ms(silence_timeout_ms, reader.next()).await {
             Some(Ok(Some(frame))) => match frame.payload {
                 Some(Payload::Heartbeat(_)) => {
-                    let _ = queue.send(Frame {
+                    let _ = replies.send(Frame {
                         payload: Some(Payload::Heartbeat(node.heartbeat())),
                     });
                 }
-                Some(Payload::Raft(message)) => node.deliver(message),
-                Some(Payload::Request(request)) => answer(node.clone(), request, queue.clone()),
+                Some(Payload::Raft(message)) => node.deliver_raft(message),
+                Some(Payload::Request(request)) => answer(node.clone(), request, replies.clone()),
                 _ => {}
             },
             Some(Err(_)) => {
@@ -78,8 +78,8 @@
     }
 }
 
-/// Answers a call in a task of its own, so that one that takes long delays no other.
-fn answer(node: Rc<Node>, request: RpcRequest, queue: unbounded::Tx<Frame>) {
+/// Answers a call in a separate task, so that a slow call delays no other.
+fn answer(node: Rc<Node>, request: RpcRequest, replies: unbounded::Tx<Frame>) {
     monoio::spawn(async move {
         let id = request.id;
         let reply = match node.serve_call(request).await {
@@ -97,7 +97,7 @@
                 body: Vec::new(),
             },
         };
-        let _ = queue.send(Frame {
+        let _ = replies.send(Frame {
             payload: Some(Payload::Reply(reply)),
         });
     });
--- a/crates/bh-node/src/peers/dial.rs
+++ b/crates/bh-node/src/peers/dial.rs
@@ -1,4 +1,4 @@
-//! The link this entry dials to another one.
+//! Opens the link from this entry to another one.
 
 use super::Peer;
 use crate::node::Node;
@@ -13,34 +13,34 @@
 use std::io;
 use std::rc::Rc;
 
-/// First wait before dialling again, in milliseconds; doubles up to the longest.
-const FIRST_WAIT_MS: u64 = 20;
-/// Longest such wait, in milliseconds.
-const LONGEST_WAIT_MS: u64 = 1_000;
+/// First wait before dialling again, in milliseconds; it doubles with each failed attempt.
+const FIRST_BACKOFF_MS: u64 = 20;
+/// Longest wait before dialling again, in milliseconds.
+const MAX_BACKOFF_MS: u64 = 1_000;
 
-/// Keeps a link to `peer` until the node stops.
+/// Keeps a link to `peer` open until the node stops.
 pub async fn dial(node: Rc<Node>, peer: Rc<Peer>, key: LinkKey) {
-    let mut wait_ms = FIRST_WAIT_MS;
+    let mut backoff_ms = FIRST_BACKOFF_MS;
     while !node.stop.is_cancelled() {
         if let Ok(opened) = open(&node, &peer, &key).await {
-            wait_ms = FIRST_WAIT_MS;
+            backoff_ms = FIRST_BACKOFF_MS;
             log::info!(peer = &*peer.vm.name; "link opened");
-            let why = serve(&node, &peer, opened).await;
+            let reason = serve(&node, &peer, opened).await;
             close(&node, &peer);
-            log::info!(peer = &*peer.vm.name; "link closed: {why}");
+            log::info!(peer = &*peer.vm.name; "link closed: {reason}");
         }
-        sleep_ms(wait_ms).await;
-        wait_ms = (wait_ms * 2).min(LONGEST_WAIT_MS);
+        sleep_ms(backoff_ms).await;
+        backoff_ms = (backoff_ms * 2).min(MAX_BACKOFF_MS);
     }
 }
 
 async fn open(node: &Rc<Node>, peer: &Rc<Peer>, key: &LinkKey) -> io::Result<Opened> {
-    let limit_ms = node.config.election_ms;
+    let timeout_ms = node.config.election_ms;
     let timed_out = || io::Error::from(io::ErrorKind::TimedOut);
-    let stream = within_ms(limit_ms, TcpStream::connect_addr(peer.vm.peer_address))
+    let stream = within_ms(timeout_ms, TcpStream::connect_addr(peer.vm.peer_address))
         .await
         .ok_or_else(timed_out)??;
-    let opened = within_ms(limit_ms, link::handshake(stream, node.hello(), key, true))
+    let opened = within_ms(timeout_ms, link::handshake(stream, node.hello(), key, true))
         .await
         .ok_or_else(timed_out)??;
     if *opened.hello.name != *peer.vm.name {
@@ -53,22 +53,22 @@
     Ok(opened)
 }
 
-/// Runs the link until it breaks or falls silent; returns why it ended.
+/// Serves the link until it breaks or goes silent; returns the reason it ended.
 ///
-/// A connection can go silent for good while new ones work, because a device between the two ends has forgotten it.
-/// Both ends send heartbeats and expect them, so either notices within the election time and opens a new one.
+/// A device between the two ends may drop a connection's state: the connection stays silent for good while new ones work.
+/// Both ends send heartbeats and expect them, so a silent connection is closed within the election timeout and replaced.
 async fn serve(node: &Rc<Node>, peer: &Rc<Peer>, opened: Opened) -> &'static str {
     let receiver = peer.channel.open();
     let Opened { reader, writer, .. } = opened;
     monoio::select! {
-        () = read(node, peer, reader) => "the other end closed it or fell silent",
-        () = link::write_frames(writer, receiver, |bytes| note_sent(node, peer, bytes)) => "writing failed",
-        () = beat(node, peer) => "the node stops",
+        () = read(node, peer, reader) => "the other end closed the link or went silent",
+        () = link::write_frames(writer, receiver, |bytes| count_sent(node, peer, bytes)) => "writing failed",
+        () = send_heartbeats(node, peer) => "the node stops",
     }
 }
 
-fn note_sent(node: &Rc<Node>, peer: &Rc<Peer>, bytes: usize) {
-    node.note_link_bytes(bytes);
+fn count_sent(node: &Rc<Node>, peer: &Rc<Peer>, bytes: usize) {
+    node.count_link_bytes(bytes);
     peer.channel.note_sent();
 }
 
@@ -77,26 +77,26 @@
     peer: &Rc<Peer>,
     mut reader: link::Reader<OwnedReadHalf<TcpStream>>,
 ) {
-    let silence_ms = node.config.election_ms;
-    while let Some(Ok(Some(frame))) = within_ms(silence_ms, reader.next()).await {
-        peer.heard_ms.set(node.clock.now_ms());
+    let silence_timeout_ms = node.config.election_ms;
+    while let Some(Ok(Some(frame))) = within_ms(silence_timeout_ms, reader.next()).await {
+        peer.last_contact_ms.set(node.clock.now_ms());
         match frame.payload {
-            Some(Payload::Heartbeat(heartbeat)) => node.note_heartbeat(peer, heartbeat),
+            Some(Payload::Heartbeat(heartbeat)) => node.handle_heartbeat(peer, heartbeat),
             Some(Payload::Reply(reply)) => peer.channel.note_reply(reply),
             _ => {}
         }
     }
 }
 
-async fn beat(node: &Rc<Node>, peer: &Rc<Peer>) {
+async fn send_heartbeats(node: &Rc<Node>, peer: &Rc<Peer>) {
     while !node.stop.is_cancelled() {
         peer.send_heartbeat(node.heartbeat());
         sleep_ms(node.link_heartbeat_ms()).await;
     }
 }
 
-/// Ends the link: calls without an answer are lost, and no work is handed to the peer until it is back.
+/// Ends the link: calls without an answer are lost, and no requests are forwarded to the peer until it is linked again.
 fn close(node: &Rc<Node>, peer: &Rc<Peer>) {
     peer.channel.close();
-    node.note_peer_gone(peer);
+    node.handle_link_closed(peer);
 }
--- a/crates/bh-node/src/peers/mod.rs
+++ b/crates/bh-node/src/peers/mod.rs
@@ -1,4 +1,4 @@
-//! Links to the other entries: one that this entry dials to each, and one that each dials here.
+//! Links to the other entries: one that this entry opens to each of them, and one that each of them opens to this entry.
 
 mod accept;
 mod dial;
--- a/crates/bh-node/src/peers/peer.rs
+++ b/crates/bh-node/src/peers/peer.rs
@@ -1,4 +1,4 @@
-//! One other entry.
+//! Another entry, as this entry sees it.
 
 use bh_net::link::CallError;
 use bh_net::link::Channel;
@@ -12,26 +12,26 @@
 use std::cell::Cell;
 use std::cell::RefCell;
 
-/// Another entry and the link this entry dials to it.
+/// Another entry and the link that this entry opens to it.
 pub struct Peer {
-    /// The VM.
+    /// The entry's name and addresses.
     pub vm: EntryVm,
-    /// Identity of its replicas, once it has said hello.
+    /// Id of the entry's replicas; 0 until its first hello.
     pub replica: Cell<u64>,
-    /// When it was last heard, on the process's clock; 0 for never.
-    pub heard_ms: Cell<u64>,
-    /// What it last said of itself.
+    /// When a frame last arrived on the link, on this process's clock; 0 for never.
+    pub last_contact_ms: Cell<u64>,
+    /// The entry's latest heartbeat.
     pub heartbeat: RefCell<Heartbeat>,
     pub(super) channel: Channel,
 }
 
 impl Peer {
-    /// A peer without a link yet.
+    /// A peer whose link is not open yet.
     pub fn new(vm: EntryVm) -> Self {
         Self {
             vm,
             replica: Cell::new(0),
-            heard_ms: Cell::new(0),
+            last_contact_ms: Cell::new(0),
             heartbeat: RefCell::new(Heartbeat::default()),
             channel: Channel::new(),
         }
@@ -47,7 +47,7 @@
         self.channel.send(Payload::Heartbeat(heartbeat));
     }
 
-    /// Sends a replication message, if the link is open and not clogged.
+    /// Sends a replication message, if the link is open and not congested.
     pub fn send_raft(&self, message: RaftMessage) {
         self.channel.send_raft(message);
     }
@@ -56,14 +56,14 @@
     ///
     /// # Errors
     ///
-    /// [`CallError`].
+    /// [`CallError`] says whether the call may have reached the other entry.
     pub async fn call(
         &self,
         kind: RpcKind,
         group: &str,
         head: String,
         body: Vec<u8>,
-        limit_ms: u64,
+        timeout_ms: u64,
     ) -> Result<RpcReply, CallError> {
         let request = RpcRequest {
             kind: kind.into(),
@@ -72,6 +72,6 @@
             body,
             ..RpcRequest::default()
         };
-        self.channel.call(request, limit_ms).await
+        self.channel.call(request, timeout_ms).await
     }
 }
--- a/crates/bh-node/src/peers/table.rs
+++ b/crates/bh-node/src/peers/table.rs
@@ -1,4 +1,4 @@
-//! All other entries.
+//! The table of all other entries.
 
 use super::Peer;
 use bh_settings::entry::EntryVm;
@@ -12,7 +12,7 @@
 }
 
 impl Peers {
-    /// Peers for all of `vms` but `own`.
+    /// Peers for all of `vms` except the one named `own`.
     pub fn new<'a>(vms: impl Iterator<Item = &'a EntryVm>, own: &str) -> Self {
         let peers = vms
             .filter(|vm| &*vm.name != own)
@@ -26,7 +26,7 @@
         self.peers.get(name)
     }
 
-    /// The peer whose replicas have this identity.
+    /// The peer whose replicas have this id.
     pub fn by_replica(&self, replica: u64) -> Option<&Rc<Peer>> {
         self.peers
             .values()
--- a/crates/bh-node/src/requests/attempt.rs
+++ b/crates/bh-node/src/requests/attempt.rs
@@ -1,6 +1,6 @@
-//! One attempt on one target.
+//! One attempt to run a short request on one target.
 
-use super::work::Work;
+use super::short_request::ShortRequest;
 use crate::node::Node;
 use bh_net::http_client::Connection;
 use bh_net::http_client::SendError;
@@ -11,29 +11,31 @@
 use http::Response;
 use std::net::SocketAddr;
 
-/// Largest answer of a target that is passed on, in bytes.
+/// Largest answer of a target that is returned to the caller, in bytes.
 const MAX_ANSWER_BYTES: u64 = 16 << 20;
 
-/// Sends the request to the target and reads its whole answer.
+/// Sends the request to the target and reads the complete answer. `left_ms` is the time until the caller's deadline.
 pub(super) async fn run(
     node: &Node,
-    work: &Work,
+    short_request: &ShortRequest,
     id: u64,
     address: &str,
-    limit_ms: u64,
+    timeout_ms: u64,
     left_ms: u64,
 ) -> (AttemptOutcome, Option<Response<Bytes>>) {
     let Ok(address) = address.parse::<SocketAddr>() else {
         return (AttemptOutcome::NotConnected, None);
     };
-    let Some(request) = build(work, id, address, left_ms) else {
+    let Some(http_request) = build(short_request, id, address, left_ms) else {
         return (AttemptOutcome::Unused, None);
     };
-    let mut connection = match open(node, work, address, limit_ms).await {
+    let mut connection = match open(node, short_request, address, timeout_ms).await {
         Ok(connection) => connection,
         Err(_) => return (AttemptOutcome::NotConnected, None),
     };
-    let result = connection.send(request, limit_ms, MAX_ANSWER_BYTES).await;
+    let result = connection
+        .send(http_request, timeout_ms, MAX_ANSWER_BYTES)
+        .await;
     match result {
         Ok(response) if !belongs_to(&response, id) => (AttemptOutcome::Lost, None),
         Ok(response) => {
@@ -47,7 +49,7 @@
             (outcome, Some(response))
         }
         Err(error) => {
-            // A middlebox that forgot this connection has likely forgotten the others to the same target.
+            // A middlebox that dropped this connection has likely dropped the other idle connections to the target too.
             node.pool.forget(address);
             (
                 if error.nothing_sent() {
@@ -61,42 +63,47 @@
     }
 }
 
-/// A connection to the target. A non-idempotent request gets a fresh one: an idle one may have been closed by the
-/// target just now, and a request lost in it could not be sent again.
+/// Returns a connection to the target. A non-idempotent request gets a new one: the target may just have closed an idle
+/// connection, and a request lost on it could not be sent again.
 async fn open(
     node: &Node,
-    work: &Work,
+    short_request: &ShortRequest,
     address: SocketAddr,
-    limit_ms: u64,
+    timeout_ms: u64,
 ) -> Result<Connection, SendError> {
-    if work.idempotent
+    if short_request.idempotent
         && let Some(connection) = node.pool.take(address, node.clock.now_ms())
     {
         return Ok(connection);
     }
-    Connection::open(address, node.config.target_connect_ms.min(limit_ms)).await
+    Connection::open(address, node.config.target_connect_ms.min(timeout_ms)).await
 }
 
-fn build(work: &Work, id: u64, address: SocketAddr, left_ms: u64) -> Option<Request<Bytes>> {
+fn build(
+    short_request: &ShortRequest,
+    id: u64,
+    address: SocketAddr,
+    left_ms: u64,
+) -> Option<Request<Bytes>> {
     let mut builder = Request::builder()
         .method("POST")
         .uri("/v1/run")
         .header("host", address.to_string())
-        .header("x-customer", &*work.customer)
-        .header("x-request-type", &*work.request_type)
+        .header("x-customer", &*short_request.customer)
+        .header("x-request-type", &*short_request.request_type)
         .header(request::REQUEST_ID, id.to_string())
         .header(request::DEADLINE_MS, left_ms.to_string());
-    if !work.idempotent {
-        builder = builder.header(request::IDEMPOTENCY_KEY, &*work.key);
+    if !short_request.idempotent {
+        builder = builder.header(request::IDEMPOTENCY_KEY, &*short_request.key);
     }
-    if let Some(content_type) = &work.content_type {
+    if let Some(content_type) = &short_request.content_type {
         builder = builder.header("content-type", content_type);
     }
-    builder.body(work.body.clone()).ok()
+    builder.body(short_request.body.clone()).ok()
 }
 
-/// Whether the answer names this request. A target that answers late or out of order on a shared connection would
-/// otherwise hand one caller the answer of another.
+/// Whether the answer echoes this request's id. Otherwise a target that answers late or out of order on a reused
+/// connection could give one caller the answer to another caller's request.
 fn belongs_to(response: &Response<Bytes>, id: u64) -> bool {
     let echoed = response.headers().get(request::REQUEST_ID);
     echoed.is_some_and(|value| value.as_bytes() == id.to_string().as_bytes())
--- a/crates/bh-node/src/requests/execute.rs
+++ b/crates/bh-node/src/requests/execute.rs
@@ -1,13 +1,13 @@
-//! Drives one request by the router's decisions to its final answer.
+//! Executes the router's decisions about one request until the request has its final answer.
 
 use super::attempt;
 use super::final_answer::FinalAnswer;
 use super::forward;
-use super::forward::Handed;
-use super::record;
-use super::record::Beginning;
-use super::record::Begun;
-use super::work::Work;
+use super::forward::ForwardOutcome;
+use super::ledger;
+use super::ledger::BeginOutcome;
+use super::ledger::RecordedAttempt;
+use super::short_request::ShortRequest;
 use crate::node::Node;
 use bh_protocol::Code;
 use bh_protocol::Failure;
@@ -21,93 +21,101 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// One request on its way.
-struct Progress {
+/// One request in progress.
+struct RequestExecution {
     node: Rc<Node>,
-    work: Work,
+    request: ShortRequest,
     id: u64,
     deadline_ms: u64,
-    begun: Option<Begun>,
+    recorded: Option<RecordedAttempt>,
 }
 
-/// What a step came to.
-enum Step {
-    /// The request has its answer.
+/// Result of executing one decision.
+enum StepOutcome {
+    /// The request has its final answer.
     Answer(FinalAnswer),
-    /// The router decides again; its decision arrives here.
-    Again(oneshot::Receiver<Decision>),
+    /// The router decides again; the decision arrives on this channel.
+    AwaitDecision(oneshot::Receiver<Decision>),
 }
 
-/// Runs the request and returns its final answer. `forwarded` says that another entry handed it here.
-pub async fn execute(node: &Rc<Node>, work: Work, forwarded: bool) -> FinalAnswer {
+/// Runs the request and returns its final answer. `forwarded` is true when another entry forwarded it to this one.
+pub async fn execute(node: &Rc<Node>, request: ShortRequest, forwarded: bool) -> FinalAnswer {
     let now_ms = node.clock.now_ms();
-    let id = node.request_number();
-    let deadline_ms = now_ms + work.left_ms;
+    let id = node.next_request_number();
+    let deadline_ms = now_ms + request.left_ms;
     let pending = PendingRequest {
         id,
-        customer: work.customer.clone(),
-        weight: work.weight,
-        request_type: work.request_type.clone(),
-        priority: work.priority,
+        customer: request.customer.clone(),
+        weight: request.weight,
+        request_type: request.request_type.clone(),
+        priority: request.priority,
         deadline_ms,
-        idempotent: work.idempotent,
+        idempotent: request.idempotent,
         forwarded,
         failed_on: BTreeSet::new(),
         refused_by: BTreeSet::new(),
         attempts: 0,
         arrived_ms: now_ms,
     };
-    let mut progress = Progress {
+    let mut execution = RequestExecution {
         node: node.clone(),
-        work,
+        request,
         id,
         deadline_ms,
-        begun: None,
+        recorded: None,
     };
-    let mut decision = progress
-        .wait_for(|node| node.router.borrow_mut().arrive(now_ms, pending))
+    let mut decision = execution
+        .ask_router(|node| node.router.borrow_mut().arrive(now_ms, pending))
         .await;
     loop {
-        match progress.follow(decision).await {
-            Step::Answer(answer) => {
-                progress.close(&answer);
+        match execution.execute_decision(decision).await {
+            StepOutcome::Answer(answer) => {
+                execution.close_record(&answer);
                 return answer;
             }
-            Step::Again(next) => decision = next.await.unwrap_or_else(|_| progress.abandoned()),
+            StepOutcome::AwaitDecision(next) => {
+                decision = next.await.unwrap_or_else(|_| execution.internal_refusal())
+            }
         }
     }
 }
 
-impl Progress {
+impl RequestExecution {
     fn left_ms(&self) -> u64 {
         self.deadline_ms.saturating_sub(self.node.clock.now_ms())
     }
 
-    fn abandoned(&self) -> Decision {
+    fn internal_refusal(&self) -> Decision {
         Decision::Refuse {
             id: self.id,
-            failure: Failure::new(Code::Internal, "the router forgot the request"),
+            failure: Failure::new(
+                Code::Internal,
+                "the router dropped the request without a decision",
+            ),
         }
     }
 
-    /// A place for the router's next decision about this request.
-    fn expect(&self) -> oneshot::Receiver<Decision> {
+    /// Returns the channel on which the router's next decision about this request arrives.
+    fn register_for_decision(&self) -> oneshot::Receiver<Decision> {
         let (sender, receiver) = oneshot::channel();
-        self.node.decisions.borrow_mut().insert(self.id, sender);
+        self.node
+            .pending_decisions
+            .borrow_mut()
+            .insert(self.id, sender);
         receiver
     }
 
-    async fn wait_for(&self, ask: impl FnOnce(&Node) -> Vec<Decision>) -> Decision {
-        let receiver = self.expect();
+    async fn ask_router(&self, ask: impl FnOnce(&Node) -> Vec<Decision>) -> Decision {
+        let receiver = self.register_for_decision();
         let decisions = ask(&self.node);
-        self.node.carry_out(decisions);
-        receiver.await.unwrap_or_else(|_| self.abandoned())
+        self.node.deliver_decisions(decisions);
+        receiver.await.unwrap_or_else(|_| self.internal_refusal())
     }
 
-    /// Carries a decision out.
-    async fn follow(&mut self, decision: Decision) -> Step {
+    /// Executes a decision of the router.
+    async fn execute_decision(&mut self, decision: Decision) -> StepOutcome {
         match decision {
-            Decision::Refuse { failure, .. } => Step::Answer(FinalAnswer::Failed(failure)),
+            Decision::Refuse { failure, .. } => StepOutcome::Answer(FinalAnswer::Failed(failure)),
             Decision::Forward { entry, .. } => self.forward(&entry).await,
             Decision::Send {
                 target,
@@ -118,53 +126,53 @@
         }
     }
 
-    async fn forward(&mut self, entry: &Arc<str>) -> Step {
-        if let Some(begun) = self.begun.take() {
-            // Begun for a target that took no connection. The other entry records a beginning of its own, and would find this one: the request would be
-            // in progress for ever.
-            record::withdraw_now(&self.node, begun, self.left_ms()).await;
+    async fn forward(&mut self, entry: &Arc<str>) -> StepOutcome {
+        if let Some(recorded) = self.recorded.take() {
+            // The begin was recorded for a target that accepted no connection. The other entry records a begin of its own: if it found this one,
+            // the request would stay in progress for ever.
+            ledger::withdraw_now(&self.node, recorded, self.left_ms()).await;
         }
-        match forward::hand_on(&self.node, &self.work, entry, self.left_ms()).await {
-            Handed::Answer(answer) => {
+        match forward::forward_request(&self.node, &self.request, entry, self.left_ms()).await {
+            ForwardOutcome::Answer(answer) => {
                 self.node.router.borrow_mut().forward_ended(self.id);
-                Step::Answer(answer)
+                StepOutcome::Answer(answer)
             }
-            Handed::Refused => {
-                let receiver = self.expect();
+            ForwardOutcome::Refused => {
+                let receiver = self.register_for_decision();
                 let now_ms = self.node.clock.now_ms();
                 let decisions = self
                     .node
                     .router
                     .borrow_mut()
                     .forward_refused(now_ms, self.id, entry);
-                self.node.carry_out(decisions);
-                Step::Again(receiver)
+                self.node.deliver_decisions(decisions);
+                StepOutcome::AwaitDecision(receiver)
             }
         }
     }
 
-    async fn send(&mut self, target: &Arc<str>, address: &str, limit_ms: u64) -> Step {
-        if let Some(answer) = self.begin_if_needed().await {
-            self.finished(target, AttemptOutcome::Unused, 0);
-            return Step::Answer(answer);
+    async fn send(&mut self, target: &Arc<str>, address: &str, timeout_ms: u64) -> StepOutcome {
+        if let Some(answer) = self.record_begin_if_needed().await {
+            self.report_attempt(target, AttemptOutcome::Unused, 0);
+            return StepOutcome::Answer(answer);
         }
         let left_ms = self.left_ms();
         if left_ms == 0 {
-            self.finished(target, AttemptOutcome::Unused, 0);
+            self.report_attempt(target, AttemptOutcome::Unused, 0);
             let failure = Failure::new(
                 Code::NoTarget,
-                "the deadline passed before it could be sent",
+                "the deadline passed before the request could be sent",
             )
             .with_retry_after_ms(100);
-            return Step::Answer(FinalAnswer::Failed(failure));
+            return StepOutcome::Answer(FinalAnswer::Failed(failure));
         }
         let start_ms = self.node.clock.now_ms();
         let (outcome, response) = attempt::run(
             &self.node,
-            &self.work,
+            &self.request,
             self.id,
             address,
-            limit_ms.min(left_ms),
+            timeout_ms.min(left_ms),
             left_ms,
         )
         .await;
@@ -172,38 +180,38 @@
         if matches!(outcome, AttemptOutcome::Lost | AttemptOutcome::NotConnected) {
             log::info!(request = self.id, target_name = &**target, outcome = format!("{outcome:?}"), took_ms = took_ms; "attempt failed");
         }
-        let receiver = self.expect();
-        if self.finished(target, outcome, took_ms) {
-            return Step::Again(receiver);
+        let receiver = self.register_for_decision();
+        if self.report_attempt(target, outcome, took_ms) {
+            return StepOutcome::AwaitDecision(receiver);
         }
-        self.node.decisions.borrow_mut().remove(&self.id);
-        Step::Answer(self.answer_for(outcome, response, target))
+        self.node.pending_decisions.borrow_mut().remove(&self.id);
+        StepOutcome::Answer(self.answer_for(outcome, response, target))
     }
 
-    /// Records that a non-idempotent request is about to be sent; returns its answer when it must not be.
-    async fn begin_if_needed(&mut self) -> Option<FinalAnswer> {
-        if self.work.idempotent || self.begun.is_some() {
+    /// Records in the ledger that a non-idempotent request is about to be sent; returns the final answer if it must not be sent.
+    async fn record_begin_if_needed(&mut self) -> Option<FinalAnswer> {
+        if self.request.idempotent || self.recorded.is_some() {
             return None;
         }
-        match record::begin(&self.node, &self.work, self.left_ms()).await {
-            Beginning::Granted(begun) => {
-                self.begun = Some(begun);
+        match ledger::begin(&self.node, &self.request, self.left_ms()).await {
+            BeginOutcome::Granted(recorded) => {
+                self.recorded = Some(recorded);
                 None
             }
-            Beginning::Answer(answer) => Some(answer),
+            BeginOutcome::Answer(answer) => Some(answer),
         }
     }
 
-    /// Tells the router how the attempt ended; returns whether it decides again.
-    fn finished(&self, target: &Arc<str>, outcome: AttemptOutcome, took_ms: u64) -> bool {
+    /// Tells the router how the attempt ended; returns whether the router will make another decision.
+    fn report_attempt(&self, target: &Arc<str>, outcome: AttemptOutcome, took_ms: u64) -> bool {
         let now_ms = self.node.clock.now_ms();
-        let (again, decisions) = self
+        let (decides_again, decisions) = self
             .node
             .router
             .borrow_mut()
             .finished(now_ms, self.id, target, outcome, took_ms);
-        self.node.carry_out(decisions);
-        again
+        self.node.deliver_decisions(decisions);
+        decides_again
     }
 
     fn answer_for(
@@ -236,28 +244,26 @@
                 ))
             }
             (AttemptOutcome::NotConnected | AttemptOutcome::Unused, _) => {
-                let failure = Failure::new(
-                    Code::NoTarget,
-                    format!("target {target} took no connection"),
-                );
+                let failure =
+                    Failure::new(Code::NoTarget, format!("no connection to target {target}"));
                 FinalAnswer::Failed(failure.with_retry_after_ms(100))
             }
             _ => FinalAnswer::Failed(Failure::new(
                 Code::OutcomeUnknown,
-                format!("target {target} gave no whole answer"),
+                format!("no complete answer from target {target}"),
             )),
         }
     }
 
-    /// Closes the record of a request that was begun.
-    fn close(&mut self, answer: &FinalAnswer) {
-        let Some(begun) = self.begun.take() else {
+    /// Closes the ledger record of a non-idempotent request: stores the answer, or withdraws the begin if nothing ran.
+    fn close_record(&mut self, answer: &FinalAnswer) {
+        let Some(recorded) = self.recorded.take() else {
             return;
         };
-        if answer.is_not_run() {
-            record::withdraw(&self.node, begun);
+        if answer.has_not_run() {
+            ledger::withdraw(&self.node, recorded);
         } else {
-            record::end(&self.node, begun, answer.to_stored());
+            ledger::end(&self.node, recorded, answer.to_stored());
         }
     }
 }
--- a/crates/bh-node/src/requests/final_answer.rs
+++ b/crates/bh-node/src/requests/final_answer.rs
@@ -1,4 +1,4 @@
-//! What became of a request: the one answer its caller gets.
+//! The one answer that the caller of a short request gets.
 
 use bh_protocol::Code;
 use bh_protocol::Failure;
@@ -11,7 +11,7 @@
 /// A final answer.
 #[derive(Clone, Debug)]
 pub enum FinalAnswer {
-    /// The target's whole answer.
+    /// The target's complete answer.
     Answered {
         /// HTTP status of the target.
         status: u16,
@@ -20,11 +20,11 @@
         /// Body.
         body: Bytes,
     },
-    /// No whole answer; the code says whether it ran.
+    /// No complete answer; the code says whether the request ran.
     Failed(Failure),
 }
 
-/// Head of an answer that travels between entries.
+/// Head of an answer as one entry sends it to another; the body follows separately.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct AnswerHead {
     /// HTTP status of the target.
@@ -34,7 +34,7 @@
 }
 
 impl FinalAnswer {
-    /// The numbered code of the answer.
+    /// The result code of the answer.
     pub fn code(&self) -> Code {
         match self {
             FinalAnswer::Answered { .. } => Code::Done,
@@ -43,11 +43,11 @@
     }
 
     /// Whether nothing was sent to a target.
-    pub fn is_not_run(&self) -> bool {
+    pub fn has_not_run(&self) -> bool {
         self.code().ran() == Ran::No
     }
 
-    /// The form that resends get.
+    /// Converts the answer to the form that the ledger stores, from which a resend of the request is answered.
     pub fn to_stored(&self) -> StoredAnswer {
         match self {
             FinalAnswer::Answered { body, .. } => StoredAnswer {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The answer kept for a request that ended earlier.
+    /// The answer to a resend, from what the ledger stored when the request first ended.
     pub fn from_stored(stored: StoredAnswer) -> Self {
         let code = Code::from_number(stored.code).unwrap_or(Code::Internal);
         match (code, stored.body) {
--- a/crates/bh-node/src/requests/forward.rs
+++ b/crates/bh-node/src/requests/forward.rs
@@ -1,8 +1,8 @@
-//! Hands requests to other entries.
+//! Forwards short requests to other entries.
 
 use super::final_answer::AnswerHead;
 use super::final_answer::FinalAnswer;
-use super::work::Work;
+use super::short_request::ShortRequest;
 use crate::node::Node;
 use crate::node::into_result;
 use bh_net::link::CallError;
@@ -13,53 +13,58 @@
 use bytes::Bytes;
 use std::rc::Rc;
 
-/// Time added to the wait for another entry, in milliseconds, so that its own answer at the deadline arrives first.
+/// Time added to the wait for another entry, in milliseconds, so that the answer it sends at the deadline still arrives.
 const ANSWER_SLACK_MS: u64 = 50;
 
-/// What came of handing a request on.
-pub(super) enum Handed {
-    /// It has its final answer.
+/// Result of forwarding a request.
+pub(super) enum ForwardOutcome {
+    /// The request has its final answer.
     Answer(FinalAnswer),
-    /// The other entry did not run it.
+    /// The other entry did not run the request, or the request may run again.
     Refused,
 }
 
-/// Hands the request to another entry.
-pub(super) async fn hand_on(node: &Rc<Node>, work: &Work, entry: &str, left_ms: u64) -> Handed {
+/// Forwards the request to another entry and waits for the answer.
+pub(super) async fn forward_request(
+    node: &Rc<Node>,
+    request: &ShortRequest,
+    entry: &str,
+    left_ms: u64,
+) -> ForwardOutcome {
     let Some(peer) = node.peers.get(entry).cloned() else {
-        return Handed::Refused;
+        return ForwardOutcome::Refused;
     };
-    let handed = Work {
+    let forwarded = ShortRequest {
         left_ms,
-        ..work.clone()
+        ..request.clone()
     };
-    let Ok(head) = serde_json::to_string(&handed) else {
-        return Handed::Refused;
+    let Ok(head) = serde_json::to_string(&forwarded) else {
+        return ForwardOutcome::Refused;
     };
     let result = peer
         .call(
             RpcKind::RunRequest,
             "",
             head,
-            work.body.to_vec(),
+            request.body.to_vec(),
             left_ms + ANSWER_SLACK_MS,
         )
         .await;
     match result.map(into_result) {
-        Ok(Ok((label, body))) => Handed::Answer(answered(&label, body)),
-        Ok(Err(failure)) if is_refusal_of_entry(&failure) => Handed::Refused,
-        Ok(Err(failure)) => Handed::Answer(FinalAnswer::Failed(failure)),
-        Err(CallError::NotSent) => Handed::Refused,
-        // The other entry may have sent it to a target. An idempotent request may run again.
-        Err(CallError::Lost) if work.idempotent => Handed::Refused,
-        Err(CallError::Lost) => Handed::Answer(FinalAnswer::Failed(Failure::new(
+        Ok(Ok((label, body))) => ForwardOutcome::Answer(answered(&label, body)),
+        Ok(Err(failure)) if is_refusal_of_entry(&failure) => ForwardOutcome::Refused,
+        Ok(Err(failure)) => ForwardOutcome::Answer(FinalAnswer::Failed(failure)),
+        Err(CallError::NotSent) => ForwardOutcome::Refused,
+        // The other entry may have sent the request to a target. An idempotent request may run again.
+        Err(CallError::Lost) if request.idempotent => ForwardOutcome::Refused,
+        Err(CallError::Lost) => ForwardOutcome::Answer(FinalAnswer::Failed(Failure::new(
             Code::OutcomeUnknown,
             format!("entry {entry} did not answer"),
         ))),
     }
 }
 
-/// Whether the failure is about the other entry rather than the request: another one may do better.
+/// Whether the failure concerns the other entry rather than the request, so that a third entry may succeed.
 fn is_refusal_of_entry(failure: &Failure) -> bool {
     let about_load = matches!(
         failure.code,
@@ -77,7 +82,7 @@
         },
         Err(_) => FinalAnswer::Failed(Failure::new(
             Code::OutcomeUnknown,
-            "another entry's answer could not be read",
+            "the answer of another entry could not be parsed",
         )),
     }
 }
--- a/crates/bh-node/src/requests/serve_forwarded.rs
+++ b/crates/bh-node/src/requests/serve_forwarded.rs
@@ -1,9 +1,9 @@
-//! Runs requests that other entries handed here.
+//! Runs requests that other entries forwarded to this one.
 
 use super::execute::execute;
 use super::final_answer::AnswerHead;
 use super::final_answer::FinalAnswer;
-use super::work::Work;
+use super::short_request::ShortRequest;
 use crate::node::Node;
 use crate::node::from_json;
 use bh_protocol::Code;
@@ -12,18 +12,18 @@
 use bytes::Bytes;
 use std::rc::Rc;
 
-/// Runs a request that another entry handed here.
+/// Runs a request that another entry forwarded to this one.
 ///
 /// # Errors
 ///
-/// The request's own failure.
+/// The failure that the request ended with.
 pub async fn serve_forwarded(
     node: &Rc<Node>,
     request: RpcRequest,
 ) -> Result<(String, Vec<u8>), Failure> {
-    let mut work: Work = from_json(request.head.as_bytes())?;
-    work.body = Bytes::from(request.body);
-    match execute(node, work, true).await {
+    let mut short_request: ShortRequest = from_json(request.head.as_bytes())?;
+    short_request.body = Bytes::from(request.body);
+    match execute(node, short_request, true).await {
         FinalAnswer::Answered {
             status,
             content_type,
--- a/crates/bh-node/src/start.rs
+++ b/crates/bh-node/src/start.rs
@@ -1,19 +1,19 @@
-//! Starts an entry, keeps it running, and ends it gracefully.
+//! Starts an entry, runs it, and shuts it down gracefully.
 
 use crate::background;
+use crate::group::BuiltGroup;
 use crate::group::Group;
+use crate::group::GroupBuilder;
 use crate::group::Machine;
 use crate::group::MachineState;
-use crate::group::Spawned;
-use crate::group::Spawner;
-use crate::group::drive;
-use crate::group::hosted;
+use crate::group::hosted_data_centres;
+use crate::group::start_group;
 use crate::http_api;
 use crate::jobs_machine::JobsMachine;
 use crate::leader::JobsGroup;
 use crate::metrics::Metrics;
-use crate::node::Late;
 use crate::node::Node;
+use crate::node::NodeHandle;
 use crate::node::SETTINGS_GROUP;
 use crate::node::jobs_group;
 use crate::peers;
@@ -42,14 +42,14 @@
 use std::sync::Arc;
 use tokio_util::sync::CancellationToken;
 
-/// Time between looks at the requests in progress at shutdown, in milliseconds.
+/// Time between checks for requests in progress during shutdown, in milliseconds.
 const DRAIN_POLL_MS: u64 = 10;
 
-/// Runs the entry until it is told to stop.
+/// Runs the entry until a signal stops it.
 ///
 /// # Errors
 ///
-/// What keeps it from starting or going on: a bad key file, an address in use, a damaged log, a failed disk.
+/// When the entry cannot start or continue: a bad key file, an address in use, a damaged log, a failed disk.
 pub async fn run(config: EntryConfig) -> Result<(), Failure> {
     let key = read_key(&config)?;
     let folder = match &config.data_folder {
@@ -63,28 +63,28 @@
     let http_listener = bind(config.own.http_address)?;
     let peer_listener = bind(config.own.peer_address)?;
     let clock = Clock::new();
-    let late = Late::new();
-    let spawner = Spawner {
+    let node_handle = NodeHandle::new();
+    let builder = GroupBuilder {
         config: &config,
         folder: &folder,
         clock: &clock,
-        late: &late,
+        node_handle: &node_handle,
         replica,
     };
     let settings_machine = Machine::new(
         MachineState::Settings(bh_settings::Machine::new()),
         MachineState::CODEC,
     );
-    let settings = spawner.spawn(SETTINGS_GROUP, settings_machine, config.settings_voters())?;
+    let settings = builder.build(SETTINGS_GROUP, settings_machine, config.settings_voters())?;
     let mut jobs = BTreeMap::new();
-    for data_centre in hosted(&config) {
+    for data_centre in hosted_data_centres(&config) {
         let machine = Machine::new(MachineState::Jobs(JobsMachine::new()), MachineState::CODEC);
         let wanted = config.jobs_voters(&data_centre);
-        let spawned = spawner.spawn(&jobs_group(&data_centre), machine, wanted)?;
-        jobs.insert(data_centre, spawned);
+        let built = builder.build(&jobs_group(&data_centre), machine, wanted)?;
+        jobs.insert(data_centre, built);
     }
     let incarnation = bh_storage::random_replica()?;
-    let node = build(
+    let node = build_node(
         config,
         clock,
         (replica, incarnation),
@@ -92,12 +92,12 @@
         &jobs,
         &folder,
     );
-    late.fill(&node);
+    node_handle.set(&node);
     log::info!(entry = &*node.config.own.name, replica = format!("{replica:016x}"), address = node.config.own.http_address.to_string(); "entry starts");
     let (failed, failure) = oneshot::channel();
     let failed = Rc::new(Cell::new(Some(failed)));
-    for spawned in std::iter::once(settings).chain(jobs.into_values()) {
-        drive(&node, spawned, failed.clone());
+    for built in std::iter::once(settings).chain(jobs.into_values()) {
+        start_group(&node, built, failed.clone());
     }
     monoio::spawn(peers::accept(node.clone(), peer_listener, key.clone()));
     for peer in node.peers.iter() {
@@ -106,7 +106,7 @@
     monoio::spawn(background::accept_callers(node.clone(), http_listener));
     monoio::spawn(background::renew_targets(node.clone()));
     monoio::spawn(background::tick_router(node.clone()));
-    monoio::spawn(background::keep_counters(
+    monoio::spawn(background::maintain_counters(
         node.clone(),
         folder.as_ref().map(counters_path),
     ));
@@ -116,7 +116,7 @@
         () = signal.cancelled() => {}
         failure = failure => {
             let failure = failure.unwrap_or_else(|_| Failure::new(Code::Internal, "a group's driver ended"));
-            log::error!(code = failure.code.number(); "the entry cannot go on: {failure}");
+            log::error!(code = failure.code.number(); "the entry cannot continue: {failure}");
             return Err(failure);
         }
     }
@@ -133,18 +133,18 @@
 }
 
 fn read_key(config: &EntryConfig) -> Result<LinkKey, Failure> {
-    const LEAST_KEY_BYTES: usize = 32;
+    const MIN_KEY_BYTES: usize = 32;
     let Some(path) = &config.peer_key_file else {
-        // A single entry has no peers; nobody shares this key, so that no link can be opened.
+        // A single entry has no peers. Nobody else knows this random key, so no link can be opened.
         let number = bh_storage::random_replica()?;
         return Ok(LinkKey::new(number.to_le_bytes()));
     };
     let bytes = std::fs::read(path).map_err(|error| {
         Failure::new(Code::UnreadableFile, format!("{}: {error}", path.display()))
     })?;
-    if bytes.trim_ascii().len() < LEAST_KEY_BYTES {
+    if bytes.trim_ascii().len() < MIN_KEY_BYTES {
         let label = format!(
-            "{} holds a key shorter than {LEAST_KEY_BYTES} bytes",
+            "{} holds a key shorter than {MIN_KEY_BYTES} bytes",
             path.display()
         );
         return Err(Failure::new(Code::BadConfigFile, label));
@@ -153,30 +153,30 @@
 }
 
 fn bind(address: SocketAddr) -> Result<TcpListener, Failure> {
-    // Without this two entries could listen on one address, each taking some of the connections.
+    // With port reuse, two entries could listen on one address, each receiving some of the connections.
     let options = ListenerOpts::new().reuse_port(false);
     TcpListener::bind_with_config(address, &options).map_err(|error| {
         Failure::new(
             Code::BadConfigFile,
-            format!("{address} cannot be listened on: {error}"),
+            format!("cannot listen on {address}: {error}"),
         )
     })
 }
 
-fn build(
+fn build_node(
     config: EntryConfig,
     clock: Clock,
     (replica, incarnation): (u64, u64),
     settings: &Group,
-    jobs: &BTreeMap<Arc<str>, Spawned>,
+    jobs: &BTreeMap<Arc<str>, BuiltGroup>,
     folder: &Option<Folder>,
 ) -> Rc<Node> {
     let jobs = jobs
         .iter()
-        .map(|(name, spawned)| {
+        .map(|(name, built)| {
             (
                 name.clone(),
-                Rc::new(JobsGroup::new(name.clone(), spawned.group.clone())),
+                Rc::new(JobsGroup::new(name.clone(), built.group.clone())),
             )
         })
         .collect();
@@ -185,8 +185,8 @@
         .map(|folder| http_api::load_counters(&counters_path(folder)))
         .unwrap_or_default();
     let router = Router::new(OwnedTargets::new(config.own.name.clone(), incarnation));
-    let alone = LeaderlessTargets::new(clock.now_ms(), config.target_lease_ms);
-    Rc::new_cyclic(|own| Node {
+    let leaderless_targets = LeaderlessTargets::new(clock.now_ms(), config.target_lease_ms);
+    Rc::new_cyclic(|weak_self| Node {
         peers: Peers::new(config.entries.values(), &config.own.name),
         metrics: Metrics::new(&config.own.name, config.statsd_address),
         clock,
@@ -195,7 +195,7 @@
         settings: settings.clone(),
         jobs,
         router: RefCell::new(router),
-        alone: RefCell::new(alone),
+        leaderless_targets: RefCell::new(leaderless_targets),
         pool: Pool::new(),
         counters: RefCell::new(counters),
         draining: CancellationToken::new(),
@@ -204,24 +204,24 @@
         in_progress: Cell::new(0),
         connections: Cell::new(0),
         link_bytes: Cell::new(0),
-        own: own.clone(),
-        decisions: RefCell::new(BTreeMap::new()),
+        weak_self: weak_self.clone(),
+        pending_decisions: RefCell::new(BTreeMap::new()),
         next_request: Cell::new(1),
         config,
     })
 }
 
-/// Ends gracefully: not ready, then no new connections, then the requests in progress to their end.
+/// Shuts down gracefully: reports not ready, then accepts no new connections, then waits for the requests in progress.
 async fn drain(node: &Rc<Node>) {
     let config = &node.config;
     log::info!(entry = &*config.own.name, in_progress = node.in_progress.get(); "entry drains");
     node.draining.cancel();
-    // The balancer learns that this entry is not ready; until then callers still come and are served.
+    // Until the load balancer has seen that this entry is not ready, callers still arrive and are served.
     sleep_ms(config.drain_delay_ms).await;
     node.closing.cancel();
-    let until_ms = node.clock.now_ms() + config.drain_limit_ms;
+    let deadline_ms = node.clock.now_ms() + config.drain_limit_ms;
     while (node.in_progress.get() > 0 || node.connections.get() > 0)
-        && node.clock.now_ms() < until_ms
+        && node.clock.now_ms() < deadline_ms
     {
         sleep_ms(DRAIN_POLL_MS).await;
     }
