--- a/crates/beechhollow/tests/requests.rs
+++ b/crates/beechhollow/tests/requests.rs
@@ -112,7 +112,7 @@
     let start = |name, announced| {
         let entries = cluster.entries_of("a");
         let mut options = bh_testkit::worker::WorkerOptions::new(name, "a", "r0", entries);
-        options.announced = announced;
+        options.announced_address = announced;
         bh_testkit::Worker::start(options)
     };
     let nobody = bh_testkit::ports::free(1)[0];
@@ -435,7 +435,7 @@
     let mut options =
         bh_testkit::worker::WorkerOptions::new("linked", "a", "r0", cluster.entries_of("a"));
     options.listen = Some(addresses[0]);
-    options.announced = Some(link.address());
+    options.announced_address = Some(link.address());
     let linked = bh_testkit::Worker::start(options);
     let plain = bh_testkit::Worker::start(bh_testkit::worker::WorkerOptions::new(
         "plain",
--- a/crates/bh-testkit/src/worker/announce.rs
+++ b/crates/bh-testkit/src/worker/announce.rs
@@ -117,7 +117,7 @@
         incarnation: state.incarnation,
         data_centre: Arc::from(options.data_centre.as_str()),
         rack: Arc::from(options.rack.as_str()),
-        address: Arc::from(options.announced.unwrap_or(own).to_string()),
+        address: Arc::from(options.announced_address.unwrap_or(own).to_string()),
         cores: 130,
         memory_mib: 500 << 10,
         accelerators: options.accelerators,
--- a/crates/bh-testkit/src/worker/options.rs
+++ b/crates/bh-testkit/src/worker/options.rs
@@ -20,7 +20,7 @@
     /// Where it listens; a free port when `None`.
     pub listen: Option<SocketAddr>,
     /// The address it announces; its own when `None`. A test puts a link there.
-    pub announced: Option<SocketAddr>,
+    pub announced_address: Option<SocketAddr>,
 }
 
 impl WorkerOptions {
@@ -34,7 +34,7 @@
             accelerators: 8,
             slots: 8,
             listen: None,
-            announced: None,
+            announced_address: None,
         }
     }
 }
