--- a/crates/bh-testkit/src/cluster.rs
+++ b/crates/bh-testkit/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Entries as real processes, with folders and settings of their own.
+//! A cluster of entries that run as real processes, each with its own folder and configuration.
 
 use crate::http_raw;
 use crate::http_raw::RawAnswer;
@@ -18,7 +18,7 @@
 use std::time::Instant;
 use tempfile::TempDir;
 
-/// Token of the test's administrator.
+/// Token of the administrator in tests.
 pub const ADMINISTRATOR: &str = "test-administrator-token";
 /// SHA-256 of [`ADMINISTRATOR`].
 pub const ADMINISTRATOR_SHA256: &str =
@@ -32,7 +32,7 @@
     pub name: String,
     /// Data centre.
     pub data_centre: String,
-    /// Whether it has a disk.
+    /// Whether the entry has a disk.
     pub disk: bool,
 }
 
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The same without a disk.
+    /// Takes away the entry's disk.
     pub fn with_no_disk(mut self) -> Self {
         self.disk = false;
         self
@@ -60,7 +60,7 @@
     starts: u32,
 }
 
-/// A system of entries on the loopback address. Everything ends and goes away when dropped.
+/// A cluster of entries on the loopback address. Dropping it kills the processes and deletes the folder.
 pub struct Cluster {
     binary: PathBuf,
     folder: TempDir,
@@ -71,11 +71,11 @@
 }
 
 impl Cluster {
-    /// Entries of `binary`, not started yet, that reach each other directly.
+    /// A cluster of entries that run `binary`, not started yet, and connect to each other directly.
     ///
     /// # Panics
     ///
-    /// When no folder or port can be had.
+    /// When no temporary folder can be created or no port is free.
     pub fn new(binary: &str, options: Vec<EntryOptions>) -> Cluster {
         let folder = tempfile::tempdir().expect("a folder for the test");
         std::fs::write(
@@ -115,13 +115,13 @@
         }
     }
 
-    /// Adds lines to every entry's file.
+    /// Adds lines to every entry's configuration file.
     pub fn with_config_lines(mut self, lines: &str) -> Self {
         self.config_lines = lines.to_owned();
         self
     }
 
-    /// Puts a link that can be cut in front of every entry, one for each other entry that dials it.
+    /// Puts a link that can be cut between every two entries, one for each direction of dialling.
     pub fn with_links(mut self) -> Self {
         let names: Vec<String> = self.entries.keys().cloned().collect();
         for from in &names {
@@ -134,7 +134,7 @@
         self
     }
 
-    /// The link by which `from` dials `to`.
+    /// The link through which `from` dials `to`.
     pub fn link(&self, from: &str, to: &str) -> &Link {
         &self.links[&(from.to_owned(), to.to_owned())]
     }
@@ -144,7 +144,7 @@
         self.links.values()
     }
 
-    /// Cuts or mends every link of `name`, both ways.
+    /// Cuts or restores all links from and to `name`.
     pub fn isolate(&self, name: &str, cut: bool) {
         for ((from, to), link) in &self.links {
             if from == name || to == name {
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Folder of the test.
+    /// The test's temporary folder.
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
@@ -168,7 +168,7 @@
         self.entries[name].http
     }
 
-    /// Addresses of all entries of a data centre, as workers take them.
+    /// Addresses for callers of all entries of a data centre, in the form that workers are configured with.
     pub fn entries_of(&self, data_centre: &str) -> Vec<String> {
         self.entries
             .values()
@@ -257,7 +257,7 @@
         }
     }
 
-    /// Sends a signal, such as `TERM`, `STOP` or `CONT`.
+    /// Sends a signal to an entry, such as `TERM`, `STOP` or `CONT`.
     pub fn signal(&self, name: &str, signal: &str) {
         if let Some(pid) = self.pid(name) {
             let _ = Command::new("kill")
@@ -267,7 +267,7 @@
         }
     }
 
-    /// Waits for an entry to end by itself; its exit status, or `None` when it has not ended in time.
+    /// Waits for an entry to exit by itself; returns its exit status, or `None` if it does not exit within `limit`.
     pub fn wait_for_exit(&mut self, name: &str, limit: Duration) -> Option<i32> {
         let child = self.entries.get_mut(name)?.child.as_mut()?;
         let until = Instant::now() + limit;
@@ -281,11 +281,11 @@
         None
     }
 
-    /// Waits until `ready` holds.
+    /// Waits until `ready` returns true.
     ///
     /// # Panics
     ///
-    /// When it does not within `limit`, with the entries' logs.
+    /// When it does not within `limit`; the message contains the entries' logs.
     pub fn wait_until(&self, what: &str, limit: Duration, mut ready: impl FnMut() -> bool) {
         let until = Instant::now() + limit;
         while Instant::now() < until {
@@ -297,7 +297,7 @@
         panic!("not within {limit:?}: {what}\n{}", self.logs());
     }
 
-    /// The ends of all logs.
+    /// The last lines of all logs.
     pub fn logs(&self) -> String {
         const LINES: usize = 60;
         let mut text = String::new();
@@ -343,7 +343,7 @@
         });
     }
 
-    /// Applies whole settings through an entry, with a change id.
+    /// Applies complete settings through an entry, as the administrator.
     pub fn apply(&self, name: &str, change_id: &str, base_revision: u64, yaml: &str) -> RawAnswer {
         self.apply_scoped(
             name,
@@ -355,7 +355,7 @@
         )
     }
 
-    /// Applies settings of a scope with a token.
+    /// Applies settings of a scope through an entry, with a token.
     pub fn apply_scoped(
         &self,
         name: &str,
@@ -375,7 +375,7 @@
         )
     }
 
-    /// Name of the entry that leads a group, as an entry sees it.
+    /// Name of the entry that leads a group according to the entry `name`.
     pub fn leader_seen_by(&self, name: &str, group: &str) -> Option<String> {
         let status = http_raw::get(self.http(name), "/v1/status").json();
         let groups = status["groups"].as_array()?;
@@ -383,7 +383,7 @@
         view["leader"].as_str().map(str::to_owned)
     }
 
-    /// Revision in force on an entry, or `None` when it does not answer.
+    /// Revision of the settings in force on an entry, or `None` if the entry does not answer.
     pub fn revision(&self, name: &str) -> Option<u64> {
         let status = http_raw::send(
             self.http(name),
--- a/crates/bh-testkit/src/history.rs
+++ b/crates/bh-testkit/src/history.rs
@@ -1,24 +1,24 @@
-//! A checker of histories: what concurrent clients invoked and were answered, against what must hold.
+//! Checkers of histories: compare what concurrent clients sent and were answered with what must hold.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-/// One change of settings as its operator saw it.
+/// A change of the settings as its operator observed it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ObservedChange {
     /// Id of the change.
     pub change_id: String,
-    /// Revision it was made against.
+    /// Revision that the change is based on.
     pub base_revision: u64,
-    /// When it was sent and answered, on one clock.
+    /// When the change was sent; all times of a history are from one clock.
     pub sent: u64,
     /// When the answer came.
     pub answered: u64,
-    /// The revision when accepted, or the code when refused; `None` when the answer was lost.
+    /// The new revision if accepted, or the result code if refused; `None` if the answer was lost.
     pub answer: Option<Result<u64, u32>>,
 }
 
-/// One read of what is in force on an entry.
+/// A read of the revision in force on an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ObservedRead {
     /// Entry.
@@ -29,8 +29,8 @@
     pub revision: u64,
 }
 
-/// Checks changes of one subtree made by racing operators: the accepted ones form one chain, each made against the one
-/// before it, in an order that real time allows; and the same change never has two answers.
+/// Checks concurrent changes of one subtree. The accepted changes must form one chain, each based on its predecessor, in an
+/// order that agrees with real time; and no change may be accepted as two revisions. Returns the violations.
 pub fn check_changes(changes: &[ObservedChange]) -> Vec<String> {
     let mut problems = Vec::new();
     let mut by_id: BTreeMap<&str, u64> = BTreeMap::new();
@@ -94,7 +94,7 @@
     problems
 }
 
-/// Checks that no entry ever goes back, and that what a later read on the same entry shows is not older.
+/// Checks that the revision on an entry never goes back: a later read shows the same or a newer one. Returns the violations.
 pub fn check_reads(reads: &[ObservedRead]) -> Vec<String> {
     let mut newest: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
     let mut problems = Vec::new();
@@ -116,18 +116,18 @@
     problems
 }
 
-/// One answer to a non-idempotent request.
+/// An answer to a non-idempotent request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ObservedRequest {
-    /// Its key.
+    /// Idempotency key of the request.
     pub key: String,
-    /// Whether the answer says that it ran: `yes`, `no` or `unknown`; `None` when the answer was lost.
+    /// Whether the request ran, according to the answer: `yes`, `no` or `unknown`; `None` if the answer was lost.
     pub ran: Option<String>,
-    /// Body of a whole answer.
+    /// Body of a complete answer.
     pub body: Option<String>,
 }
 
-/// Checks the answers about non-idempotent requests against how often workers ran each key.
+/// Checks the answers to non-idempotent requests against how often workers ran each key. Returns the violations.
 pub fn check_requests(answers: &[ObservedRequest], runs: &BTreeMap<String, u64>) -> Vec<String> {
     let mut problems = Vec::new();
     for (key, count) in runs {
@@ -149,7 +149,7 @@
         if says("yes") && !ran {
             problems.push(format!("key {key} is said to have run, and did not"));
         }
-        // Every attempt is over: if each answer says "not run", it must not have run.
+        // All attempts have ended: if each answer says "not run", the request must not have run.
         let all_say_no = answers
             .iter()
             .all(|answer| answer.ran.as_deref() == Some("no"));
--- a/crates/bh-testkit/src/http_raw.rs
+++ b/crates/bh-testkit/src/http_raw.rs
@@ -1,4 +1,4 @@
-//! A plain blocking HTTP client for tests, which can also send what no proper client would.
+//! A simple blocking HTTP client for tests that can also send malformed requests.
 
 use std::io::Read;
 use std::io::Write;
@@ -6,12 +6,12 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// An answer as it came.
+/// An answer as it was received.
 #[derive(Clone, Debug)]
 pub struct RawAnswer {
-    /// Status, or 0 when nothing came.
+    /// HTTP status, or 0 if no answer was received.
     pub status: u16,
-    /// Head as text.
+    /// Status line and headers as text.
     pub head: String,
     /// Body.
     pub body: Vec<u8>,
@@ -27,7 +27,7 @@
             .map(|(_, value)| value.trim())
     }
 
-    /// The numbered result code, if the answer has one.
+    /// The number of the result code, if the answer has one.
     pub fn code(&self) -> Option<u32> {
         self.header("x-result-code")?.parse().ok()
     }
@@ -37,13 +37,13 @@
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// The body as JSON, or null.
+    /// The body as JSON, or null if it is not JSON.
     pub fn json(&self) -> serde_json::Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 }
 
-/// Sends `bytes` as they are and reads one answer; status 0 when none came in `limit`.
+/// Sends `bytes` unchanged and reads one answer. The answer has status 0 if none is received within `limit`.
 pub fn send_bytes(address: SocketAddr, bytes: &[u8], limit: Duration) -> RawAnswer {
     let none = RawAnswer {
         status: 0,
@@ -60,7 +60,7 @@
     read_answer(&mut stream).unwrap_or(none)
 }
 
-/// Reads one answer by its `Content-Length`.
+/// Reads one answer, whose length its `Content-Length` tells.
 pub fn read_answer(stream: &mut TcpStream) -> Option<RawAnswer> {
     let mut bytes = Vec::new();
     let mut chunk = [0; 16 << 10];
@@ -95,7 +95,7 @@
     })
 }
 
-/// Sends a proper request.
+/// Sends a well-formed request.
 pub fn send(
     address: SocketAddr,
     method: &str,
@@ -117,15 +117,15 @@
     send_bytes(address, &bytes, limit)
 }
 
-/// Longest wait for an answer in tests.
+/// Default timeout for an answer in tests.
 pub const LIMIT: Duration = Duration::from_secs(10);
 
-/// Reads a path.
+/// Sends a GET request.
 pub fn get(address: SocketAddr, path: &str) -> RawAnswer {
     send(address, "GET", path, &[], &[], LIMIT)
 }
 
-/// Posts a body.
+/// Sends a POST request.
 pub fn post(address: SocketAddr, path: &str, headers: &[(&str, &str)], body: &[u8]) -> RawAnswer {
     send(address, "POST", path, headers, body, LIMIT)
 }
--- a/crates/bh-testkit/src/lib.rs
+++ b/crates/bh-testkit/src/lib.rs
@@ -1,5 +1,5 @@
-//! Test only: a worker that takes faults to order, entries as real processes, a link that can be cut, and a checker of
-//! histories.
+//! Test support: a stand-in worker with fault injection, entries as real processes, a link that can be cut, and checkers
+//! of histories.
 
 pub mod cluster;
 pub mod history;
--- a/crates/bh-testkit/src/link.rs
+++ b/crates/bh-testkit/src/link.rs
@@ -1,4 +1,4 @@
-//! A link between two addresses that can be cut, delayed, or fall silent on open connections only.
+//! A TCP proxy between two addresses that can be cut or delayed, and can silence or close only the open connections.
 
 use std::io::Read;
 use std::io::Write;
@@ -17,18 +17,19 @@
 struct Control {
     cut: AtomicBool,
     delay_us: AtomicU64,
-    /// Connections opened before this generation forward nothing any more, and stay open.
+    /// Connections opened before this generation stay open and forward nothing.
     silent_before: AtomicU64,
     generation: AtomicU64,
-    /// Connections opened so far.
+    /// Number of connections opened so far, and the number of the next one.
     opened: AtomicU64,
-    /// Connections below this number are closed if their number is odd, or if it is even.
+    /// Open connections with an odd number below this one are closed.
     closed_odd_below: AtomicU64,
+    /// Open connections with an even number below this one are closed.
     closed_even_below: AtomicU64,
     forwarded: AtomicU64,
 }
 
-/// Forwards connections to an address.
+/// A proxy that forwards connections to an address.
 pub struct Link {
     address: SocketAddr,
     control: Arc<Control>,
@@ -56,17 +57,17 @@
         Link { address, control }
     }
 
-    /// Where it listens.
+    /// The address that the link listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Cuts the link: nothing passes and new connections are closed; or mends it.
+    /// Cuts the link or restores it. While it is cut, nothing is forwarded, and open and new connections are closed.
     pub fn set_cut(&self, cut: bool) {
         self.control.cut.store(cut, Ordering::SeqCst);
     }
 
-    /// Delays everything by this long, one way.
+    /// Delays the bytes of each direction by this long.
     pub fn set_delay(&self, delay: Duration) {
         self.control.delay_us.store(
             u64::try_from(delay.as_micros()).unwrap_or(u64::MAX),
@@ -74,13 +75,14 @@
         );
     }
 
-    /// Makes all open connections silent for good; new ones work.
+    /// Makes all open connections silent for good: they stay open and forward nothing. New connections work.
     pub fn silence_open_connections(&self) {
         let next = self.control.generation.fetch_add(1, Ordering::SeqCst) + 1;
         self.control.silent_before.store(next, Ordering::SeqCst);
     }
 
-    /// Closes every other open connection; what they carried and what had arrived of it stays as it is. New ones work.
+    /// Closes the open connections with odd numbers, or those with even numbers. Bytes not yet forwarded
+    /// are lost. New connections work.
     pub fn close_open_connections(&self, odd: bool) {
         let below = if odd {
             &self.control.closed_odd_below
@@ -91,7 +93,7 @@
         below.store(opened, Ordering::SeqCst);
     }
 
-    /// Bytes forwarded so far, both ways.
+    /// Bytes forwarded so far, in both directions.
     pub fn forwarded(&self) -> u64 {
         self.control.forwarded.load(Ordering::SeqCst)
     }
@@ -112,22 +114,29 @@
     if control.cut.load(Ordering::SeqCst) {
         return;
     }
-    let Ok(onward) = TcpStream::connect(to) else {
+    let Ok(upstream) = TcpStream::connect(to) else {
         return;
     };
     let _ = stream.set_nodelay(true);
-    let _ = onward.set_nodelay(true);
+    let _ = upstream.set_nodelay(true);
     let number = control.opened.fetch_add(1, Ordering::SeqCst);
     let generation = control.generation.load(Ordering::SeqCst);
-    let (Ok(stream_back), Ok(onward_back)) = (stream.try_clone(), onward.try_clone()) else {
+    let (Ok(stream_clone), Ok(upstream_clone)) = (stream.try_clone(), upstream.try_clone()) else {
         return;
     };
-    let back = control.clone();
-    thread::spawn(move || pump(onward_back, stream_back, &back, (number, generation)));
-    pump(stream, onward, control, (number, generation));
+    let control_clone = control.clone();
+    thread::spawn(move || {
+        forward_bytes(
+            upstream_clone,
+            stream_clone,
+            &control_clone,
+            (number, generation),
+        )
+    });
+    forward_bytes(stream, upstream, control, (number, generation));
 }
 
-fn pump(
+fn forward_bytes(
     mut from: TcpStream,
     mut to: TcpStream,
     control: &Control,
--- a/crates/bh-testkit/src/main.rs
+++ b/crates/bh-testkit/src/main.rs
@@ -1,4 +1,4 @@
-//! The stand-in worker as a process, for the demo.
+//! Runs the stand-in worker as a process, for the demo.
 
 use bh_testkit::worker::Worker;
 use bh_testkit::worker::WorkerOptions;
--- a/crates/bh-testkit/src/model_worker.rs
+++ b/crates/bh-testkit/src/model_worker.rs
@@ -1,4 +1,4 @@
-//! A worker as the protocol describes it, in memory, with its own clock.
+//! An in-memory model of a worker that follows the protocol and has its own clock.
 
 use bh_protocol::Incarnation;
 use bh_workload::dispatch::Answer;
@@ -12,72 +12,75 @@
 use bh_workload::state::EndKind;
 use std::collections::BTreeMap;
 
-/// A worker that breaks the protocol, to see the checks catch what follows from it.
+/// A fault of a model worker that breaks the protocol, so that tests can show that the checks detect its effects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProtocolFault {
-    /// It keeps the protocol.
+    /// The worker follows the protocol.
     None,
-    /// Its clock runs at half the rate, so its leases last twice as long as the leader reckons.
+    /// Its clock runs at half the rate, so its leases last twice as long as the leader expects.
     HalfClock,
-    /// It takes runs that were stopped before they came.
+    /// It starts runs that were stopped before their start order arrived.
     ForgetsStops,
-    /// It takes orders after the lease they carry has run out.
+    /// It accepts start orders whose lease has run out, and keeps running without a lease.
     IgnoresLease,
-    /// It lists runs that were done as lapsed.
+    /// It reports runs that succeeded as lapsed.
     HidesSuccess,
-    /// It lists runs that failed as lapsed.
+    /// It reports runs that failed as lapsed.
     HidesFailures,
-    /// It leaves out the older one of two ends.
+    /// It reports only the newest end.
     SkipsEnds,
-    /// What it begins never ends.
+    /// Its runs never finish by themselves.
     NeverEnds,
 }
 
-/// A run on a worker.
+/// A run on a model worker.
 #[derive(Clone, Debug)]
 pub struct ModelRun {
-    /// When it began, on the site's clock in milliseconds.
+    /// When the run started, on the site's clock in milliseconds.
     pub began_ms: u64,
-    /// When it is done, on the site's clock in milliseconds; `None` when others decide.
+    /// When the run finishes, on the site's clock in milliseconds; `None` if the test ends it.
     pub done_ms: Option<u64>,
-    /// Whether it fails in place of being done.
+    /// Whether the run fails when it finishes.
     pub fails: bool,
-    /// When a stop takes effect, on the site's clock in milliseconds.
+    /// When an ordered stop takes effect, on the site's clock in milliseconds.
     pub stopping_ms: Option<u64>,
 }
 
-/// One life of a worker.
+/// One incarnation of a model worker, from its start to its end. The site's clock is the clock of the test.
 #[derive(Clone, Debug)]
 pub struct ModelWorker {
-    /// Worker id and start time.
+    /// Id and start time of the worker.
     pub id: Incarnation,
-    /// How fast its clock runs, in thousandths of the true rate.
+    /// Rate of the worker's clock, in thousandths of the true rate.
     rate: u64,
-    /// What its clock showed when it started.
+    /// What the worker's clock showed when the worker started.
     offset_ms: u64,
-    /// When it started, on the site's clock in milliseconds.
+    /// When the worker started, on the site's clock in milliseconds.
     started_ms: u64,
+    /// Highest fencing token received; 0 before the first order.
     token: u64,
+    /// End of the lease, on the worker's clock in milliseconds.
     lease_until_ms: u64,
-    /// What runs.
+    /// Runs that have not ended.
     pub runs: BTreeMap<RunId, ModelRun>,
-    /// Highest attempt of a task that ended or was stopped here.
+    /// Highest attempt of each task that ended or was stopped on this worker.
     fenced: BTreeMap<TaskId, u32>,
-    /// Ends not known to be recorded.
+    /// Ends that no probe has acknowledged as recorded.
     pub ended: Vec<Ended>,
     next_end: u64,
-    /// Whether a lease runs.
+    /// Whether the worker holds a lease.
     is_leased: bool,
-    /// Leases that have run out.
+    /// Number of leases that have run out.
     pub lapses: u64,
-    /// Highest number of an end that was listed when the lease last ran out.
+    /// Number of the newest end when the lease last ran out.
     lapsed_to: u64,
-    planted: ProtocolFault,
+    protocol_fault: ProtocolFault,
 }
 
 impl ModelWorker {
-    /// A worker that runs nothing and started at time 0 of the site. `rate` is in thousandths; `offset_ms` is what its clock showed then.
-    pub fn new(id: Incarnation, rate: u64, offset_ms: u64, planted: ProtocolFault) -> Self {
+    /// A worker without runs that started at time 0 of the site's clock. `rate` is the rate of its own clock in thousandths, and
+    /// `offset_ms` is what that clock showed at the start.
+    pub fn new(id: Incarnation, rate: u64, offset_ms: u64, protocol_fault: ProtocolFault) -> Self {
         Self {
             id,
             rate,
@@ -92,7 +95,7 @@
             is_leased: false,
             lapses: 0,
             lapsed_to: 0,
-            planted,
+            protocol_fault,
         }
     }
 
@@ -102,9 +105,9 @@
         self
     }
 
-    /// What its clock shows at `now_ms` of the site.
+    /// What the worker's clock shows at `now_ms` of the site's clock.
     pub fn clock_ms(&self, now_ms: u64) -> u64 {
-        let rate = if self.planted == ProtocolFault::HalfClock {
+        let rate = if self.protocol_fault == ProtocolFault::HalfClock {
             self.rate / 2
         } else {
             self.rate
@@ -112,7 +115,7 @@
         self.offset_ms + now_ms.saturating_sub(self.started_ms) * rate / 1_000
     }
 
-    /// Ends a run, if it is there.
+    /// Ends a run, if it runs on this worker.
     pub fn end(&mut self, run: RunId, kind: EndKind) {
         if self.runs.remove(&run).is_none() {
             return;
@@ -128,7 +131,7 @@
         self.next_end += 1;
     }
 
-    /// Lets time pass: leases run out, stops take effect, work is done.
+    /// Advances the time to `now_ms`: leases run out, stops take effect, and runs finish.
     pub fn advance(&mut self, now_ms: u64) {
         let clock_ms = self.clock_ms(now_ms);
         if self.is_leased && clock_ms >= self.lease_until_ms {
@@ -138,12 +141,13 @@
         let all: Vec<RunId> = self.runs.keys().copied().collect();
         for run in all {
             let state = self.runs[&run].clone();
-            if clock_ms >= self.lease_until_ms && self.planted != ProtocolFault::IgnoresLease {
+            if clock_ms >= self.lease_until_ms && self.protocol_fault != ProtocolFault::IgnoresLease
+            {
                 self.end(run, EndKind::Lapsed);
             } else if state.stopping_ms.is_some_and(|at_ms| now_ms >= at_ms) {
                 self.end(run, EndKind::Stopped);
             } else if state.done_ms.is_some_and(|done_ms| now_ms >= done_ms)
-                && self.planted != ProtocolFault::NeverEnds
+                && self.protocol_fault != ProtocolFault::NeverEnds
             {
                 let kind = if state.fails {
                     EndKind::Failed
@@ -158,7 +162,7 @@
         }
     }
 
-    /// Whether it has received any order.
+    /// Whether the worker has received any order.
     pub fn has_received_orders(&self) -> bool {
         self.token > 0
     }
@@ -168,13 +172,14 @@
         self.next_end - 1
     }
 
-    /// Ends that a cursor at `recorded_to` takes note of: those between which and the cursor the lease has not run out.
+    /// Ends that a probe with this `recorded_to` acknowledges and whose worker has kept its lease since they ended: ends up to
+    /// `recorded_to` that are newer than the last time the lease ran out.
     pub fn acknowledged_ends(&self, recorded_to: u64) -> impl Iterator<Item = &Ended> {
         let ends = self.ended.iter();
         ends.filter(move |end| end.number <= recorded_to && end.number > self.lapsed_to)
     }
 
-    /// Carries an order out; returns the answer, and the run that began.
+    /// Executes an order; returns the answer, and the run that the order started.
     pub fn handle_order(
         &mut self,
         now_ms: u64,
@@ -201,7 +206,7 @@
                 ..
             } => {
                 let late = self.clock_ms(now_ms) >= *lease_until_ms;
-                if late && self.planted != ProtocolFault::IgnoresLease {
+                if late && self.protocol_fault != ProtocolFault::IgnoresLease {
                     return denied(Denial::Late);
                 }
                 self.extend_lease(now_ms, *lease_until_ms);
@@ -209,7 +214,7 @@
                     return (done, None);
                 }
                 let fence = self.fenced.get(&run.task).copied().unwrap_or(0);
-                if run.attempt <= fence && self.planted != ProtocolFault::ForgetsStops {
+                if run.attempt <= fence && self.protocol_fault != ProtocolFault::ForgetsStops {
                     return denied(Denial::Outdated);
                 }
                 let state = ModelRun {
@@ -230,7 +235,7 @@
                 }
                 (done, None)
             }
-            // What runs here takes the same time at any pace.
+            // The pace does not change how long the model's runs take.
             OrderBody::Pace { .. } => (done, None),
             OrderBody::Look {
                 lease_until_ms,
@@ -255,7 +260,7 @@
         self.is_leased = self.clock_ms(now_ms) < self.lease_until_ms;
     }
 
-    /// What it says of its runs.
+    /// The worker's report of its runs.
     pub fn report(&self, now_ms: u64) -> Report {
         let running = self.runs.keys().map(|run| Running {
             run: *run,
@@ -263,7 +268,7 @@
             percent: now_ms / 50 % 100,
             load: 0,
         });
-        let skipped = match self.planted {
+        let skipped = match self.protocol_fault {
             ProtocolFault::SkipsEnds => self.ended.len().saturating_sub(1),
             _ => 0,
         };
@@ -273,15 +278,15 @@
                 .ended
                 .iter()
                 .skip(skipped)
-                .map(|end| self.listed(end))
+                .map(|end| self.reported_end(end))
                 .collect(),
             more: false,
         }
     }
 
-    /// How it lists an end.
-    fn listed(&self, end: &Ended) -> Ended {
-        let kind = match (self.planted, end.kind) {
+    /// The end as the worker reports it, with its protocol fault applied.
+    fn reported_end(&self, end: &Ended) -> Ended {
+        let kind = match (self.protocol_fault, end.kind) {
             (ProtocolFault::HidesSuccess, EndKind::Done)
             | (ProtocolFault::HidesFailures, EndKind::Failed) => EndKind::Lapsed,
             (_, kind) => kind,
--- a/crates/bh-testkit/src/process.rs
+++ b/crates/bh-testkit/src/process.rs
@@ -1,6 +1,6 @@
-//! What the system says of a process.
+//! Resource usage of a process, read from `/proc`.
 
-/// Processor time it has used, in milliseconds.
+/// CPU time that the process has used, in milliseconds.
 pub fn cpu_ms(pid: u32) -> f64 {
     const TICKS_A_SECOND: f64 = 100.0;
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
@@ -19,7 +19,7 @@
     (ticks(11) + ticks(12)) / TICKS_A_SECOND * 1e3
 }
 
-/// Its resident memory, in mebibytes.
+/// Resident memory of the process, in mebibytes.
 pub fn resident_mib(pid: u32) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/statm")).unwrap_or_default();
     text.split(' ')
--- a/crates/bh-testkit/src/worker/faults.rs
+++ b/crates/bh-testkit/src/worker/faults.rs
@@ -1,28 +1,28 @@
-//! Faults that a stand-in worker can be ordered to have.
+//! Faults that a test can inject into a stand-in worker.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Faults in force.
+/// The faults that a worker currently has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Every short request and every started task fails.
+    /// All short requests and all started tasks fail.
     pub fails_everything: bool,
-    /// Refuses to hold accelerators.
+    /// The worker refuses to reserve accelerators for tasks.
     pub refuses_prepare: bool,
-    /// Refuses to start what it holds.
+    /// The worker refuses to start prepared tasks.
     pub refuses_start: bool,
     /// Short requests never get an answer.
     pub hangs: bool,
-    /// Answers to short requests stop in the middle.
+    /// Answers are cut off in the middle.
     pub truncates: bool,
-    /// Answers name another request.
+    /// Answers carry the id of another request.
     pub swaps_answers: bool,
     /// Short requests take this long, in milliseconds.
     pub delay_ms: u64,
-    /// Does not announce itself any more.
+    /// The worker stops announcing itself.
     pub silent: bool,
-    /// Announces that it is leaving.
+    /// The worker announces that it is leaving.
     pub leaving: bool,
 }
--- a/crates/bh-testkit/src/worker/mod.rs
+++ b/crates/bh-testkit/src/worker/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a worker: speaks the target protocol over HTTP, and takes faults to order.
+//! A stand-in worker: it speaks the target protocol over HTTP, and tests can inject faults into it.
 
 mod announce;
 mod faults;
--- a/crates/bh-testkit/src/worker/options.rs
+++ b/crates/bh-testkit/src/worker/options.rs
@@ -1,8 +1,8 @@
-//! What a stand-in worker is told at its start.
+//! Options of a stand-in worker.
 
 use std::net::SocketAddr;
 
-/// Name, place and size of a worker.
+/// Name, location and size of a worker.
 #[derive(Clone, Debug)]
 pub struct WorkerOptions {
     /// Name.
@@ -11,15 +11,15 @@
     pub data_centre: String,
     /// Rack.
     pub rack: String,
-    /// Entries it announces itself to, `IP:port`.
+    /// Entries that the worker announces itself to, as `IP:port`.
     pub entries: Vec<String>,
-    /// Accelerators.
+    /// Number of accelerators.
     pub accelerators: u32,
-    /// Slots for short requests.
+    /// Number of slots for short requests.
     pub slots: u32,
-    /// Where it listens; a free port when `None`.
+    /// Address that the worker listens on; a free port if `None`.
     pub listen: Option<SocketAddr>,
-    /// The address it announces; its own when `None`. A test puts a link there.
+    /// Address that the worker announces; its own if `None`. Tests announce a link in front of the worker.
     pub announced_address: Option<SocketAddr>,
 }
 
--- a/crates/bh-testkit/src/worker/serve.rs
+++ b/crates/bh-testkit/src/worker/serve.rs
@@ -1,4 +1,4 @@
-//! The worker's own loop, on a thread of its own.
+//! The stand-in worker: an event loop on its own thread.
 
 use super::announce::announce;
 use super::faults::Faults;
@@ -32,11 +32,11 @@
 use std::thread::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-const POLL_MS: u64 = 10;
+const POLL_INTERVAL_MS: u64 = 10;
 
 static NEXT_INCARNATION: AtomicU64 = AtomicU64::new(1);
 
-/// A running stand-in worker. It ends when dropped.
+/// A running stand-in worker. Dropping it stops the worker.
 pub struct Worker {
     address: SocketAddr,
     state: Arc<State>,
@@ -44,11 +44,11 @@
 }
 
 impl Worker {
-    /// Starts a worker on a free port.
+    /// Starts a worker on the address of its options, or on a free port.
     ///
     /// # Panics
     ///
-    /// When no port or thread can be had.
+    /// When the worker cannot listen or its event loop cannot start.
     pub fn start(options: WorkerOptions) -> Worker {
         let base = std::time::SystemTime::now()
             .duration_since(std::time::UNIX_EPOCH)
@@ -74,40 +74,40 @@
         }
     }
 
-    /// Where it takes work.
+    /// Address that the worker listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Orders faults.
+    /// Replaces the worker's faults.
     pub fn set_faults(&self, faults: Faults) {
-        *self.state.faults.lock().expect("no panic under the lock") = faults;
+        *self.state.faults.lock().expect("the lock is not poisoned") = faults;
     }
 
-    /// What it has stats.
+    /// Counts of what the worker has done.
     pub fn stats(&self) -> WorkerStats {
         self.state
             .stats
             .lock()
-            .expect("no panic under the lock")
+            .expect("the lock is not poisoned")
             .clone()
     }
 
-    /// Tasks that run now.
+    /// Tasks that are running now.
     pub fn running(&self) -> Vec<TaskKey> {
         self.state
             .tasks
             .lock()
-            .expect("no panic under the lock")
+            .expect("the lock is not poisoned")
             .running()
     }
 
-    /// Tasks that ever began to run, with the time on the worker's clock.
+    /// All tasks that have started, in the order of their start.
     pub fn started(&self) -> Vec<TaskKey> {
         self.state
             .tasks
             .lock()
-            .expect("no panic under the lock")
+            .expect("the lock is not poisoned")
             .started
             .iter()
             .map(|(key, _)| *key)
@@ -124,28 +124,30 @@
     }
 }
 
-async fn main(state: Arc<State>, address: mpsc::Sender<SocketAddr>) {
+async fn main(state: Arc<State>, address_sender: mpsc::Sender<SocketAddr>) {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let listener =
         TcpListener::bind(state.options.listen.unwrap_or(any)).expect("a free port for the worker");
-    let own = listener
+    let own_address = listener
         .local_addr()
         .expect("a bound listener has an address");
-    address.send(own).expect("the test waits for the address");
+    address_sender
+        .send(own_address)
+        .expect("the test waits for the address");
     let clock = Clock::new();
     let stop = CancellationToken::new();
     monoio::spawn(accept(state.clone(), listener, clock.clone(), stop.clone()));
-    monoio::spawn(announce(state.clone(), own, clock.clone()));
+    monoio::spawn(announce(state.clone(), own_address, clock.clone()));
     while !state.stop.load(Ordering::SeqCst) {
         state
             .tasks
             .lock()
-            .expect("no panic under the lock")
+            .expect("the lock is not poisoned")
             .advance(clock.now_ms());
-        sleep_ms(POLL_MS).await;
+        sleep_ms(POLL_INTERVAL_MS).await;
     }
     stop.cancel();
-    sleep_ms(POLL_MS).await;
+    sleep_ms(POLL_INTERVAL_MS).await;
 }
 
 async fn accept(state: Arc<State>, listener: TcpListener, clock: Clock, stop: CancellationToken) {
@@ -155,10 +157,10 @@
             let truncates = state
                 .faults
                 .lock()
-                .expect("no panic under the lock")
+                .expect("the lock is not poisoned")
                 .truncates;
             if truncates {
-                answer_half(stream).await;
+                send_truncated_answer(stream).await;
                 return;
             }
             let handler = |request| serve(state.clone(), clock.clone(), request);
@@ -167,8 +169,8 @@
     }
 }
 
-/// Promises more bytes than it sends, then closes.
-async fn answer_half(mut stream: TcpStream) {
+/// Sends fewer bytes than its `Content-Length` says, then closes the connection.
+async fn send_truncated_answer(mut stream: TcpStream) {
     use monoio::io::AsyncReadRent;
     let (_, _) = stream.read(vec![0; 16 << 10]).await;
     let text = "HTTP/1.1 200 OK\r\ncontent-length: 1000\r\nx-request-id: 1\r\n\r\nhalf of it";
@@ -177,11 +179,11 @@
 
 async fn serve(state: Arc<State>, clock: Clock, request: Request<Bytes>) -> Response<Bytes> {
     match request.uri().path() {
-        "/v1/run" => run(&state, request).await,
-        "/v1/tasks" => order(&state, &clock, &request),
+        "/v1/run" => serve_request(&state, request).await,
+        "/v1/tasks" => serve_order(&state, &clock, &request),
         "/faults" => {
             if let Ok(faults) = serde_json::from_slice(request.body()) {
-                *state.faults.lock().expect("no panic under the lock") = faults;
+                *state.faults.lock().expect("the lock is not poisoned") = faults;
             }
             Response::new(Bytes::new())
         }
@@ -193,12 +195,12 @@
     }
 }
 
-/// Counts a request as in progress while it lives.
+/// Counts a request as in progress until dropped.
 struct InProgress(Arc<State>);
 
 impl InProgress {
     fn new(state: &Arc<State>) -> Self {
-        let mut stats = state.stats.lock().expect("no panic under the lock");
+        let mut stats = state.stats.lock().expect("the lock is not poisoned");
         stats.in_progress += 1;
         stats.most_in_progress = stats.most_in_progress.max(stats.in_progress);
         drop(stats);
@@ -214,10 +216,10 @@
     }
 }
 
-async fn run(state: &Arc<State>, request: Request<Bytes>) -> Response<Bytes> {
+async fn serve_request(state: &Arc<State>, request: Request<Bytes>) -> Response<Bytes> {
     let _in_progress = InProgress::new(state);
-    let faults = *state.faults.lock().expect("no panic under the lock");
-    note_run(state, &request);
+    let faults = *state.faults.lock().expect("the lock is not poisoned");
+    count_run(state, &request);
     if faults.hangs {
         sleep_ms(3_600_000).await;
     }
@@ -242,8 +244,8 @@
     response
 }
 
-fn note_run(state: &State, request: &Request<Bytes>) {
-    let mut stats = state.stats.lock().expect("no panic under the lock");
+fn count_run(state: &State, request: &Request<Bytes>) {
+    let mut stats = state.stats.lock().expect("the lock is not poisoned");
     stats.runs += 1;
     let body = String::from_utf8_lossy(request.body())
         .chars()
@@ -259,9 +261,9 @@
     }
 }
 
-fn order(state: &State, clock: &Clock, request: &Request<Bytes>) -> Response<Bytes> {
+fn serve_order(state: &State, clock: &Clock, request: &Request<Bytes>) -> Response<Bytes> {
     use bh_protocol::target::TaskVerb;
-    let faults = *state.faults.lock().expect("no panic under the lock");
+    let faults = *state.faults.lock().expect("the lock is not poisoned");
     let result = match serde_json::from_slice::<TaskOrder>(request.body()) {
         Err(error) => Err(error.to_string()),
         Ok(order) if order.verb == TaskVerb::Prepare && faults.refuses_prepare => {
@@ -271,7 +273,7 @@
             Err("ordered to refuse".to_owned())
         }
         Ok(order) => {
-            let mut tasks = state.tasks.lock().expect("no panic under the lock");
+            let mut tasks = state.tasks.lock().expect("the lock is not poisoned");
             tasks.order(
                 clock.now_ms(),
                 &order,
@@ -287,7 +289,7 @@
         state
             .stats
             .lock()
-            .expect("no panic under the lock")
+            .expect("the lock is not poisoned")
             .stale_orders += 1;
     }
     let reply = TaskOrderReply {
--- a/crates/bh-testkit/src/worker/state.rs
+++ b/crates/bh-testkit/src/worker/state.rs
@@ -1,4 +1,4 @@
-//! What a stand-in worker holds and has stats.
+//! State and statistics of a stand-in worker.
 
 use super::faults::Faults;
 use super::options::WorkerOptions;
@@ -7,24 +7,24 @@
 use std::sync::Mutex;
 use std::sync::atomic::AtomicBool;
 
-/// What a worker has seen, for the checks of a test.
+/// Counts of what a worker has done, for the checks of a test.
 #[derive(Clone, Debug, Default)]
 pub struct WorkerStats {
-    /// Times each idempotency key was run.
+    /// How often each idempotency key was run.
     pub runs_by_key: BTreeMap<String, u64>,
-    /// Bodies of short requests that were run.
+    /// How often each body of a short request was run; only the first characters of a body count.
     pub runs_by_body: BTreeMap<String, u64>,
-    /// Short requests that were run.
+    /// Number of short requests that were run.
     pub runs: u64,
-    /// Short requests in progress.
+    /// Number of short requests in progress.
     pub in_progress: u32,
-    /// Most short requests in progress at a time.
+    /// Largest number of short requests that were in progress at the same time.
     pub most_in_progress: u32,
-    /// Orders that were refused because a newer attempt is known.
+    /// Number of orders refused because the worker knows a newer attempt of the job.
     pub stale_orders: u64,
 }
 
-/// State shared between the worker's loop and the test.
+/// State shared between the worker's event loop and the test.
 pub(super) struct State {
     pub options: WorkerOptions,
     pub faults: Mutex<Faults>,
--- a/crates/bh-testkit/src/worker/tasks.rs
+++ b/crates/bh-testkit/src/worker/tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks of a stand-in worker, under leases.
+//! Tasks of a stand-in worker, each with a lease.
 
 use bh_protocol::target::TaskKey;
 use bh_protocol::target::TaskOrder;
@@ -7,7 +7,7 @@
 use bh_protocol::target::TaskVerb;
 use std::collections::BTreeMap;
 
-/// Run time of a task whose payload names none, in milliseconds.
+/// Run time of a task whose payload gives none, in milliseconds.
 const DEFAULT_RUN_MS: u64 = 200;
 
 #[derive(Clone, Debug)]
@@ -19,27 +19,28 @@
     fails: bool,
 }
 
-/// All tasks by job, attempt and index.
+/// All tasks of the worker.
 #[derive(Clone, Debug, Default)]
 pub struct Tasks {
     tasks: BTreeMap<TaskKey, Task>,
-    newest: BTreeMap<u64, u64>,
+    /// Newest attempt known of each job; orders of older attempts are refused.
+    newest_epochs: BTreeMap<u64, u64>,
     lease_ms: u64,
-    /// Times at which a task began to run, for the checks of a test.
+    /// Started tasks with their start times on the worker's clock, for the checks of a test.
     pub started: Vec<(TaskKey, u64)>,
 }
 
 impl Tasks {
-    /// Accelerators held or in use.
+    /// Number of accelerators that prepared and running tasks hold.
     pub fn accelerators(&self) -> u32 {
         self.tasks
             .values()
-            .filter(|task| holds(task.phase))
+            .filter(|task| holds_accelerators(task.phase))
             .map(|task| task.accelerators)
             .sum()
     }
 
-    /// Tasks that run now.
+    /// Tasks that are running now.
     pub fn running(&self) -> Vec<TaskKey> {
         self.tasks
             .iter()
@@ -48,10 +49,10 @@
             .collect()
     }
 
-    /// Ends tasks whose time or lease is over.
+    /// Ends the tasks whose run time or lease has ended.
     pub fn advance(&mut self, now_ms: u64) {
         for task in self.tasks.values_mut() {
-            if holds(task.phase) && now_ms >= task.lease_until_ms {
+            if holds_accelerators(task.phase) && now_ms >= task.lease_until_ms {
                 task.phase = TaskPhase::Stopped;
             } else if task.phase == TaskPhase::Running && now_ms >= task.ends_ms {
                 task.phase = if task.fails {
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Carries an order out, or says why not.
+    /// Executes an order, or returns the reason for refusing it.
     pub fn order(
         &mut self,
         now_ms: u64,
@@ -72,18 +73,21 @@
         fails: bool,
     ) -> Result<(), String> {
         self.advance(now_ms);
-        let newest = self.newest.entry(order.job).or_insert(0);
-        if order.epoch < *newest {
-            return Err(format!("attempt {newest} is known"));
+        let newest_epoch = self.newest_epochs.entry(order.job).or_insert(0);
+        if order.epoch < *newest_epoch {
+            return Err(format!("attempt {newest_epoch} is known"));
         }
-        *newest = order.epoch;
+        *newest_epoch = order.epoch;
         self.lease_ms = order.lease_ms;
         match order.verb {
             TaskVerb::Prepare => self.prepare(now_ms, order, capacity),
             TaskVerb::Start => self.start(now_ms, order, fails),
             TaskVerb::Checkpoint | TaskVerb::Stop => {
                 for (key, task) in &mut self.tasks {
-                    if key.job == order.job && key.epoch <= order.epoch && holds(task.phase) {
+                    if key.job == order.job
+                        && key.epoch <= order.epoch
+                        && holds_accelerators(task.phase)
+                    {
                         task.phase = TaskPhase::Stopped;
                     }
                 }
@@ -149,8 +153,8 @@
         Ok(())
     }
 
-    /// Renews, stops and forgets what the leader's answer says.
-    pub fn answered(
+    /// Renews, stops and removes tasks as the leader's reply says.
+    pub fn apply_reply(
         &mut self,
         now_ms: u64,
         renewed: &[TaskKey],
@@ -159,12 +163,20 @@
     ) {
         let lease_ms = self.lease_ms;
         for key in renewed {
-            if let Some(task) = self.tasks.get_mut(key).filter(|task| holds(task.phase)) {
+            if let Some(task) = self
+                .tasks
+                .get_mut(key)
+                .filter(|task| holds_accelerators(task.phase))
+            {
                 task.lease_until_ms = now_ms + lease_ms;
             }
         }
         for key in stop {
-            if let Some(task) = self.tasks.get_mut(key).filter(|task| holds(task.phase)) {
+            if let Some(task) = self
+                .tasks
+                .get_mut(key)
+                .filter(|task| holds_accelerators(task.phase))
+            {
                 task.phase = TaskPhase::Stopped;
             }
         }
@@ -173,7 +185,7 @@
         }
     }
 
-    /// What the worker reports.
+    /// Reports of all tasks, for the worker's announcement.
     pub fn reports(&self) -> Vec<TaskReport> {
         self.tasks
             .iter()
@@ -187,11 +199,11 @@
     }
 }
 
-fn holds(phase: TaskPhase) -> bool {
+fn holds_accelerators(phase: TaskPhase) -> bool {
     matches!(phase, TaskPhase::Prepared | TaskPhase::Running)
 }
 
-/// Run time that the payload names as `run_ms=N`.
+/// The run time that the payload gives as `run_ms=N`.
 fn run_ms(payload: &str) -> u64 {
     payload
         .split_whitespace()
--- a/crates/bh-testkit/tests/history.rs
+++ b/crates/bh-testkit/tests/history.rs
@@ -1,4 +1,4 @@
-//! The checkers of histories are shown histories with a fault, and must find it.
+//! Tests that the checkers of histories accept a correct history and find the fault in each faulty one.
 
 use bh_testkit::history::ObservedChange;
 use bh_testkit::history::ObservedRead;
