--- a/crates/bh-node/src/node/state.rs
+++ b/crates/bh-node/src/node/state.rs
@@ -100,12 +100,14 @@
         let own = self.jobs.get(&self.config.own.data_centre);
         let has_leader_contact =
             own.is_some_and(|jobs| jobs.group.confirmed_ms(self.clock.now_ms()).is_some());
-        let is_leaderless = self
+        let serves_without_leader = self
             .leaderless_targets
             .borrow()
             .is_leaderless(self.clock.now_ms());
         let knows_settings = self.settings.has_caught_up();
-        (has_leader_contact || is_leaderless) && knows_settings && !self.draining.is_cancelled()
+        (has_leader_contact || serves_without_leader)
+            && knows_settings
+            && !self.draining.is_cancelled()
     }
 
     /// The group of this entry's own data centre.
