--- a/crates/beechhollow/tests/refusals.rs
+++ b/crates/beechhollow/tests/refusals.rs
@@ -87,7 +87,10 @@
         Some(104)
     );
     assert_eq!(
-        workers.iter().map(|worker| worker.seen().runs).sum::<u64>(),
+        workers
+            .iter()
+            .map(|worker| worker.stats().runs)
+            .sum::<u64>(),
         0
     );
 }
@@ -133,7 +136,7 @@
         support::BINARY,
         vec![bh_testkit::EntryOptions::new("a1", "a")],
     )
-    .with_extra("idle_connection_ms: 400\n");
+    .with_config_lines("idle_connection_ms: 400\n");
     cluster.start_all();
     cluster.wait_ready();
     let mut slow = TcpStream::connect(cluster.http("a1")).unwrap();
--- a/crates/beechhollow/tests/settings.rs
+++ b/crates/beechhollow/tests/settings.rs
@@ -8,8 +8,8 @@
 
 use bh_testkit::Cluster;
 use bh_testkit::cluster::ADMINISTRATOR_SHA256;
-use bh_testkit::history::ChangeSeen;
-use bh_testkit::history::ReadSeen;
+use bh_testkit::history::ObservedChange;
+use bh_testkit::history::ObservedRead;
 use bh_testkit::history::check_changes;
 use bh_testkit::history::check_reads;
 use std::sync::Mutex;
@@ -35,7 +35,7 @@
     number: usize,
     start: Instant,
     until: &AtomicBool,
-    seen: &Mutex<Vec<ChangeSeen>>,
+    seen: &Mutex<Vec<ObservedChange>>,
 ) {
     let mut count = 0;
     while !until.load(Ordering::SeqCst) {
@@ -54,7 +54,7 @@
                 Some(code) if answer.header("x-ran") == Some("no") => Some(Err(code)),
                 _ => None,
             };
-            let change = ChangeSeen {
+            let change = ObservedChange {
                 change_id: change_id.clone(),
                 base_revision,
                 sent,
@@ -71,12 +71,12 @@
     entry: &str,
     start: Instant,
     until: &AtomicBool,
-    seen: &Mutex<Vec<ReadSeen>>,
+    seen: &Mutex<Vec<ObservedRead>>,
 ) {
     while !until.load(Ordering::SeqCst) {
         let at = micros(start);
         if let Some(revision) = cluster.revision(entry) {
-            seen.lock().unwrap().push(ReadSeen {
+            seen.lock().unwrap().push(ObservedRead {
                 entry: entry.to_owned(),
                 at,
                 revision,
@@ -93,7 +93,7 @@
 fn racing_operators_under_faults() {
     let mut cluster = Cluster::new(BINARY, entries())
         .with_links()
-        .with_extra("snapshot_entries: 64\n");
+        .with_config_lines("snapshot_entries: 64\n");
     cluster.start_all();
     prepare(&cluster);
     let (start, until) = (Instant::now(), AtomicBool::new(false));
@@ -200,7 +200,7 @@
 /// a second VM is lost for good. What was accepted stays in force, and new changes are accepted by the two that remain.
 #[test]
 fn a_second_vm_lost_right_after_a_repair() {
-    let mut cluster = Cluster::new(BINARY, entries()).with_extra("snapshot_entries: 32\n");
+    let mut cluster = Cluster::new(BINARY, entries()).with_config_lines("snapshot_entries: 32\n");
     cluster.start_all();
     prepare(&cluster);
     for revision in 1..100 {
@@ -328,7 +328,7 @@
         .collect();
     let mut cluster = Cluster::new(BINARY, options)
         .with_links()
-        .with_extra("target_lease_ms: 1500\n");
+        .with_config_lines("target_lease_ms: 1500\n");
     cluster.start_all();
     prepare(&cluster);
     let start = |name: &str, centre: &str| {
--- a/crates/bh-testkit/src/worker/mod.rs
+++ b/crates/bh-testkit/src/worker/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a worker: speaks the target protocol over HTTP, and takes faults to order.
+//! A stand-in worker: it speaks the target protocol over HTTP, and tests can inject faults into it.
 
 mod announce;
 mod faults;
@@ -10,4 +10,4 @@
 pub use faults::Faults;
 pub use options::WorkerOptions;
 pub use serve::Worker;
-pub use state::Seen;
+pub use state::WorkerStats;
