--- a/crates/bh-control/src/calls/answer.rs
+++ b/crates/bh-control/src/calls/answer.rs
@@ -16,7 +16,8 @@
     State(JobState),
     /// Number of accepted jobs of a queue of which no task has started.
     Pending(usize),
-    /// The heartbeat was accepted.
+    /// The heartbeat arrived and need not be sent to another core. Its content may have been ignored: the worker has ended, a later heartbeat
+    /// came first, or the rules or the worker's record don't allow its pool.
     Heard {
         /// Address for the worker's next heartbeats: that of the core that talks to the worker.
         next_address: Option<SocketAddr>,
--- a/crates/bh-control/src/core/job_stall.rs
+++ b/crates/bh-control/src/core/job_stall.rs
@@ -14,7 +14,8 @@
     LessRoom,
 }
 
-/// A period in which a job is stalled: none of its tasks runs although there is free capacity.
+/// A period in which a job is stalled: none of its tasks runs although there is free capacity for it twice over and less than half of its
+/// pool is in use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobStall {
     /// The job.
--- a/crates/bh-control/src/core/runnable_tracker.rs
+++ b/crates/bh-control/src/core/runnable_tracker.rs
@@ -29,7 +29,7 @@
 /// State that is kept between the surveys of one leader.
 #[derive(Clone, Debug, Default)]
 pub struct RunnableTracker {
-    /// Since when each step has been runnable, on the leader's clock in milliseconds, and its number of results at that time.
+    /// Since when each step has been runnable, on the leader's clock in milliseconds, and the number of results of its job at that time.
     steps: BTreeMap<StepId, (u64, u64)>,
     stalls: BTreeMap<JobId, OngoingStall>,
     /// Number of runnable tasks by reason, as of the last survey.
--- a/crates/bh-control/src/core/worker_calls.rs
+++ b/crates/bh-control/src/core/worker_calls.rs
@@ -22,7 +22,7 @@
 const MAX_IDLE_PER_WORKER: usize = 4;
 
 /// Maximum percentage of the process's descriptors for idle connections to workers. A process without descriptors can neither call a worker
-/// nor write its log.
+/// nor write the replicated log to its disk.
 const MAX_IDLE_PERCENT: usize = 25;
 
 /// Maximum percentage of the process's descriptors for calls in progress.
--- a/crates/bh-router/src/health.rs
+++ b/crates/bh-router/src/health.rs
@@ -12,8 +12,8 @@
 /// Failures of attempts on one target.
 ///
 /// A target that fails requests at once is free at once, so it would get most requests. It is set aside, which means that
-/// it gets no requests for a while. A failure doesn't count if the same request type fails on other targets as well,
-/// because then the request is at fault.
+/// it gets no requests for a while. A failure that the target reported doesn't count if the same request type fails on other
+/// targets as well, because then the request is at fault. A broken or refused connection and a timeout always count.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TargetHealth {
     consecutive_failures: u32,
--- a/crates/bh-router/src/router.rs
+++ b/crates/bh-router/src/router.rs
@@ -16,12 +16,13 @@
 
 /// Upper limit of attempts of one request, including the first one.
 const MAX_ATTEMPTS: u32 = 3;
-/// Upper limit of queued requests, which bounds memory.
+/// Upper limit of queued requests, which bounds memory. Beyond it a new request is refused even if it could be answered
+/// before its deadline.
 const MAX_QUEUED: usize = 20_000;
 /// Shortest time that a caller is asked to wait before it sends a refused request again.
 const MIN_RETRY_AFTER_MS: u64 = 100;
-/// Longest time that a request waits while no entry has a usable target. It is enough for a change of owners or a first
-/// announcement. Waiting until the deadline would only delay the refusal.
+/// Longest time that a request waits while this entry owns no usable target and no other entry reports a free slot. It is
+/// enough for a change of owners or a first announcement. Waiting until the deadline would only delay the refusal.
 const NO_TARGET_WAIT_MS: u64 = 500;
 /// Shortest time for which an attempt is worthwhile.
 const MIN_ATTEMPT_MS: u64 = 1;
--- a/crates/bh-scheduler/src/health.rs
+++ b/crates/bh-scheduler/src/health.rs
@@ -12,8 +12,8 @@
 /// Failures of jobs on one worker.
 ///
 /// A worker on which every job fails at once is always free, so it would attract every job. After failures of several
-/// different jobs, the worker is set aside, which means that it gets no new jobs for a while. A job that fails on other
-/// workers too doesn't count against the worker.
+/// different jobs, the worker is set aside, which means that it gets no new jobs for a while. If a job fails on other workers
+/// too, so often that it ends as failed, its failures count against the job and no longer against the workers.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     failed_jobs: BTreeSet<u64>,
--- a/crates/bh-scheduler/src/scheduler/mod.rs
+++ b/crates/bh-scheduler/src/scheduler/mod.rs
@@ -260,7 +260,8 @@
             let id = match self.inventory.find(&place.worker) {
                 Some(id) => id,
                 None => {
-                    // The worker has not announced itself yet and is known by name only.
+                    // The worker has not announced itself yet. It is known by name only until it does. If its tasks are not
+                    // reported before `report_by_ms`, the job is queued again.
                     let unknown = Arc::from("");
                     let (id, _) =
                         self.inventory
