--- a/crates/bh-control/src/core/heartbeats.rs
+++ b/crates/bh-control/src/core/heartbeats.rs
@@ -16,15 +16,15 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Time for which heartbeats without changes are collected before they are sent to the leader, in milliseconds. It is a small part of the
-/// time after which a worker counts as silent, and combines some hundred heartbeats into one message.
+/// Time for which heartbeats without changes are collected before they are sent to the leader, in milliseconds. It is short compared with
+/// the time after which a worker counts as silent, and long enough to combine some hundred heartbeats of a large fleet into one message.
 const RELAY_INTERVAL_MS: u64 = 100;
 /// Time to wait for the leader's answer, in milliseconds. Heartbeats that did not reach the leader are not sent again, since newer ones
 /// follow.
 const RELAY_TIMEOUT_MS: u64 = 500;
 
 /// Handles a worker's heartbeat as the leader. Changes that affect what may run on the worker are recorded before the worker gets its
-/// answer: the next leader must not give work to a worker whose leaving was acknowledged.
+/// answer. Otherwise the next leader could give work to a worker whose announcement that it leaves was already answered.
 pub(super) async fn handle_heartbeat(core: &Rc<CoreNode>, heartbeat: WorkerHeartbeat) -> Answer {
     let id = heartbeat.info.id.clone();
     let heard = Answer::Heard {
@@ -118,10 +118,11 @@
         .or(core.config.control_address)
 }
 
-/// Accepts a heartbeat that changes nothing on behalf of the leader, to be relayed together with others. Returns `None` if the leader must
-/// handle it itself.
+/// Answers a heartbeat without changes on behalf of the leader, and keeps it to be relayed to the leader together with others. Returns
+/// `None` if the leader must handle it itself.
 ///
-/// A fleet of thousands of workers sends thousands of heartbeats a second, and nearly all of them only say that the worker is alive.
+/// A fleet of thousands of workers sends thousands of heartbeats a second, and nearly all of them only say that the worker is alive. So the
+/// leader gets them in batches.
 pub(super) fn accept_for_leader(
     core: &Rc<CoreNode>,
     heartbeat: &WorkerHeartbeat,
--- a/crates/bh-control/src/core/leader_loop.rs
+++ b/crates/bh-control/src/core/leader_loop.rs
@@ -37,9 +37,9 @@
 /// Time between removals of ended jobs past their retention time and of idle connections, in milliseconds.
 const CLEANUP_INTERVAL_MS: u64 = 10_000;
 
-/// Time without a leader, in milliseconds, after which a worker must be heard from before it gets work. A worker's capacity may change at
-/// any time, and what it last reported is trusted for about three heartbeats: one for the time since the last heartbeat, the rest for this
-/// time. Most outages of all cores are shorter.
+/// Longest time without a leader, in milliseconds, after which a new leader gives a worker work before it has heard from it. A worker's
+/// capacity may change at any time, so what it last reported is trusted for about three heartbeat intervals. Up to one of them may have
+/// passed between its last heartbeat and the loss of the leader, and this constant is the rest. Most outages of all cores are shorter.
 const MAX_TRUSTED_GAP_MS: u64 = 2_500;
 
 /// Runs the loop until the process ends.
@@ -159,8 +159,8 @@
     core.inbound.broadcast(&core.status());
 }
 
-/// How long there was no leader, in milliseconds. A core that was restarted together with all others derives it from the last time in the
-/// replicated state.
+/// How long there was no leader, in milliseconds. If this core has known no leader since its process started, as after a restart of all
+/// cores, the time is counted from when a leader last recorded something in the replicated state.
 fn leaderless_ms(core: &CoreNode, now_ms: u64, workload: &Workload) -> u64 {
     match core.last_led_ms.get() {
         Some(last_led_ms) => now_ms.saturating_sub(last_led_ms),
@@ -168,7 +168,8 @@
     }
 }
 
-/// Logs and times the moment when the last inherited run is confirmed or has ended.
+/// Checks whether every inherited run is confirmed or has ended. Once that is so, logs how long it took since the election, and adds the
+/// time to the metrics.
 fn check_inherited_runs(core: &Rc<CoreNode>, now_ms: u64) {
     let mut held = core.leadership.borrow_mut();
     let Some(leadership) = held.as_mut() else {
@@ -219,7 +220,7 @@
     let Some(term) = term else {
         return;
     };
-    /// Ended jobs are kept this much longer than promised, in milliseconds: the cores' wall clocks differ and may jump.
+    /// Ended jobs are kept for this much longer than the retention time, in milliseconds, since the cores' wall clocks differ and may jump.
     const CLOCK_MARGIN_MS: u64 = 60_000;
     let before_ms = core
         .wall_ms()
--- a/crates/bh-control/src/core/orders.rs
+++ b/crates/bh-control/src/core/orders.rs
@@ -22,10 +22,10 @@
 use http::StatusCode;
 use std::rc::Rc;
 
-/// Time between passes over all workers, in milliseconds.
+/// Time between passes over all workers, in milliseconds. The passes in between visit only the workers for which something has changed.
 const SWEEP_INTERVAL_MS: u64 = 100;
 
-/// Sends the orders that are due, and records the ends that are certain without an answer.
+/// Sends the orders that are due, and records the ends of runs that are certain without a worker's answer.
 pub(super) fn send_due_orders(core: &Rc<CoreNode>, now_ms: u64) {
     let record_events = core.group.machine.with_local(Workload::take_events);
     let mut held = core.leadership.borrow_mut();
@@ -71,7 +71,7 @@
             if repeated {
                 note_repeated(&core, &order, response.status());
             }
-            // A probe waits for a run to end; its duration says nothing about the worker.
+            // A worker may hold back its answer to a probe until a run ends, so the duration does not show how fast the worker is.
             if !matches!(order.body, OrderBody::Probe { .. }) {
                 let took_ms = core.clock.now_ms().saturating_sub(began_ms);
                 core.metrics.time_ms("order", took_ms);
@@ -118,7 +118,8 @@
     }
 }
 
-/// Logs and counts each later incarnation of a worker once, when it first answers in place of the recorded one.
+/// Logs and counts the restart of a worker under the same id, once for each restart: when the new incarnation first answers in place of
+/// the recorded one.
 fn log_restart(core: &CoreNode, order: &Order, started_ms: u64, dispatcher: &Dispatcher) {
     let target = dispatcher.view(&order.to.worker);
     let known = target.and_then(|target| target.restart.as_ref());
--- a/crates/bh-control/src/core/run_ends.rs
+++ b/crates/bh-control/src/core/run_ends.rs
@@ -1,4 +1,4 @@
-//! Log lines about runs that have ended, and about runs that the replicated state does not explain.
+//! Log lines about runs that have ended, and about workers' reports that contradict the replicated state.
 
 use super::core_node::CoreNode;
 use super::detection::Detection;
@@ -15,8 +15,8 @@
 use bh_workload::state::Workload;
 
 /// Logs each end that is about to be recorded: how it was detected, whether the run was still open in the replicated state, and the
-/// failures counted before it. The end of a run that is no longer open does not count as a failure, so without `open` a task that is
-/// restarted too often would look like any other.
+/// failures counted before it. The failure of a run that is no longer open does not count, except for a gang run that was recorded as lost.
+/// So a task may restart more often than its limit of failures allows, and only `open` shows the reason in the log.
 pub(super) fn log_run_ends(
     core: &CoreNode,
     term: u64,
@@ -42,7 +42,7 @@
     }
 }
 
-/// How an end was detected that is certain without a worker's answer.
+/// How the leader detected an end that is certain without a worker's answer.
 pub(super) fn detected_without_answer(dispatcher: &Dispatcher, end: &End) -> Detection {
     if end.kind == EndKind::NotStarted {
         return Detection::NeverSent;
@@ -56,7 +56,7 @@
     }
 }
 
-/// How an end was detected from a worker's answer.
+/// How the leader detected an end from a worker's answer to an order.
 pub(super) fn detected_by_answer(order: &Order, answer: &Answer, end: &End) -> Detection {
     match answer {
         Answer::OtherIncarnation => Detection::OtherIncarnation,
@@ -81,8 +81,8 @@
     Some((report.as_ref()?, workload.worker(&order.to.worker)?))
 }
 
-/// Logs each run that a worker reports although the replicated state does not have it there. It was started by an order that was considered
-/// not to have been carried out.
+/// Logs each run that a worker reports although the replicated state does not list it on this worker. The worker has carried out a start
+/// order that the leader had considered not carried out.
 pub(super) fn log_unrecorded(core: &CoreNode, order: &Order, answer: &Answer, workload: &Workload) {
     let Some((report, worker)) = reported(order, answer, workload) else {
         return;
@@ -107,8 +107,8 @@
         .map_or(0, |target| target.recorded_to)
 }
 
-/// Logs a warning for each reported end that is skipped because its number counts as recorded while its run is still open in the replicated
-/// state. The warning explains why a task restarts after its run has ended.
+/// Logs a warning for each reported end that the leader skips, because ends up to its number count as recorded, although its run is still
+/// open in the replicated state. The warning explains why the task is started again later although its run has ended.
 pub(super) fn log_skipped_ends(
     core: &CoreNode,
     order: &Order,
@@ -133,7 +133,7 @@
     }
 }
 
-/// Number of failures counted so far for a task, or for its gang.
+/// Number of failures counted so far for a task or for its step, whichever is higher. Those of a gang count for the step.
 pub(super) fn failures(workload: &Workload, task: TaskId) -> u32 {
     let of_task = workload.task(task).map_or(0, |task| task.failures);
     let step = workload
--- a/crates/bh-control/src/core/surveys.rs
+++ b/crates/bh-control/src/core/surveys.rs
@@ -7,9 +7,10 @@
 use bh_workload::plan::WaitReason;
 use std::rc::Rc;
 
-/// Minimum time between surveys, in milliseconds: short compared with the seconds after which a wait is worth reporting.
+/// Minimum time between surveys, in milliseconds. It is short compared with the time after which a stalled job is reported.
 const MIN_SURVEY_GAP_MS: u64 = 500;
-/// Time between surveys as a multiple of the duration of the last one: surveys take at most a fiftieth of the leader's processor time.
+/// Minimum time between surveys as a multiple of the duration of the last one, so that surveys take at most a fiftieth of the leader's
+/// processor time.
 const SURVEY_GAP_FACTOR: u64 = 50;
 
 /// Surveys the waiting work if a survey is due.
