--- a/crates/bh-router/src/router.rs
+++ b/crates/bh-router/src/router.rs
@@ -16,8 +16,7 @@
 
 /// Upper limit of attempts of one request, including the first one.
 const MAX_ATTEMPTS: u32 = 3;
-/// Upper limit of queued requests, which bounds memory. Beyond it a new request is refused even if it could be answered
-/// before its deadline.
+/// Upper limit of queued requests, which bounds memory. Beyond it a new request is refused even if it could be answered in time.
 const MAX_QUEUED: usize = 20_000;
 /// Shortest time that a caller is asked to wait before it sends a refused request again.
 const MIN_RETRY_AFTER_MS: u64 = 100;
