--- a/crates/bh-control/src/core/answer_call.rs
+++ b/crates/bh-control/src/core/answer_call.rs
@@ -2,8 +2,8 @@
 
 use super::core_node::CoreNode;
 use super::departures::log_departures;
-use super::heartbeats::hear;
-use super::learnt::Learnt;
+use super::detection::Detection;
+use super::heartbeats::handle_heartbeat;
 use super::records::propose;
 use crate::calls::Answer;
 use crate::calls::Call;
@@ -20,13 +20,14 @@
 use bh_workload::state::Workload;
 use std::rc::Rc;
 
-/// Wait until a read is known to be of the newest state, in milliseconds: one round between the cores, with room for a slow one.
-const READ_MS: u64 = 1_000;
+/// Time to wait until a read is confirmed to see the latest state, in milliseconds: one round trip between the cores, with margin for a
+/// slow one.
+const READ_TIMEOUT_MS: u64 = 1_000;
 
-/// Answers `call`, or says that this core does not lead.
+/// Answers `call`, or returns [`Answer::NotLeader`] if this core does not lead.
 ///
-/// Every call is decided here, on the newest applied rules, and never by an entry: no process can act on an older version after
-/// another has shown a newer one.
+/// Every call is decided here, on the latest applied rules, and never by an entry. So no process can act on an older version of the rules
+/// after another one has shown a newer one.
 pub async fn answer_call(core: &Rc<CoreNode>, call: Call) -> Answer {
     if core.leadership.borrow().is_none() || !core.group.is_leader() {
         return Answer::NotLeader;
@@ -46,7 +47,7 @@
         Call::Submit {
             place,
             spec: Err(problem),
-        } => match newest(core).await {
+        } => match confirm_state(core).await {
             Err(answer) => answer,
             Ok(()) => match core.group.machine.read().find(&place) {
                 Ok(_) => Answer::Refused(Refusal::BadJob(problem)),
@@ -54,11 +55,11 @@
             },
         },
         Call::Cancel { place } => change(core, Command::Cancel { place, now_ms: 0 }).await,
-        Call::Read { place } => match newest(core).await {
+        Call::Read { place } => match confirm_state(core).await {
             Err(answer) => answer,
-            Ok(()) => read(core, &place),
+            Ok(()) => read_state(core, &place),
         },
-        Call::Heartbeat(heartbeat) => hear(core, heartbeat).await,
+        Call::Heartbeat(heartbeat) => handle_heartbeat(core, heartbeat).await,
         Call::Leave { worker } => leave(core, &worker).await,
         Call::SetRules(Ok(rules)) => change(core, Command::SetRules(rules)).await,
         Call::SetRules(Err(problem)) => Answer::Refused(Refusal::BadRules(problem)),
@@ -79,16 +80,16 @@
             };
             change_data_centre(core, &data_centre, command).await
         }
-        Call::GetWave { id } => match newest(core).await {
+        Call::GetWave { id } => match confirm_state(core).await {
             Err(answer) => answer,
             Ok(()) => match core.group.machine.read().wave(id) {
                 Some(wave) => Answer::Wave {
-                    is_over: wave.is_over(),
+                    is_over: wave.has_ended(),
                 },
                 None => Answer::Refused(Refusal::NoWave),
             },
         },
-        Call::GetRules => match newest(core).await {
+        Call::GetRules => match confirm_state(core).await {
             Err(answer) => answer,
             Ok(()) => match &core.group.machine.read().rules {
                 Some(rules) => Answer::Rules(rules.document.clone()),
@@ -98,7 +99,8 @@
     }
 }
 
-/// A worker says that it ends now. It is gone when that is certain, and asked until then; no leader gives it anything more.
+/// Handles a worker's announcement that it ends now. The worker is removed once it is certain that it has ended, and asked until then; no
+/// leader gives it new work.
 async fn leave(core: &Rc<CoreNode>, worker: &Incarnation) -> Answer {
     let term = core.group.status().term;
     let now_ms = core.clock.now_ms();
@@ -112,14 +114,16 @@
             leadership.dispatcher.check_incarnations(worker, &workload);
             return Answer::Done;
         };
-        let gone = leadership.dispatcher.note_left(now_ms, &worker, &workload);
+        let gone = leadership
+            .dispatcher
+            .note_announced_end(now_ms, &worker, &workload);
         (worker, gone)
     };
     if let Some(gone) = gone {
-        log_departures(core, term, &gone, Learnt::Leave);
+        log_departures(core, term, &gone, Detection::Leave);
         return change(core, gone).await;
     }
-    log::info!(worker = worker.to_string(), term; "worker ends with runs");
+    log::info!(worker = worker.to_string(), term; "worker leaves with open runs");
     change(
         core,
         Command::Workers(vec![WorkerChange::Draining(worker.clone())]),
@@ -141,8 +145,8 @@
     leaving.map(|leaving| leaving.info.id.clone())
 }
 
-/// Records a change of a data centre, if there is such a one. A name that the file of this core does not list is known by the workers that came
-/// from there; where the file lists none, every name may come to be known.
+/// Records a change of a data centre if the data centre exists. A name that this core's config does not list is known if workers have come
+/// from there; if the config lists none, every name is accepted.
 async fn change_data_centre(core: &Rc<CoreNode>, name: &str, command: Command) -> Answer {
     let listed = &core.config.data_centres;
     let is_known = listed.is_empty()
@@ -160,7 +164,7 @@
     }
 }
 
-/// Without rules nothing can be said of a queue; it may exist a moment later.
+/// Without rules nothing is known about queues; the queue may exist a moment later, so the call can be retried.
 fn refused(refusal: Refusal) -> Answer {
     match refusal {
         Refusal::NoRules => unavailable(),
@@ -168,9 +172,9 @@
     }
 }
 
-async fn newest(core: &Rc<CoreNode>) -> Result<(), Answer> {
+async fn confirm_state(core: &Rc<CoreNode>) -> Result<(), Answer> {
     core.group
-        .read(READ_MS)
+        .read(READ_TIMEOUT_MS)
         .await
         .map_err(|_| Answer::NotLeader)
 }
@@ -192,7 +196,7 @@
     }
 }
 
-fn read(core: &Rc<CoreNode>, place: &Place) -> Answer {
+fn read_state(core: &Rc<CoreNode>, place: &Place) -> Answer {
     let workload = core.group.machine.read();
     let found = match workload.find(place) {
         Ok(found) => found,
--- a/crates/bh-control/src/core/departures.rs
+++ b/crates/bh-control/src/core/departures.rs
@@ -1,7 +1,7 @@
-//! What is told of workers that are gone, and of what ran on them.
+//! Log lines about workers that are gone and the runs on them.
 
 use super::core_node::CoreNode;
-use super::learnt::Learnt;
+use super::detection::Detection;
 use bh_protocol::Incarnation;
 use bh_workload::job::JobId;
 use bh_workload::state::Command;
@@ -13,14 +13,19 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// One line for each worker that `command` says to be gone, and for each run that is lost with it or may be the cause. The ends of runs on
-/// a worker that left are not recorded one by one, so without these lines nothing would tell why their tasks begin anew.
-pub(super) fn log_departures(core: &Rc<CoreNode>, term: u64, command: &Command, learnt: Learnt) {
+/// Logs each worker that `command` removes, and each run that is lost with it or may have crashed it. The ends of runs on a worker that
+/// left are not recorded one by one, so without these lines nothing would explain why their tasks restart.
+pub(super) fn log_departures(
+    core: &Rc<CoreNode>,
+    term: u64,
+    command: &Command,
+    detection: Detection,
+) {
     match command {
         Command::Workers(changes) => {
             for change in changes {
                 if let WorkerChange::Gone(worker) = change {
-                    log_departure(core, term, worker, learnt);
+                    log_departure(core, term, worker, detection);
                     log_lost_runs(core, term, worker);
                 }
             }
@@ -30,21 +35,21 @@
             ..
         } => {
             core.metrics.count("workers_crashed", 1);
-            log_departure(core, term, worker, learnt);
+            log_departure(core, term, worker, detection);
             log_suspects(core, term, worker, suspects);
         }
         _ => {}
     }
 }
 
-fn log_departure(core: &Rc<CoreNode>, term: u64, id: &Incarnation, learnt: Learnt) {
+fn log_departure(core: &Rc<CoreNode>, term: u64, id: &Incarnation, detection: Detection) {
     let workload = core.group.machine.read();
     let Some(worker) = workload.worker(id) else {
         return;
     };
     let (runs, draining) = (worker.runs.len(), worker.draining);
     core.metrics.count("workers_gone", 1);
-    log::info!(worker = id.to_string(), term, learnt:? = learnt, draining, runs; "worker gone");
+    log::info!(worker = id.to_string(), term, learnt:? = detection, draining, runs; "worker gone");
 }
 
 fn log_lost_runs(core: &Rc<CoreNode>, term: u64, id: &Incarnation) {
@@ -59,7 +64,7 @@
     }
 }
 
-/// What speaks against each run that may have crashed the worker, with the crashes counted before this one.
+/// Logs the evidence against each run that may have crashed the worker, with the number of crashes counted before this one.
 fn log_suspects(core: &Rc<CoreNode>, term: u64, worker: &Incarnation, suspects: &[Suspect]) {
     let workload = core.group.machine.read();
     for Suspect { run, evidence } in suspects {
@@ -68,7 +73,7 @@
     }
 }
 
-/// One line for each job that was given up since a worker crashed under these runs.
+/// Logs each job that was given up because a worker crashed while running one of these runs.
 pub(super) fn log_given_up(core: &Rc<CoreNode>, suspects: &[Suspect]) {
     let workload = core.group.machine.read();
     let jobs: BTreeSet<JobId> = suspects.iter().map(|s| s.run.task.step.job).collect();
--- a/crates/bh-control/src/core/heartbeats.rs
+++ b/crates/bh-control/src/core/heartbeats.rs
@@ -1,14 +1,14 @@
 //! Heartbeats of workers.
 
 use super::core_node::CoreNode;
-use super::sign::Sign;
+use super::received_heartbeat::ReceivedHeartbeat;
 use crate::calls::Answer;
 use crate::calls::WorkerHeartbeat;
 use bh_net::runtime::sleep_ms;
 use bh_protocol::Incarnation;
+use bh_protocol::wire::RelayedHeartbeat;
+use bh_protocol::wire::RelayedHeartbeats;
 use bh_protocol::wire::RpcKind;
-use bh_protocol::wire::SignOfLife;
-use bh_protocol::wire::SignsOfLife;
 use bh_workload::state::Command;
 use bh_workload::state::WorkerChange;
 use bh_workload::state::WorkerInfo;
@@ -16,15 +16,16 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Time for which heartbeats that change nothing are gathered before the leader hears of them, in milliseconds. It is a small part of
-/// the time after which a worker counts as silent, and makes one message of some hundred.
-const GATHER_MS: u64 = 100;
-/// Wait for the leader to take them, in milliseconds. Those that it did not take are followed by the workers' next ones.
-const TELL_MS: u64 = 500;
+/// Time for which heartbeats without changes are collected before they are sent to the leader, in milliseconds. It is a small part of the
+/// time after which a worker counts as silent, and combines some hundred heartbeats into one message.
+const RELAY_INTERVAL_MS: u64 = 100;
+/// Time to wait for the leader's answer, in milliseconds. Heartbeats that did not reach the leader are not sent again, since newer ones
+/// follow.
+const RELAY_TIMEOUT_MS: u64 = 500;
 
-/// Takes a worker's heartbeat as the leader. What changes what may run there is recorded before the worker is answered: whoever leads
-/// next must not give work to a worker whose leaving was acknowledged.
-pub(super) async fn hear(core: &Rc<CoreNode>, heartbeat: WorkerHeartbeat) -> Answer {
+/// Handles a worker's heartbeat as the leader. Changes that affect what may run on the worker are recorded before the worker gets its
+/// answer: the next leader must not give work to a worker whose leaving was acknowledged.
+pub(super) async fn handle_heartbeat(core: &Rc<CoreNode>, heartbeat: WorkerHeartbeat) -> Answer {
     let id = heartbeat.info.id.clone();
     let heard = Answer::Heard {
         next_address: next_address(core, &heartbeat.info),
@@ -35,12 +36,12 @@
         return heard;
     }
     let now_ms = core.clock.now_ms();
-    match note(core, &id, &Sign::new(&heartbeat, now_ms)) {
+    match note_heartbeat(core, &id, &ReceivedHeartbeat::new(&heartbeat, now_ms)) {
         None => return Answer::NotLeader,
         Some(false) => return heard,
         Some(true) => {}
     }
-    let changes = changes(core, &heartbeat);
+    let changes = worker_changes(core, &heartbeat);
     if changes.is_empty() {
         return heard;
     }
@@ -53,46 +54,55 @@
     }
 }
 
-/// Notes a sign of life; returns whether it is the newest of a worker that has not ended, or `None` when this core does not lead.
-fn note(core: &Rc<CoreNode>, worker: &Incarnation, sign: &Sign) -> Option<bool> {
+/// Passes a heartbeat to the dispatcher. Returns whether it is the newest one of a worker that has not ended, or `None` if this core does
+/// not lead.
+fn note_heartbeat(
+    core: &Rc<CoreNode>,
+    worker: &Incarnation,
+    heartbeat: &ReceivedHeartbeat,
+) -> Option<bool> {
     let mut held = core.leadership.borrow_mut();
     let leadership = held.as_mut()?;
-    let newest = leadership.sequences.entry(worker.clone()).or_default();
-    let held_up = sign.sequence < *newest;
-    if held_up {
+    let newest = leadership
+        .heartbeat_sequences
+        .entry(worker.clone())
+        .or_default();
+    let out_of_order = heartbeat.sequence < *newest;
+    if out_of_order {
         core.metrics.count("heartbeats_out_of_order", 1);
-        log::info!(worker = worker.to_string(), sequence = sign.sequence, newest = *newest, clock_ms = sign.clock_ms.unwrap_or(0); "heartbeat out of order: its sequence number is lower than the highest one received");
+        log::info!(worker = worker.to_string(), sequence = heartbeat.sequence, newest = *newest, clock_ms = heartbeat.clock_ms.unwrap_or(0); "heartbeat out of order: its sequence number is lower than the highest one received");
     }
-    *newest = (*newest).max(sign.sequence);
+    *newest = (*newest).max(heartbeat.sequence);
     let answered = leadership.dispatcher.answers(worker);
-    let alive = leadership
-        .dispatcher
-        .note_heartbeat(sign.heard_ms, worker, sign.clock_ms);
-    if alive && !held_up {
+    let alive =
+        leadership
+            .dispatcher
+            .note_heartbeat(heartbeat.received_ms, worker, heartbeat.clock_ms);
+    if alive && !out_of_order {
         let dispatcher = &mut leadership.dispatcher;
-        dispatcher.note_cold(sign.heard_ms, worker, sign.cold_ms);
-        if let Some(leaves_in_ms) = sign.leaves_in_ms {
-            dispatcher.note_leaving(sign.heard_ms, worker, leaves_in_ms);
+        dispatcher.note_cold(heartbeat.received_ms, worker, heartbeat.cold_ms);
+        if let Some(leaves_in_ms) = heartbeat.leaves_in_ms {
+            dispatcher.note_leaving(heartbeat.received_ms, worker, leaves_in_ms);
         }
     }
     leadership.plan_due |= !answered && leadership.dispatcher.answers(worker);
-    Some(alive && !held_up)
+    Some(alive && !out_of_order)
 }
 
-fn changes(core: &Rc<CoreNode>, heartbeat: &WorkerHeartbeat) -> Vec<WorkerChange> {
+fn worker_changes(core: &Rc<CoreNode>, heartbeat: &WorkerHeartbeat) -> Vec<WorkerChange> {
     let id: &Incarnation = &heartbeat.info.id;
     let workload = core.group.machine.read();
     let known = workload.worker(id);
     let mut changes = Vec::new();
-    // A core of an older version hands heartbeats on without the number in the info.
+    // Cores of an older version forward heartbeats without the sequence number in the info.
     let info = WorkerInfo {
         sequence: heartbeat.sequence,
         ..heartbeat.info.clone()
     };
-    let is_news = known.is_none_or(|worker| {
-        info.sequence >= worker.info.sequence && !worker.info.says_the_same(&info)
+    let is_changed = known.is_none_or(|worker| {
+        info.sequence >= worker.info.sequence && !worker.info.equals_ignoring_sequence(&info)
     });
-    if is_news {
+    if is_changed {
         changes.push(WorkerChange::Known(info));
     }
     if heartbeat.draining && known.is_none_or(|worker| !worker.draining) {
@@ -101,81 +111,89 @@
     changes
 }
 
-/// Where a worker's next heartbeats go: to the core that talks to it.
+/// Address for the worker's next heartbeats: that of the core that talks to the worker.
 fn next_address(core: &Rc<CoreNode>, worker: &WorkerInfo) -> Option<SocketAddr> {
     core.carrier_of(worker)
         .and_then(|carrier| carrier.control_address)
         .or(core.config.control_address)
 }
 
-/// Takes a heartbeat that changes nothing for the leader, which is told of many at a time; `None` when the leader must see it itself.
+/// Accepts a heartbeat that changes nothing on behalf of the leader, to be relayed together with others. Returns `None` if the leader must
+/// handle it itself.
 ///
-/// A fleet of thousands of workers sends thousands of heartbeats a second, nearly all of which say nothing but that the worker is there.
-pub(super) fn hear_for_leader(core: &Rc<CoreNode>, heartbeat: &WorkerHeartbeat) -> Option<Answer> {
-    let changed = !changes(core, heartbeat).is_empty();
+/// A fleet of thousands of workers sends thousands of heartbeats a second, and nearly all of them only say that the worker is alive.
+pub(super) fn accept_for_leader(
+    core: &Rc<CoreNode>,
+    heartbeat: &WorkerHeartbeat,
+) -> Option<Answer> {
+    let changed = !worker_changes(core, heartbeat).is_empty();
     if changed || !core.shares_workers() || core.mesh.fresh_leader().is_none() {
         return None;
     }
-    let sign = Sign::new(heartbeat, core.clock.now_ms());
+    let received = ReceivedHeartbeat::new(heartbeat, core.clock.now_ms());
     let worker = heartbeat.info.id.clone();
-    core.signs.borrow_mut().insert(worker, sign);
+    core.heartbeats_to_relay
+        .borrow_mut()
+        .insert(worker, received);
     Some(Answer::Heard {
         next_address: next_address(core, &heartbeat.info),
     })
 }
 
-/// Tells the leader of the heartbeats that came here, until the process ends.
-pub(super) async fn tell_leader(core: Rc<CoreNode>) {
+/// Relays the heartbeats received by this core to the leader, until the process ends.
+pub(super) async fn relay_to_leader(core: Rc<CoreNode>) {
     loop {
-        sleep_ms(GATHER_MS).await;
-        let signs = std::mem::take(&mut *core.signs.borrow_mut());
-        let Some(leader) = core.mesh.fresh_leader().filter(|_| !signs.is_empty()) else {
+        sleep_ms(RELAY_INTERVAL_MS).await;
+        let heartbeats = std::mem::take(&mut *core.heartbeats_to_relay.borrow_mut());
+        let Some(leader) = core.mesh.fresh_leader().filter(|_| !heartbeats.is_empty()) else {
             continue;
         };
         let now_ms = core.clock.now_ms();
-        let signs = signs.into_iter().map(|(worker, sign)| SignOfLife {
-            worker: worker.to_string(),
-            clock_ms: sign.clock_ms,
-            sequence: sign.sequence,
-            age_ms: now_ms.saturating_sub(sign.heard_ms),
-            cold_ms: sign.cold_ms,
-            leaves_in_ms: sign.leaves_in_ms,
-        });
-        let body = SignsOfLife {
-            signs: signs.collect(),
+        let heartbeats = heartbeats
+            .into_iter()
+            .map(|(worker, heartbeat)| RelayedHeartbeat {
+                worker: worker.to_string(),
+                clock_ms: heartbeat.clock_ms,
+                sequence: heartbeat.sequence,
+                age_ms: now_ms.saturating_sub(heartbeat.received_ms),
+                cold_ms: heartbeat.cold_ms,
+                leaves_in_ms: heartbeat.leaves_in_ms,
+            });
+        let body = RelayedHeartbeats {
+            signs: heartbeats.collect(),
         };
-        let told = leader.call(RpcKind::Signs, body.encode_to_vec(), TELL_MS);
-        if told.await.is_err() {
+        let sent = leader.call(RpcKind::Signs, body.encode_to_vec(), RELAY_TIMEOUT_MS);
+        if sent.await.is_err() {
             core.metrics.count("signs_untold", 1);
         }
     }
 }
 
-/// Takes the heartbeats that came to another core.
-pub(super) fn hear_signs(core: &Rc<CoreNode>, body: &[u8]) {
-    let signs = match SignsOfLife::decode(body) {
+/// Handles heartbeats that another core received and relayed.
+pub(super) fn handle_relayed(core: &Rc<CoreNode>, body: &[u8]) {
+    let heartbeats = match RelayedHeartbeats::decode(body) {
         Ok(signs) => signs.signs,
         Err(error) => {
-            log::warn!("signs of life that cannot be read: {error}");
+            log::warn!("relayed heartbeats cannot be decoded: {error}");
             return;
         }
     };
     let now_ms = core.clock.now_ms();
-    for told in signs {
-        let Some(worker) = Incarnation::parse(&told.worker) else {
+    for relayed in heartbeats {
+        let Some(worker) = Incarnation::parse(&relayed.worker) else {
             continue;
         };
         let known = core.group.machine.read().worker(&worker).is_some();
         if known {
-            let sign = Sign {
-                clock_ms: told.clock_ms,
-                sequence: told.sequence,
-                heard_ms: now_ms.saturating_sub(told.age_ms),
-                cold_ms: told.cold_ms,
-                leaves_in_ms: told.leaves_in_ms,
+            let heartbeat = ReceivedHeartbeat {
+                clock_ms: relayed.clock_ms,
+                sequence: relayed.sequence,
+                received_ms: now_ms.saturating_sub(relayed.age_ms),
+                cold_ms: relayed.cold_ms,
+                leaves_in_ms: relayed.leaves_in_ms,
             };
-            // The next one of a core that no longer leads goes to another.
-            let _ = note(core, &worker, &sign);
+            // If this core no longer leads, the worker's next heartbeat goes to the new leader.
+            let _ = note_heartbeat(core, &worker, &heartbeat);
         }
     }
 }
--- a/crates/bh-control/src/core/incoming.rs
+++ b/crates/bh-control/src/core/incoming.rs
@@ -1,4 +1,4 @@
-//! Calls that come to a core: over links from other processes, and over HTTP from workers and operators.
+//! Incoming calls of a core: over links from other processes, and over HTTP from workers and operators.
 
 use super::answer_call::answer_call;
 use super::carry;
@@ -7,7 +7,7 @@
 use crate::calls::Answer;
 use crate::calls::Call;
 use crate::calls::forward;
-use crate::mesh::Service;
+use crate::mesh::LinkHandler;
 use crate::server;
 use bh_group::Formation;
 use bh_protocol::wire::RpcKind;
@@ -17,14 +17,13 @@
 use http::Response;
 use std::rc::Rc;
 
-/// Longest time that a call is worked on when its sender does not say how long it waits, in milliseconds; workers and operators turn to
-/// another core after a second.
-const DEFAULT_PATIENCE_MS: u64 = 900;
+/// Timeout of a call whose sender does not give one, in milliseconds. Workers and operators try another core after a second.
+const DEFAULT_TIMEOUT_MS: u64 = 900;
 
-/// What this core does with what comes over links.
-pub(super) fn service(core: &Rc<CoreNode>) -> Service {
+/// Creates the handlers for messages that arrive over links.
+pub(super) fn link_handler(core: &Rc<CoreNode>) -> LinkHandler {
     let (delivering, answering, telling) = (core.clone(), core.clone(), core.clone());
-    Service {
+    LinkHandler {
         deliver: Box::new(move |message| delivering.group.deliver(message)),
         answer: Box::new(move |request| Box::pin(serve_rpc(answering.clone(), request))),
         status: Box::new(move || telling.status()),
@@ -40,11 +39,11 @@
         return carry::carry(&core, &request.body).await;
     }
     if request.kind == i32::from(RpcKind::Signs) {
-        heartbeats::hear_signs(&core, &request.body);
+        heartbeats::handle_relayed(&core, &request.body);
         return Vec::new();
     }
     let answer = match serde_json::from_slice::<Call>(&request.body) {
-        Ok(call) => counted(&core, answer_call(&core, call)).await,
+        Ok(call) => count_in_progress(&core, answer_call(&core, call)).await,
         Err(error) => {
             log::warn!("a call between processes cannot be read: {error}");
             Answer::Unknown
@@ -53,54 +52,56 @@
     serde_json::to_vec(&answer).unwrap_or_default()
 }
 
-/// Counts a call as in progress, so that a graceful end waits for it.
-async fn counted<T>(core: &Rc<CoreNode>, work: impl Future<Output = T>) -> T {
+/// Counts a call as in progress while `work` runs, so that a graceful shutdown waits for it.
+async fn count_in_progress<T>(core: &Rc<CoreNode>, work: impl Future<Output = T>) -> T {
     core.in_progress.set(core.in_progress.get() + 1);
     let result = work.await;
     core.in_progress.set(core.in_progress.get() - 1);
     result
 }
 
-/// A call of a worker or operator: answered here when this core leads, else handed on.
+/// Handles a call of a worker or an operator: answers it if this core leads, and forwards it otherwise.
 pub(super) async fn handle(core: Rc<CoreNode>, request: Request<Bytes>) -> Response<Bytes> {
     let received = match (core.dialect.read_control)(&request) {
         Ok(received) => received,
         Err(status) => {
             core.metrics.count("calls_unreadable", 1);
-            log::info!(path = request.uri().path(), status = status.as_u16(); "call not read");
+            log::info!(path = request.uri().path(), status = status.as_u16(); "call not parsed");
             return server::status(status);
         }
     };
-    let patience_ms = received.patience_ms.unwrap_or(DEFAULT_PATIENCE_MS);
-    let came_ms = core.clock.now_ms();
-    let answer = decide(&core, &received.call, patience_ms).await;
+    let timeout_ms = received.timeout_ms.unwrap_or(DEFAULT_TIMEOUT_MS);
+    let received_ms = core.clock.now_ms();
+    let answer = decide(&core, &received.call, timeout_ms).await;
     if let Call::Heartbeat(heartbeat) = &received.call {
-        core.unheard.borrow_mut().note(came_ms, heartbeat, &answer);
+        core.undelivered_heartbeats
+            .borrow_mut()
+            .note(received_ms, heartbeat, &answer);
     }
     (core.dialect.write_answer)(&received.call, &answer)
 }
 
-/// What is decided of a call, here when this core leads, else by the leader, within `patience_ms`.
-pub(super) async fn decide(core: &Rc<CoreNode>, call: &Call, patience_ms: u64) -> Answer {
+/// Has a call decided by this core if it leads, or else by the leader, within `timeout_ms`.
+pub(super) async fn decide(core: &Rc<CoreNode>, call: &Call, timeout_ms: u64) -> Answer {
     let decided = async {
         match answer_call(core, call.clone()).await {
-            Answer::NotLeader => as_follower(core, call, patience_ms).await,
+            Answer::NotLeader => handle_as_follower(core, call, timeout_ms).await,
             answer => answer,
         }
     };
-    let answer = counted(core, decided).await;
+    let answer = count_in_progress(core, decided).await;
     log_control(call, &answer);
     answer
 }
 
-/// A call that came to a core that does not lead.
-async fn as_follower(core: &Rc<CoreNode>, call: &Call, patience_ms: u64) -> Answer {
+/// Handles a call while this core does not lead.
+async fn handle_as_follower(core: &Rc<CoreNode>, call: &Call, timeout_ms: u64) -> Answer {
     if let Call::Heartbeat(heartbeat) = call
-        && let Some(answer) = heartbeats::hear_for_leader(core, heartbeat)
+        && let Some(answer) = heartbeats::accept_for_leader(core, heartbeat)
     {
         return answer;
     }
-    forward(&core.mesh, call, patience_ms).await
+    forward(&core.mesh, call, timeout_ms).await
 }
 
 fn log_control(call: &Call, answer: &Answer) {
@@ -121,7 +122,7 @@
             log::info!(worker = worker.to_string(), answer:? = answer; "worker leaves");
         }
         Call::Heartbeat(heartbeat) if !matches!(answer, Answer::Heard { .. }) => {
-            log::info!(worker = heartbeat.info.id.to_string(), answer:? = answer; "heartbeat not taken");
+            log::info!(worker = heartbeat.info.id.to_string(), answer:? = answer; "heartbeat not accepted");
         }
         _ => {}
     }
--- a/crates/bh-control/src/core/inherited.rs
+++ b/crates/bh-control/src/core/inherited_runs.rs
@@ -1,20 +1,20 @@
-//! Runs that a leader took over and has not heard of yet.
+//! Runs started under an earlier leader and not yet confirmed to this one.
 
 use bh_protocol::Incarnation;
 use bh_workload::dispatch::Dispatcher;
-use bh_workload::dispatch::RunWatch;
+use bh_workload::dispatch::RunState;
 use bh_workload::job::RunId;
 use bh_workload::state::Workload;
 use std::collections::BTreeSet;
 
-/// Recorded runs that an earlier leader ordered, until each is over or its worker says that it has it.
+/// Runs that an earlier leader recorded. Each is kept until it has ended or its worker confirms it.
 #[derive(Clone, Debug, Default)]
-pub struct Inherited {
+pub struct InheritedRuns {
     runs: BTreeSet<(Incarnation, RunId)>,
 }
 
-impl Inherited {
-    /// All runs in the record.
+impl InheritedRuns {
+    /// All runs in the replicated state.
     pub fn new(workload: &Workload) -> Self {
         let workers = workload.workers();
         let runs = workers.flat_map(|worker| {
@@ -26,13 +26,13 @@
         }
     }
 
-    /// Runs that are left.
+    /// Number of runs that are not settled yet.
     pub fn count(&self) -> usize {
         self.runs.len()
     }
 
-    /// Drops what has been heard of; returns one of the last when none is left that was left before.
-    pub fn settle(
+    /// Removes the runs that have ended or are confirmed. If none is left then, returns one of those that were just removed.
+    pub fn remove_settled(
         &mut self,
         workload: &Workload,
         dispatcher: &Dispatcher,
@@ -42,10 +42,10 @@
             let is_recorded = workload
                 .worker(worker)
                 .is_some_and(|worker| worker.runs.contains_key(run));
-            let watch = dispatcher
+            let run_state = dispatcher
                 .view(worker)
                 .and_then(|target| target.runs.get(run));
-            is_recorded && !watch.is_some_and(RunWatch::is_confirmed)
+            is_recorded && !run_state.is_some_and(RunState::is_confirmed)
         });
         self.runs.is_empty().then_some(last)
     }
--- a/crates/bh-control/src/core/operator.rs
+++ b/crates/bh-control/src/core/operator.rs
@@ -1,11 +1,11 @@
-//! What operators read from a core, in the product's own words: JSON at the metrics address.
+//! The operator's interface of a core: JSON at the metrics address.
 
 use super::core_node::CoreNode;
 use super::evacuations;
 use super::evacuations::Evacuation;
 use super::surveys;
 use crate::observe::Metrics;
-use crate::observe::Readings;
+use crate::observe::OperatorHooks;
 use crate::observe::log_lines_dropped;
 use bh_net::http_server::answer;
 use bh_protocol::Code;
@@ -26,46 +26,46 @@
 const JOB_PATH: &str = "/v1/jobs/";
 const EVACUATION_PATH: &str = "/v1/evacuations/";
 
-/// What a core is and holds.
+/// State of a core, as operators read it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CoreReport {
     /// Name of its VM.
     pub core: Arc<str>,
     /// Whether it leads.
     pub leads: bool,
-    /// Address of the leader's links, as far as known.
+    /// Address of the leader's links, if known.
     pub leader: Option<String>,
-    /// Term.
+    /// Current term.
     pub term: u64,
-    /// Whether its vote counts.
+    /// Whether it is a voter.
     pub is_voter: bool,
     /// Addresses of the voters.
     pub voters: Vec<String>,
-    /// Last change that it has applied.
+    /// Index of the last applied change.
     pub applied: u64,
-    /// How long ago it heard from the leader, in milliseconds.
+    /// Time since it last heard from the leader, in milliseconds.
     pub heard_ms_ago: Option<u64>,
     /// Version of the rules in force.
     pub rules_version: u64,
-    /// Jobs that have not ended.
+    /// Number of jobs that have not ended.
     pub active_jobs: usize,
-    /// Workers that are known.
+    /// Number of recorded workers.
     pub workers: usize,
-    /// Recorded runs.
+    /// Number of recorded runs.
     pub runs: usize,
-    /// Accelerators of all workers.
+    /// Number of accelerators of all workers.
     pub accelerators: u64,
-    /// Those that no recorded run takes.
+    /// Number of accelerators that no recorded run uses.
     pub free_accelerators: u64,
-    /// Waves of upkeep that are not over, by number.
+    /// Numbers of the maintenance waves in progress.
     pub waves: Vec<u64>,
     /// Data centres under evacuation.
     #[serde(default)]
     pub evacuations: Vec<Evacuation>,
 }
 
-/// What operators read from a core beside its counters.
-pub(super) fn readings(core: &Rc<CoreNode>) -> Readings {
+/// Creates the operator's interface: gauges that are refreshed on each read, and the paths beside the metrics.
+pub(super) fn operator_hooks(core: &Rc<CoreNode>) -> OperatorHooks {
     let (gauged, asked) = (core.clone(), core.clone());
     let refresh = move |metrics: &Metrics| {
         let report = report(&gauged);
@@ -88,13 +88,16 @@
         metrics.gauge("waves", size(report.waves.len()));
         metrics.gauge("data_centres_evacuated", size(report.evacuations.len()));
         metrics.gauge("links_open", size(gauged.mesh.links_open()));
-        metrics.gauge("worker_calls_in_progress", size(gauged.workers.busy()));
+        metrics.gauge(
+            "worker_calls_in_progress",
+            size(gauged.workers.in_progress()),
+        );
         metrics.gauge("shares_workers", u64::from(gauged.shares_workers()));
         metrics.gauge("calls_in_progress", size(gauged.in_progress.get()));
         metrics.gauge("log_lines_dropped", log_lines_dropped());
         set_fleet_gauges(&gauged, metrics);
     };
-    Readings::new(refresh).with_answer(move |request| answer_call(asked.clone(), request))
+    OperatorHooks::new(refresh).with_answer(move |request| answer_call(asked.clone(), request))
 }
 
 /// Sets the gauges that are computed from the leader's state. On a core that does not lead they are 0.
@@ -119,8 +122,8 @@
     let record = held.as_ref().map(|led| led.starts_record);
     let recording_ms = record.map_or(0, |record| record.age_ms(now_ms));
     metrics.gauge("starts_recording_ms", recording_ms);
-    let inherited = held.as_ref().map_or(0, |led| led.inherited.count());
-    metrics.gauge("runs_inherited", size(inherited));
+    let inherited_runs = held.as_ref().map_or(0, |led| led.inherited_runs.count());
+    metrics.gauge("runs_inherited", size(inherited_runs));
     metrics.gauge("jobs_without_runs", size(jobs_without_runs));
     metrics.gauge("workers_silent", size(counts.workers_silent));
     metrics.gauge("workers_outdated", size(counts.workers_outdated));
@@ -135,7 +138,7 @@
     metrics.gauge("runs_stopping", size(counts.runs_stopping));
 }
 
-/// Answers an operator's call; `None` when it is none.
+/// Answers an operator's request; `None` for an unknown path or method.
 async fn answer_call(core: Rc<CoreNode>, request: Request<Bytes>) -> Option<Response<Bytes>> {
     let path = request.uri().path();
     if let Some(data_centre) = path.strip_prefix(EVACUATION_PATH) {
@@ -154,7 +157,7 @@
     })
 }
 
-/// What this core is and holds now.
+/// The current state of this core.
 fn report(core: &Rc<CoreNode>) -> CoreReport {
     let status = core.group.status();
     let workload = core.group.machine.read();
@@ -181,7 +184,7 @@
         free_accelerators: free.sum(),
         waves: workload
             .waves()
-            .filter(|(_, wave)| !wave.is_over())
+            .filter(|(_, wave)| !wave.has_ended())
             .map(|(id, _)| id)
             .collect(),
         evacuations: evacuations::list(core.wall_ms(), &workload),
--- a/crates/bh-control/src/core/orders.rs
+++ b/crates/bh-control/src/core/orders.rs
@@ -1,15 +1,15 @@
-//! The leader's orders to workers and their answers.
+//! Sends the leader's orders to workers and handles the answers.
 
 use super::carry;
-use super::carry::Sent;
+use super::carry::SendOutcome;
 use super::core_node::CoreNode;
 use super::departures::log_departures;
+use super::detection::Detection;
 use super::job_ends::log_job_ends;
-use super::learnt::Learnt;
 use super::records::Origin;
 use super::records::record;
-use super::run_ends::learnt_by;
-use super::run_ends::learnt_unheard;
+use super::run_ends::detected_by_answer;
+use super::run_ends::detected_without_answer;
 use super::run_ends::log_run_ends;
 use super::run_ends::log_skipped_ends;
 use super::run_ends::log_unrecorded;
@@ -23,27 +23,29 @@
 use std::rc::Rc;
 
 /// Time between passes over all workers, in milliseconds.
-const SWEEP_MS: u64 = 100;
+const SWEEP_INTERVAL_MS: u64 = 100;
 
-/// Sends the orders that are due, and records ends that are certain without any.
-pub(super) fn give_orders(core: &Rc<CoreNode>, now_ms: u64) {
-    let news = core.group.machine.with_local(Workload::take_news);
+/// Sends the orders that are due, and records the ends that are certain without an answer.
+pub(super) fn send_due_orders(core: &Rc<CoreNode>, now_ms: u64) {
+    let record_events = core.group.machine.with_local(Workload::take_events);
     let mut held = core.leadership.borrow_mut();
     let Some(leadership) = held.as_mut() else {
         return;
     };
     let workload = core.group.machine.read();
-    leadership.plan_due |= news.plan;
-    log_job_ends(core, leadership, &workload, &news.ended_jobs);
-    leadership.dispatcher.note_news(now_ms, &news, &workload);
-    let all = now_ms >= leadership.swept_ms + SWEEP_MS;
+    leadership.plan_due |= record_events.plan;
+    log_job_ends(core, leadership, &workload, &record_events.ended_jobs);
+    leadership
+        .dispatcher
+        .note_events(now_ms, &record_events, &workload);
+    let all = now_ms >= leadership.last_sweep_ms + SWEEP_INTERVAL_MS;
     if all {
-        leadership.swept_ms = now_ms;
+        leadership.last_sweep_ms = now_ms;
     }
     let (orders, ends) = leadership.dispatcher.orders(now_ms, &workload, all);
     let dispatcher = &leadership.dispatcher;
     log_run_ends(core, leadership.term, &workload, &ends, dispatcher, |end| {
-        learnt_unheard(dispatcher, end)
+        detected_without_answer(dispatcher, end)
     });
     drop(workload);
     let origin = Origin {
@@ -65,18 +67,18 @@
     let began_ms = core.clock.now_ms();
     let request = (core.dialect.write_order)(&order);
     let answer = match carry::send(&core, order.token, &order.to, request, limit_ms).await {
-        Sent::Answered { response, repeated } => {
+        SendOutcome::Answered { response, repeated } => {
             if repeated {
                 note_repeated(&core, &order, response.status());
             }
-            // A look waits for an end; how long says nothing of the worker.
-            if !matches!(order.body, OrderBody::Look { .. }) {
+            // A probe waits for a run to end; its duration says nothing about the worker.
+            if !matches!(order.body, OrderBody::Probe { .. }) {
                 let took_ms = core.clock.now_ms().saturating_sub(began_ms);
                 core.metrics.time_ms("order", took_ms);
             }
             (core.dialect.read_answer)(&order, &response)
         }
-        Sent::NotListening { repeated } => {
+        SendOutcome::NotListening { repeated } => {
             core.metrics.count("orders_lost", 1);
             if repeated {
                 note_earlier_send(&core, &order);
@@ -84,12 +86,12 @@
             log::warn!(worker = order.to.worker.to_string(), order = order.body.to_string(); "nothing listens at a worker's address");
             Answer::NotListening
         }
-        Sent::NoAnswer(why) => {
+        SendOutcome::NoAnswer(why) => {
             core.metrics.count("orders_lost", 1);
             log::warn!(worker = order.to.worker.to_string(), order = order.body.to_string(); "no answer to an order: {why}");
             Answer::Lost
         }
-        Sent::CarrierLost(why) => {
+        SendOutcome::CarrierLost(why) => {
             core.metrics.count("orders_uncarried", 1);
             log::info!(worker = order.to.worker.to_string(), order = order.body.to_string(); "an order's carrier was lost: {why}");
             Answer::CarrierLost
@@ -98,7 +100,7 @@
     note_answer(&core, &order, &answer);
 }
 
-/// Notes that the answer to an order is that to its second send.
+/// Logs and counts an order that was sent twice, and tells the dispatcher.
 fn note_repeated(core: &CoreNode, order: &Order, status: StatusCode) {
     core.metrics.count("orders_repeated", 1);
     log::info!(
@@ -108,7 +110,7 @@
     note_earlier_send(core, order);
 }
 
-/// Notes that an earlier send of an order may have been carried out.
+/// Tells the dispatcher that an earlier attempt to send the order may have been carried out.
 fn note_earlier_send(core: &CoreNode, order: &Order) {
     let mut held = core.leadership.borrow_mut();
     if let Some(leadership) = held.as_mut().filter(|held| held.term == order.token) {
@@ -152,14 +154,14 @@
     if let Some(Command::Ends { ends, .. }) = &command {
         let dispatcher = &leadership.dispatcher;
         log_run_ends(core, order.token, &workload, ends, dispatcher, |end| {
-            learnt_by(order, answer, end)
+            detected_by_answer(order, answer, end)
         });
         leadership
             .planner
             .note_ends(now_ms, ends, &workload, &leadership.dispatcher);
     }
     let listed_to = match order.body {
-        OrderBody::Look { .. } => leadership.dispatcher.recording_to(&order.to.worker),
+        OrderBody::Probe { .. } => leadership.dispatcher.recording_to(&order.to.worker),
         _ => None,
     };
     let origin = Origin {
@@ -169,12 +171,12 @@
     drop(workload);
     drop(held);
     if let Some(command) = command {
-        let learnt = match answer {
-            Answer::OtherIncarnation => Learnt::OtherIncarnation,
-            Answer::Restarted { .. } => Learnt::Restarted,
-            _ => Learnt::Leave,
+        let detection = match answer {
+            Answer::OtherIncarnation => Detection::OtherIncarnation,
+            Answer::Restarted { .. } => Detection::Restarted,
+            _ => Detection::Leave,
         };
-        log_departures(core, order.token, &command, learnt);
+        log_departures(core, order.token, &command, detection);
         record(core, command, origin);
     }
     core.wake();
--- a/crates/bh-control/src/core/planning.rs
+++ b/crates/bh-control/src/core/planning.rs
@@ -1,4 +1,4 @@
-//! Carries the leader's plan out.
+//! Makes the leader's plans and carries them out.
 
 use super::advice;
 use super::core_node::CoreNode;
@@ -14,17 +14,17 @@
 use bh_workload::state::Workload;
 use std::rc::Rc;
 
-/// Longest time between plans while jobs wait, in milliseconds: patience runs out and times come due without any other event.
-const PLAN_MS: u64 = 200;
-/// Plans when there is reason to, records what shall start and stops what gives way.
+/// Maximum time between plans, in milliseconds: waiting limits expire and start times are reached without any other event.
+const MAX_PLAN_INTERVAL_MS: u64 = 200;
+/// Makes a plan if one is due, records the runs to start and stops the runs that are to make room.
 pub(super) fn plan(core: &Rc<CoreNode>) {
     let now_ms = core.clock.now_ms();
     let mut held = core.leadership.borrow_mut();
     let Some(leadership) = held.as_mut() else {
         return;
     };
-    let due = leadership.plan_due || now_ms >= leadership.planned_ms + PLAN_MS;
-    if !due || now_ms < leadership.plan_from_ms {
+    let due = leadership.plan_due || now_ms >= leadership.last_plan_ms + MAX_PLAN_INTERVAL_MS;
+    if !due || now_ms < leadership.next_plan_ms {
         return;
     }
     if leadership.starts_record.is_open() {
@@ -33,9 +33,9 @@
         return;
     }
     leadership.plan_due = false;
-    leadership.planned_ms = now_ms;
+    leadership.last_plan_ms = now_ms;
     let workload = core.group.machine.read();
-    stop_cut_short(core, leadership, now_ms, &workload);
+    stop_runs_cut_short(core, leadership, now_ms, &workload);
     let planner = &mut leadership.planner;
     let Plan {
         starts,
@@ -45,9 +45,9 @@
         released,
     } = planner.plan(now_ms, core.wall_ms(), &workload, &leadership.dispatcher);
     drop(workload);
-    let over_ms = core.clock.now_ms();
-    let took_ms = over_ms.saturating_sub(now_ms);
-    leadership.plan_from_ms = over_ms + plan_gap_ms(took_ms);
+    let end_ms = core.clock.now_ms();
+    let took_ms = end_ms.saturating_sub(now_ms);
+    leadership.next_plan_ms = end_ms + plan_gap_ms(took_ms);
     core.metrics.time_ms("plan", took_ms);
     advice::ask(core, leadership, now_ms, questions);
     for (step, why) in released {
@@ -58,7 +58,7 @@
     }
     for (worker, run) in &evictions {
         log::info!(run = run.to_string(), worker = worker.to_string(); "stopped to make room for guaranteed work");
-        leadership.dispatcher.give_up(worker, *run);
+        leadership.dispatcher.request_stop(worker, *run);
     }
     if !evictions.is_empty() {
         core.metrics
@@ -68,7 +68,7 @@
     if starts.is_empty() {
         return;
     }
-    leadership.starts_record.begin(over_ms);
+    leadership.starts_record.begin(end_ms);
     let term = leadership.term;
     core.metrics
         .count("runs_planned", starts.len().try_into().unwrap_or(0));
@@ -78,7 +78,7 @@
     monoio::spawn(async move {
         match propose(&core, Command::Starts(starts)).await {
             Ok(Reply::Started(refused)) if !refused.is_empty() => {
-                log::info!(steps = refused.len(); "starts overtaken by other changes");
+                log::info!(steps = refused.len(); "starts dropped because of earlier changes");
             }
             Ok(_) => {}
             Err(failure) => log::warn!("starts not recorded: {failure}"),
@@ -93,8 +93,13 @@
     });
 }
 
-/// Stops what cannot end on workers that leave.
-fn stop_cut_short(core: &CoreNode, leadership: &mut Leadership, now_ms: u64, workload: &Workload) {
+/// Stops runs that cannot finish before their worker leaves.
+fn stop_runs_cut_short(
+    core: &CoreNode,
+    leadership: &mut Leadership,
+    now_ms: u64,
+    workload: &Workload,
+) {
     let cut_short =
         leadership
             .planner
@@ -102,11 +107,12 @@
     for (worker, run) in cut_short {
         core.metrics.count("runs_cut_short", 1);
         log::info!(run = run.to_string(), worker = worker.to_string(); "stopped since its worker leaves before it can end");
-        leadership.dispatcher.give_up(&worker, run);
+        leadership.dispatcher.request_stop(&worker, run);
     }
 }
 
-/// One line for each start, with what decided it and how old that was: how long the job has waited, the rules, and when the worker was last heard.
+/// Logs each start with the inputs of the decision: how long the job has waited, the rules version, and when the worker was last heard
+/// from.
 fn log_starts(core: &Rc<CoreNode>, leadership: &Leadership, now_ms: u64, starts: &[Start]) {
     let workload = core.group.machine.read();
     let wall_ms = core.wall_ms();
--- a/crates/bh-control/src/core/serve.rs
+++ b/crates/bh-control/src/core/serve.rs
@@ -1,15 +1,15 @@
-//! Starts a core, keeps it running, and ends it gracefully.
+//! Starts a core, runs it, and shuts it down gracefully.
 
 use super::carry_delay::CarryDelay;
 use super::core_node::CoreNode;
 use super::driver;
-use super::driver::Late;
+use super::driver::DeferredCore;
 use super::formation;
 use super::heartbeats;
 use super::incoming;
 use super::leader_loop;
 use super::operator;
-use super::unheard::Unheard;
+use super::undelivered_heartbeats::UndeliveredHeartbeats;
 use super::worker_calls::WorkerCalls;
 use crate::config::LocalConfig;
 use crate::dialect::Dialect;
@@ -36,18 +36,18 @@
 use std::rc::Rc;
 use tokio_util::sync::CancellationToken;
 
-/// Share of the grace within which calls in progress must end, in percent.
+/// Percentage of the grace period within which calls in progress must end.
 const FINISH_PERCENT: u64 = 50;
-/// Time between looks at the calls in progress at the end, in milliseconds.
+/// Time between checks for calls in progress during shutdown, in milliseconds.
 const POLL_MS: u64 = 10;
-/// File with the addresses of the cores that were last known.
+/// File with the addresses of the last known cores.
 const CORES_FILE: &str = "cores";
 
 /// Runs a core until it is told to stop.
 ///
 /// # Errors
 ///
-/// What keeps it from starting or going on: an address in use, a damaged log, a failed disk.
+/// Whatever prevents it from starting or continuing: an address in use, a damaged log, a failed disk.
 pub async fn serve(config: LocalConfig, dialect: Dialect) -> Result<(), Failure> {
     let missing = |key: &str| Failure::new(Code::BadConfigFile, format!("`{key}` is missing"));
     let path = config
@@ -60,8 +60,8 @@
     let folder = Folder::open(&path, &config.name)?;
     let replica = folder.replica();
     let clock = Clock::new();
-    let late = Late::default();
-    let (driver, group) = driver::build(&config, &folder, &clock, &late)?;
+    let deferred = DeferredCore::default();
+    let (driver, group) = driver::build(&config, &folder, &clock, &deferred)?;
     let stop = CancellationToken::new();
     let hello = Hello {
         name: config.name.to_string(),
@@ -83,33 +83,33 @@
         mesh: mesh.clone(),
         inbound: Rc::new(Inbound::default()),
         leadership: RefCell::new(None),
-        led_ms: Cell::new(None),
+        last_led_ms: Cell::new(None),
         shared_workers: Cell::new(false),
         carry_delay: RefCell::new(CarryDelay::default()),
-        unheard: RefCell::new(Unheard::default()),
-        signs: RefCell::new(BTreeMap::new()),
+        undelivered_heartbeats: RefCell::new(UndeliveredHeartbeats::default()),
+        heartbeats_to_relay: RefCell::new(BTreeMap::new()),
         draining: CancellationToken::new(),
         metrics: Rc::new(Metrics::new()),
         in_progress: Cell::new(0),
         wake,
-        woken: Cell::new(false),
+        wake_pending: Cell::new(false),
     });
-    late.set(core.clone());
+    deferred.set(core.clone());
     log::info!(core = &*core.config.name, replica = format!("{replica:016x}"), address = control.to_string(); "core starts");
     if let Some(address) = core.config.metrics_address {
         serve_metrics(
             address,
             core.metrics.clone(),
-            operator::readings(&core),
+            operator::operator_hooks(&core),
             stop.clone(),
         )?;
     }
-    learn_cores(&core, &path);
+    dial_known_cores(&core, &path);
     reload::follow(core.mesh.clone(), core.config.path.clone())?;
     monoio::spawn(mesh::accept(
         mesh,
         peer_listener,
-        Rc::new(incoming::service(&core)),
+        Rc::new(incoming::link_handler(&core)),
         core.inbound.clone(),
     ));
     if let Some(voters) = formation::first_voters(&core, &path)? {
@@ -123,12 +123,12 @@
         }
     });
     monoio::spawn(leader_loop::run(core.clone(), wakes));
-    monoio::spawn(heartbeats::tell_leader(core.clone()));
+    monoio::spawn(heartbeats::relay_to_leader(core.clone()));
     let serving = core.clone();
     monoio::spawn(server::serve(
         control_listener,
         core.draining.clone(),
-        (Rc::new(Cell::new(0)), core.config.most_callers()),
+        (Rc::new(Cell::new(0)), core.config.max_callers()),
         move |request| incoming::handle(serving.clone(), request),
     ));
     let signal = runtime::stop_on_signal()
@@ -147,27 +147,27 @@
     Ok(())
 }
 
-/// Dials the seeds and the cores that were last known, and keeps the list on the disk: seeds may be wrong by the next start.
-fn learn_cores(core: &Rc<CoreNode>, folder: &std::path::Path) {
+/// Dials the seeds and the last known cores, and saves the list of cores to disk: the seeds may be wrong at the next start.
+fn dial_known_cores(core: &Rc<CoreNode>, folder: &std::path::Path) {
     let file = folder.join(CORES_FILE);
-    // A list that is missing or damaged only means that the seeds alone are asked.
+    // If the list is missing or damaged, only the seeds are dialled.
     let kept = std::fs::read_to_string(&file).unwrap_or_default();
     let known: Vec<SocketAddr> = kept.lines().filter_map(|line| line.parse().ok()).collect();
-    core.mesh.on_learnt(move |cores| {
+    core.mesh.on_cores_added(move |cores| {
         let lines: Vec<String> = cores.iter().map(SocketAddr::to_string).collect();
         if let Err(error) = std::fs::write(&file, lines.join("\n")) {
-            log::warn!("the list of cores was not kept: {error}");
+            log::warn!("the list of cores was not saved: {error}");
         }
     });
-    core.mesh.learn(known);
-    core.mesh.learn(core.config.seed_peers());
+    core.mesh.add_cores(known);
+    core.mesh.add_cores(core.config.seed_peers());
 }
 
-/// Ends gracefully: no new connections, and the calls in progress are answered.
+/// Shuts down gracefully: accepts no new connections and waits for the calls in progress.
 async fn drain(core: &Rc<CoreNode>) {
     log::info!(core = &*core.config.name, in_progress = core.in_progress.get(); "core drains");
     core.draining.cancel();
-    core.inbound.tell_all(&core.status());
+    core.inbound.broadcast(&core.status());
     let until_ms = core.clock.now_ms() + core.config.grace_ms() * FINISH_PERCENT / 100;
     while core.in_progress.get() > 0 && core.clock.now_ms() < until_ms {
         sleep_ms(POLL_MS).await;
--- a/crates/bh-control/src/core/upkeep.rs
+++ b/crates/bh-control/src/core/upkeep.rs
@@ -1,23 +1,23 @@
-//! Carries waves of upkeep out.
+//! Carries out waves of upkeep, the rolling maintenance of VMs.
 
 use super::core_node::CoreNode;
 use super::departures::log_departures;
-use super::learnt::Learnt;
+use super::detection::Detection;
 use super::records::propose;
 use super::worker_calls::Answered;
 use super::worker_calls::Unanswered;
 use bh_workload::state::Command;
-use bh_workload::upkeep::Step;
+use bh_workload::upkeep::UpkeepAction;
 use bh_workload::upkeep::UpkeepAnswer;
 use bh_workload::upkeep::UpkeepOrder;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Wait for the answer of the service that keeps the VMs, in milliseconds: it answers within some tens when it is well.
-const ORDER_MS: u64 = 1_500;
+/// Timeout for an answer of the VM service, in milliseconds. It normally answers within some tens of milliseconds.
+const ORDER_TIMEOUT_MS: u64 = 1_500;
 
-/// Does what the waves need now.
-pub(super) fn keep(core: &Rc<CoreNode>, now_ms: u64) {
+/// Takes the next steps of all waves.
+pub(super) fn advance_waves(core: &Rc<CoreNode>, now_ms: u64) {
     let Some(address) = core.config.vm_service_address else {
         return;
     };
@@ -27,21 +27,21 @@
     };
     let workload = core.group.machine.read();
     let times = (now_ms, core.wall_ms());
-    let steps = leadership
-        .keeper
-        .steps(times, &workload, &leadership.dispatcher);
-    let emptied = leadership.keeper.emptied_workers(&workload);
+    let actions = leadership
+        .wave_scheduler
+        .actions(times, &workload, &leadership.dispatcher);
+    let emptied = leadership.wave_scheduler.emptied_workers(&workload);
     leadership.dispatcher.set_emptied(emptied);
-    for step in steps {
-        match step {
-            Step::Record(command) => {
+    for action in actions {
+        match action {
+            UpkeepAction::Record(command) => {
                 monoio::spawn(record(core.clone(), command));
             }
-            Step::Stop(worker, run) => {
+            UpkeepAction::Stop(worker, run) => {
                 log::info!(run = run.to_string(), worker = worker.to_string(); "stopped for the upkeep of its VM");
-                leadership.dispatcher.give_up(&worker, run);
+                leadership.dispatcher.request_stop(&worker, run);
             }
-            Step::Order(order) => {
+            UpkeepAction::Order(order) => {
                 monoio::spawn(send(core.clone(), address, order));
             }
         }
@@ -60,7 +60,7 @@
         log::warn!("not recorded: {failure}");
     }
     if let (Some(vm), Some(leadership)) = (vm, core.leadership.borrow_mut().as_mut()) {
-        leadership.keeper.note_recorded(&vm);
+        leadership.wave_scheduler.note_recorded(&vm);
     }
     core.wake();
 }
@@ -68,7 +68,7 @@
 async fn send(core: Rc<CoreNode>, address: SocketAddr, order: UpkeepOrder) {
     let request = (core.dialect.write_upkeep)(&order, address);
     core.metrics.count("upkeep_orders", 1);
-    let answer = match core.workers.send(address, request, ORDER_MS).await {
+    let answer = match core.workers.send(address, request, ORDER_TIMEOUT_MS).await {
         Ok(Answered { response, .. }) => (core.dialect.read_upkeep)(&response),
         Err(Unanswered { error, .. }) => {
             log::warn!(vm = &*order.vm; "no answer to an order on a VM: {error}");
@@ -82,9 +82,13 @@
         .borrow_mut()
         .as_mut()
         .filter(|leadership| leadership.term == order.token)
-        .and_then(|leadership| leadership.keeper.note_answer(now_ms, &order, answer));
+        .and_then(|leadership| {
+            leadership
+                .wave_scheduler
+                .note_answer(now_ms, &order, answer)
+        });
     if let Some(command) = command {
-        log_departures(&core, order.token, &command, Learnt::Upkeep);
+        log_departures(&core, order.token, &command, Detection::Upkeep);
         record(core, command).await;
     }
 }
--- a/crates/bh-control/src/core/worker_calls.rs
+++ b/crates/bh-control/src/core/worker_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to workers over connections that are kept open.
+//! Calls to workers over kept-alive connections.
 
 use bh_net::Clock;
 use bh_net::http_client::Connection;
@@ -11,79 +11,80 @@
 use std::cell::Cell;
 use std::net::SocketAddr;
 
-/// Time to open a connection, in milliseconds. Within a region it takes a few; a VM without power never answers.
-const CONNECT_MS: u64 = 600;
-/// Largest answer of a worker in bytes: some hundred ends with their checkpoints.
+/// Timeout for opening a connection, in milliseconds. Within a region it takes a few; a VM without power never answers.
+const CONNECT_TIMEOUT_MS: u64 = 600;
+/// Maximum size of a worker's answer in bytes: some hundred ends with their checkpoints.
 const MAX_ANSWER_BYTES: u64 = 4 << 20;
-/// Time after which an unused connection is closed, in milliseconds. Opening one costs the worker more than keeping it.
-const KEEP_MS: u64 = 60_000;
-/// Unused connections kept to one worker: one for the look that always waits, and some for starts that come together. Eight to each of
-/// 350 workers took two thirds of a small VM's descriptors, and without descriptors every worker seems lost.
-const KEEP_EACH: usize = 4;
+/// Time after which an idle connection is closed, in milliseconds. Opening one costs the worker more than keeping it.
+const IDLE_TIMEOUT_MS: u64 = 60_000;
+/// Maximum number of idle connections per worker: one for the probe that is always waiting, and some for starts that come together. Eight
+/// for each of 350 workers took two thirds of a small VM's descriptors, and without descriptors every worker seems lost.
+const MAX_IDLE_PER_WORKER: usize = 4;
 
-/// Share of the process's descriptors that unused connections to workers take at most, in percent. A process without descriptors can neither call
-/// a worker nor write its record.
-const KEEP_PERCENT: usize = 25;
+/// Maximum percentage of the process's descriptors for idle connections to workers. A process without descriptors can neither call a worker
+/// nor write its log.
+const MAX_IDLE_PERCENT: usize = 25;
 
-/// Share of the process's descriptors that calls in progress take at most, in percent.
-const BUSY_PERCENT: usize = 25;
-/// Calls in progress at least, however few descriptors there are.
-const FEWEST_BUSY: usize = 8;
-/// Time between looks for a call that has ended, in milliseconds, while as many are in progress as may be.
+/// Maximum percentage of the process's descriptors for calls in progress.
+const MAX_IN_PROGRESS_PERCENT: usize = 25;
+/// Lower bound of the limit on calls in progress, however few descriptors there are.
+const MIN_IN_PROGRESS_LIMIT: usize = 8;
+/// Time between checks for a free slot while the limit on calls in progress is reached, in milliseconds.
 const POLL_MS: u64 = 5;
 
 /// An answer of a worker.
 pub struct Answered {
-    /// The answer.
+    /// The response.
     pub response: Response<Bytes>,
-    /// Whether the request was sent again, since a kept connection broke after it had been sent there.
+    /// Whether the request was sent twice, since a kept-alive connection broke after the first attempt.
     pub repeated: bool,
 }
 
-/// A call that had no answer.
+/// A call without an answer.
 #[derive(Debug)]
 pub struct Unanswered {
-    /// Why.
+    /// The error of the last attempt.
     pub error: SendError,
-    /// Whether the request was sent before, on a kept connection that broke then: it may have been carried out, whatever the error says of the
-    /// last send.
+    /// Whether the request was sent before, on a kept-alive connection that then broke. In that case it may have been carried out, whatever
+    /// the error of the last attempt says.
     pub repeated: bool,
 }
 
-/// Connections to workers.
+/// Pool of connections to workers, with a limit on calls in progress.
 pub struct WorkerCalls {
     pool: Pool,
     clock: Clock,
-    busy: Cell<usize>,
-    most_busy: usize,
+    in_progress: Cell<usize>,
+    max_in_progress: usize,
 }
 
 impl WorkerCalls {
-    /// No connections yet; the process may have `descriptors` open files and connections.
+    /// Creates an empty pool for a process that may have `descriptors` open files and connections.
     pub fn new(clock: Clock, descriptors: usize) -> Self {
         Self {
             pool: Pool::new()
-                .with_max_idle(KEEP_EACH)
-                .with_max_total(descriptors * KEEP_PERCENT / 100)
-                .with_max_idle_ms(KEEP_MS),
+                .with_max_idle(MAX_IDLE_PER_WORKER)
+                .with_max_total(descriptors * MAX_IDLE_PERCENT / 100)
+                .with_max_idle_ms(IDLE_TIMEOUT_MS),
             clock,
-            busy: Cell::new(0),
-            most_busy: (descriptors * BUSY_PERCENT / 100).max(FEWEST_BUSY),
+            in_progress: Cell::new(0),
+            max_in_progress: (descriptors * MAX_IN_PROGRESS_PERCENT / 100)
+                .max(MIN_IN_PROGRESS_LIMIT),
         }
     }
 
-    /// Calls in progress.
-    pub fn busy(&self) -> usize {
-        self.busy.get()
+    /// Number of calls in progress.
+    pub fn in_progress(&self) -> usize {
+        self.in_progress.get()
     }
 
-    /// Closes the connections that nothing is sent on: a core that stops leading calls no workers, and each takes descriptors and memory
-    /// at both ends.
+    /// Closes the idle connections. A core that stops leading calls no workers, and each connection takes descriptors and memory at both
+    /// ends.
     pub fn close(&self) {
         self.pool.clear();
     }
 
-    /// Closes the connections that were not used for long.
+    /// Closes the connections that have been idle for too long.
     pub fn age_out(&self) {
         self.pool.age_out(self.clock.now_ms());
     }
@@ -104,8 +105,8 @@
         limit_ms: u64,
     ) -> Result<Answered, Unanswered> {
         let until_ms = self.clock.now_ms() + limit_ms;
-        // A process without descriptors can do nothing any more, so calls wait for each other instead.
-        while self.busy.get() >= self.most_busy {
+        // A process that runs out of descriptors can do nothing any more, so calls wait for each other instead.
+        while self.in_progress.get() >= self.max_in_progress {
             if self.clock.now_ms() >= until_ms {
                 return Err(Unanswered {
                     error: SendError::NotConnected,
@@ -114,9 +115,9 @@
             }
             sleep_ms(POLL_MS).await;
         }
-        self.busy.set(self.busy.get() + 1);
+        self.in_progress.set(self.in_progress.get() + 1);
         let result = self.exchange(address, request, until_ms).await;
-        self.busy.set(self.busy.get() - 1);
+        self.in_progress.set(self.in_progress.get() - 1);
         result
     }
 
@@ -144,7 +145,7 @@
             }
         }
         let unanswered = |error| Unanswered { error, repeated };
-        let mut connection = Connection::open(address, left_ms().min(CONNECT_MS))
+        let mut connection = Connection::open(address, left_ms().min(CONNECT_TIMEOUT_MS))
             .await
             .map_err(unanswered)?;
         let response = connection
--- a/crates/bh-control/src/entry/serve.rs
+++ b/crates/bh-control/src/entry/serve.rs
@@ -8,7 +8,7 @@
 use crate::dialect::Dialect;
 use crate::mesh::Mesh;
 use crate::observe::Metrics;
-use crate::observe::Readings;
+use crate::observe::OperatorHooks;
 use crate::observe::log_lines_dropped;
 use crate::observe::serve_metrics;
 use crate::reload;
@@ -30,28 +30,28 @@
 use std::rc::Rc;
 use tokio_util::sync::CancellationToken;
 
-/// Longest time that a call is worked on when its sender does not say how long it waits, in milliseconds.
-const DEFAULT_PATIENCE_MS: u64 = 2_500;
-/// Longest time that a call is worked on whatever its sender says, in milliseconds: past two elections waiting does not help.
-const LONGEST_PATIENCE_MS: u64 = 4_000;
-/// Kept back for the answer's way, in milliseconds: an answer that comes after the sender has left tells nobody anything.
-const ANSWER_WAY_MS: u64 = 40;
-/// Share of the grace after which a stopping entry asks callers to leave, in percent. Until then the balancer learns that the entry is
-/// not ready, and connections that it still hands over are served.
-const LAME_PERCENT: u64 = 40;
-/// Share of the grace within which requests in progress must end, in percent.
+/// Timeout of a call whose sender does not give one, in milliseconds.
+const DEFAULT_TIMEOUT_MS: u64 = 2_500;
+/// Maximum timeout of a call, in milliseconds: waiting longer than two elections does not help.
+const MAX_TIMEOUT_MS: u64 = 4_000;
+/// Time reserved for the transit of the answer, in milliseconds: an answer is lost if it arrives after the sender has stopped waiting.
+const ANSWER_TRANSIT_MS: u64 = 40;
+/// Percentage of the grace period after which a stopping entry closes callers' connections. Before that the balancer learns that the entry
+/// is not ready, and connections that it still sends are served.
+const LAME_DUCK_PERCENT: u64 = 40;
+/// Percentage of the grace period within which requests in progress must end.
 const FINISH_PERCENT: u64 = 85;
-/// Time between looks at the requests in progress at the end, in milliseconds.
+/// Time between checks for requests in progress during shutdown, in milliseconds.
 const POLL_MS: u64 = 20;
 
-/// An entry.
+/// State of an entry process.
 pub struct Entry {
     config: LocalConfig,
     dialect: Dialect,
     mesh: Rc<Mesh>,
-    /// Cancelled when the entry is told to stop: it is not ready any more.
+    /// Cancelled when the entry is told to stop; it is not ready from then on.
     draining: CancellationToken,
-    /// Cancelled when callers are asked to leave.
+    /// Cancelled when callers' connections are to be closed.
     closing: CancellationToken,
     connections: Rc<Cell<usize>>,
     metrics: Rc<Metrics>,
@@ -59,7 +59,7 @@
 }
 
 impl Entry {
-    /// Whether the balancer may send callers here: a leader with rules was heard lately.
+    /// Whether the balancer may send callers here: the entry is not stopping and had recent contact with a leader that has rules.
     fn is_ready(&self) -> bool {
         if self.draining.is_cancelled() {
             return false;
@@ -73,20 +73,20 @@
             Ok(received) => received,
             Err(status) => return server::status(status),
         };
-        let patience_ms = received
-            .patience_ms
-            .unwrap_or(DEFAULT_PATIENCE_MS)
-            .min(LONGEST_PATIENCE_MS)
-            .saturating_sub(ANSWER_WAY_MS)
+        let timeout_ms = received
+            .timeout_ms
+            .unwrap_or(DEFAULT_TIMEOUT_MS)
+            .min(MAX_TIMEOUT_MS)
+            .saturating_sub(ANSWER_TRANSIT_MS)
             .max(1);
-        let answer = forward(&self.mesh, &received.call, patience_ms).await;
+        let answer = forward(&self.mesh, &received.call, timeout_ms).await;
         let took_ms = self.mesh.now_ms().saturating_sub(started_ms);
         self.metrics.count(outcome(&answer), 1);
         self.metrics.time_ms("call", took_ms);
         log_call(&received.call, &answer, took_ms);
         let mut response = (self.dialect.write_answer)(&received.call, &answer);
         if !self.is_ready() {
-            send_elsewhere(&mut response);
+            close_after_answer(&mut response);
         }
         response
     }
@@ -100,14 +100,14 @@
     }
 }
 
-/// Has the caller open a new connection for its next call. The balancer leads new connections past an entry that is not ready, but one that
-/// is open stays with its entry: in a data centre that is cut off its caller would be refused again and again until it gives up.
-fn send_elsewhere(response: &mut Response<Bytes>) {
+/// Makes the caller open a new connection for its next call. The balancer sends new connections to ready entries only, but an open one
+/// stays with its entry: in a data centre that is cut off, the caller would be refused again and again until it gives up.
+fn close_after_answer(response: &mut Response<Bytes>) {
     let close = HeaderValue::from_static("close");
     response.headers_mut().insert(header::CONNECTION, close);
 }
 
-/// Counter of what became of a call.
+/// Name of the counter for calls with this answer.
 fn outcome(answer: &Answer) -> &'static str {
     match answer {
         Answer::Refused(Refusal::NoKey) => "calls_refused_no_key",
@@ -119,7 +119,7 @@
     }
 }
 
-/// One line for each call that changes something or was not served; reads that were are only counted.
+/// Logs each call that changes something or that was not served; successful reads are only counted.
 fn log_call(call: &Call, answer: &Answer, took_ms: u64) {
     match (call, answer) {
         (Call::Read { .. }, Answer::State(_) | Answer::Pending(_)) => {}
@@ -127,10 +127,10 @@
             log::info!(path = &*place.path, took_ms, answer:? = answer; "job handed in");
         }
         (Call::Cancel { place }, answer) => {
-            log::info!(path = &*place.path, took_ms, answer:? = answer; "job taken back");
+            log::info!(path = &*place.path, took_ms, answer:? = answer; "job cancelled");
         }
         (Call::Read { place }, answer) => {
-            log::info!(path = &*place.path, took_ms, answer:? = answer; "read not served");
+            log::info!(path = &*place.path, took_ms, answer:? = answer; "read failed");
         }
         _ => {}
     }
@@ -140,7 +140,7 @@
 ///
 /// # Errors
 ///
-/// When it cannot listen.
+/// If it cannot listen on its addresses.
 pub async fn serve(config: LocalConfig, dialect: Dialect) -> Result<(), Failure> {
     let stop = CancellationToken::new();
     let hello = Hello {
@@ -149,7 +149,7 @@
         ..Hello::default()
     };
     let mesh = Mesh::new(hello, Clock::new(), stop.clone());
-    mesh.learn(config.seed_peers());
+    mesh.add_cores(config.seed_peers());
     reload::follow(mesh.clone(), config.path.clone())?;
     let missing = |key: &str| Failure::new(Code::BadConfigFile, format!("`{key}` is missing"));
     let callers = config
@@ -175,7 +175,7 @@
         serve_metrics(
             address,
             entry.metrics.clone(),
-            readings(&entry),
+            operator_hooks(&entry),
             stop.clone(),
         )?;
     }
@@ -183,14 +183,14 @@
     monoio::spawn(server::serve(
         callers,
         entry.closing.clone(),
-        (entry.connections.clone(), entry.config.most_callers()),
+        (entry.connections.clone(), entry.config.max_callers()),
         move |request| serving.clone().handle(request),
     ));
     let answering = entry.clone();
     monoio::spawn(server::serve(
         readiness,
         stop.clone(),
-        (Rc::new(Cell::new(0)), entry.config.most_callers()),
+        (Rc::new(Cell::new(0)), entry.config.max_callers()),
         move |request| {
             let entry = answering.clone();
             async move {
@@ -211,10 +211,10 @@
     Ok(())
 }
 
-/// Gauges of an entry.
-fn readings(entry: &Rc<Entry>) -> Readings {
+/// Creates the operator's interface of an entry, which has gauges only.
+fn operator_hooks(entry: &Rc<Entry>) -> OperatorHooks {
     let entry = entry.clone();
-    Readings::new(move |metrics| {
+    OperatorHooks::new(move |metrics| {
         let size = |count: usize| u64::try_from(count).unwrap_or(u64::MAX);
         metrics.gauge("ready", u64::from(entry.is_ready()));
         metrics.gauge("connections", size(entry.connections.get()));
@@ -223,13 +223,14 @@
     })
 }
 
-/// Ends gracefully: not ready first, then idle connections close, and each request that was read is answered.
+/// Shuts down gracefully: the entry first reports that it is not ready, then closes idle connections, and answers each request that it has
+/// read.
 async fn drain(entry: &Rc<Entry>) {
     let grace_ms = entry.config.grace_ms();
     let now_ms = entry.mesh.now_ms();
     log::info!(entry = &*entry.config.name, connections = entry.connections.get(); "entry drains");
     entry.draining.cancel();
-    let close_ms = now_ms + grace_ms * LAME_PERCENT / 100;
+    let close_ms = now_ms + grace_ms * LAME_DUCK_PERCENT / 100;
     let finish_ms = now_ms + grace_ms * FINISH_PERCENT / 100;
     while entry.mesh.now_ms() < close_ms {
         sleep_ms(POLL_MS).await;
--- a/crates/bh-control/src/mesh/accept.rs
+++ b/crates/bh-control/src/mesh/accept.rs
@@ -1,7 +1,7 @@
-//! The links that others dial to this core.
+//! Inbound links, which other processes dial to this core.
 
 use super::Mesh;
-use super::mesh::SILENCE_MS;
+use super::mesh::LINK_TIMEOUT_MS;
 use bh_net::link;
 use bh_net::link::Opened;
 use bh_net::runtime::sleep_ms;
@@ -21,31 +21,32 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
-/// Wait after a connection could not be taken, in milliseconds: out of descriptors, most likely, and those that close free some.
+/// Time to wait after a connection could not be accepted, in milliseconds. Most likely the process is out of descriptors, and connections
+/// that close free some.
 const ACCEPT_RETRY_MS: u64 = 10;
 
-/// Answer to a call, to come.
+/// Future of the answer to a call.
 pub type Reply = Pin<Box<dyn Future<Output = Vec<u8>>>>;
 
-/// What a core does with what comes over its links.
-pub struct Service {
-    /// Takes a replication message.
+/// Handlers of a core for messages that arrive over its inbound links.
+pub struct LinkHandler {
+    /// Handles a replication message.
     pub deliver: Box<dyn Fn(RaftMessage)>,
     /// Answers a call.
     pub answer: Box<dyn Fn(RpcRequest) -> Reply>,
-    /// What the core says of itself.
+    /// Returns the core's current status.
     pub status: Box<dyn Fn() -> CoreStatus>,
 }
 
-/// The open links, to tell all of them at once when the leader changes.
+/// The open inbound links, so that all can be notified at once when the leader changes.
 #[derive(Default)]
 pub struct Inbound {
     queues: RefCell<Vec<unbounded::Tx<Frame>>>,
 }
 
 impl Inbound {
-    /// Tells everyone linked to this core what it says of itself now.
-    pub fn tell_all(&self, status: &CoreStatus) {
+    /// Sends this core's status to all processes linked to it.
+    pub fn broadcast(&self, status: &CoreStatus) {
         let frame = Frame {
             payload: Some(Payload::Core(status.clone())),
         };
@@ -55,11 +56,11 @@
     }
 }
 
-/// Takes links until the process ends.
+/// Accepts links until the process ends.
 pub async fn accept(
     mesh: Rc<Mesh>,
     listener: TcpListener,
-    service: Rc<Service>,
+    handler: Rc<LinkHandler>,
     inbound: Rc<Inbound>,
 ) {
     while !mesh.stop.is_cancelled() {
@@ -67,38 +68,38 @@
             sleep_ms(ACCEPT_RETRY_MS).await;
             continue;
         };
-        let (mesh, service, inbound) = (mesh.clone(), service.clone(), inbound.clone());
+        let (mesh, handler, inbound) = (mesh.clone(), handler.clone(), inbound.clone());
         monoio::spawn(async move {
             let opening = link::handshake(stream, mesh.hello(), &mesh.key, false);
-            match within_ms(SILENCE_MS, opening).await {
-                Some(Ok(opened)) => serve(mesh, opened, service, inbound).await,
+            match within_ms(LINK_TIMEOUT_MS, opening).await {
+                Some(Ok(opened)) => serve(mesh, opened, handler, inbound).await,
                 _ => {
-                    log::warn!(from = from.to_string(); "a link was not opened: no valid greeting")
+                    log::warn!(from = from.to_string(); "a link was not opened: no valid handshake")
                 }
             }
         });
     }
 }
 
-async fn serve(mesh: Rc<Mesh>, opened: Opened, service: Rc<Service>, inbound: Rc<Inbound>) {
+async fn serve(mesh: Rc<Mesh>, opened: Opened, handler: Rc<LinkHandler>, inbound: Rc<Inbound>) {
     let Opened {
         hello,
         reader,
         writer,
     } = opened;
-    // A core that dials is worth dialling back.
+    // A process with an address is a core; dial it back.
     if let Ok(address) = hello.address.parse() {
-        mesh.learn([address]);
+        mesh.add_cores([address]);
     }
     let (sender, receiver) = unbounded::channel();
     let first = Frame {
-        payload: Some(Payload::Core((service.status)())),
+        payload: Some(Payload::Core((handler.status)())),
     };
     // The receiver is held below, so this cannot fail.
     let _ = sender.send(first);
     inbound.queues.borrow_mut().push(sender.clone());
     monoio::select! {
-        () = read(reader, sender, &service) => {}
+        () = read(reader, sender, &handler) => {}
         () = link::write_frames(writer, receiver, |_| {}) => {}
     }
 }
@@ -106,36 +107,36 @@
 async fn read(
     mut reader: link::Reader<OwnedReadHalf<TcpStream>>,
     queue: unbounded::Tx<Frame>,
-    service: &Rc<Service>,
+    handler: &Rc<LinkHandler>,
 ) {
-    while let Some(Ok(Some(frame))) = within_ms(SILENCE_MS, reader.next()).await {
+    while let Some(Ok(Some(frame))) = within_ms(LINK_TIMEOUT_MS, reader.next()).await {
         match frame.payload {
             Some(Payload::Heartbeat(_)) => {
                 let status = Frame {
-                    payload: Some(Payload::Core((service.status)())),
+                    payload: Some(Payload::Core((handler.status)())),
                 };
                 if queue.send(status).is_err() {
                     return;
                 }
             }
-            Some(Payload::Raft(message)) => (service.deliver)(message),
-            Some(Payload::Request(request)) => answer(request, queue.clone(), service.clone()),
+            Some(Payload::Raft(message)) => (handler.deliver)(message),
+            Some(Payload::Request(request)) => answer(request, queue.clone(), handler.clone()),
             _ => {}
         }
     }
 }
 
-/// Answers a call in a task of its own, so that one that takes long delays no other.
-fn answer(request: RpcRequest, queue: unbounded::Tx<Frame>, service: Rc<Service>) {
+/// Answers a call in a separate task, so that a slow one does not delay others.
+fn answer(request: RpcRequest, queue: unbounded::Tx<Frame>, handler: Rc<LinkHandler>) {
     monoio::spawn(async move {
         let id = request.id;
-        let body = (service.answer)(request).await;
+        let body = (handler.answer)(request).await;
         let reply = RpcReply {
             id,
             body,
             ..RpcReply::default()
         };
-        // The link may have closed meanwhile; the caller then counts the call as lost.
+        // If the link has closed in the meantime, the caller counts the call as lost.
         let _ = queue.send(Frame {
             payload: Some(Payload::Reply(reply)),
         });
--- a/crates/bh-control/src/mesh/peer.rs
+++ b/crates/bh-control/src/mesh/peer.rs
@@ -1,6 +1,6 @@
-//! A core that this process dials.
+//! A core that this process dials, with the link to it.
 
-use super::mesh::FRESH_MS;
+use super::mesh::MAX_CALL_SILENCE_MS;
 use bh_net::link::CallError;
 use bh_net::link::Channel;
 use bh_protocol::wire::CoreStatus;
@@ -16,29 +16,29 @@
 
 /// Another core and the link to it.
 pub struct Peer {
-    /// Where it takes links.
+    /// Address at which it accepts links.
     pub address: SocketAddr,
-    /// Identity of its replica, once it has said hello.
+    /// Id of its replica; 0 before the first handshake.
     pub replica: Cell<u64>,
     /// Its data centre, once it has said hello.
     pub data_centre: RefCell<Arc<str>>,
-    /// What it last said of itself.
+    /// Its last reported status.
     pub status: RefCell<CoreStatus>,
-    /// When that was, on the process's clock in milliseconds.
-    pub heard_ms: Cell<u64>,
+    /// Last contact, on the process's clock in milliseconds.
+    pub last_contact_ms: Cell<u64>,
     pub(super) channel: Channel,
     /// Cancelled while the link is silent.
     silence: RefCell<CancellationToken>,
 }
 
 impl Peer {
-    /// A core without a link yet.
+    /// Creates a core without a link.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
             replica: Cell::new(0),
             status: RefCell::new(CoreStatus::default()),
-            heard_ms: Cell::new(0),
+            last_contact_ms: Cell::new(0),
             data_centre: RefCell::new(Arc::from("")),
             channel: Channel::new(),
             silence: RefCell::new(CancellationToken::new()),
@@ -50,38 +50,38 @@
         self.channel.is_open()
     }
 
-    /// Whether it was heard so lately at `now_ms` that calls may be sent to it.
+    /// Whether the last contact was recent enough at `now_ms` to send calls to the core.
     pub fn is_fresh(&self, now_ms: u64) -> bool {
-        self.is_linked() && now_ms < self.heard_ms.get() + FRESH_MS
+        self.is_linked() && now_ms < self.last_contact_ms.get() + MAX_CALL_SILENCE_MS
     }
 
-    /// Notes at `now_ms` whether the link is silent: calls that wait for an answer on it are told by [`Self::fallen_silent`].
+    /// Checks at `now_ms` whether the link is silent, and wakes the calls that wait in [`Self::until_silent`] if it is.
     pub(super) fn note_silence(&self, now_ms: u64) {
         if !self.is_fresh(now_ms) {
             self.silence.borrow().cancel();
         }
     }
 
-    /// Notes that it was heard at `now_ms`.
-    pub(super) fn note_heard(&self, now_ms: u64) {
-        self.heard_ms.set(now_ms);
+    /// Records contact with the core at `now_ms`.
+    pub(super) fn note_contact(&self, now_ms: u64) {
+        self.last_contact_ms.set(now_ms);
         if self.silence.borrow().is_cancelled() {
             self.silence.replace(CancellationToken::new());
         }
     }
 
-    /// Returns once nothing was heard of it for so long that no call would be sent to it.
-    pub async fn fallen_silent(&self) {
+    /// Returns once the link has been silent for so long that no calls are sent over it.
+    pub async fn until_silent(&self) {
         let silence = self.silence.borrow().clone();
         silence.cancelled().await;
     }
 
-    /// Notes that it said it does not lead; it is asked again once it says otherwise.
+    /// Records that the core answered that it does not lead. It is asked again once it reports that it leads.
     pub fn note_not_leading(&self) {
         self.status.borrow_mut().leads = false;
     }
 
-    /// Sends a replication message, if the link is open and not clogged.
+    /// Sends a replication message if the link is open and its queue is not full.
     pub fn send_raft(&self, message: RaftMessage) {
         self.channel.send_raft(message);
     }
--- a/crates/bh-control/src/observe/serve_metrics.rs
+++ b/crates/bh-control/src/observe/serve_metrics.rs
@@ -1,4 +1,4 @@
-//! Serves the metrics, and what else operators read.
+//! Serves the metrics and the operator's interface.
 
 use super::Metrics;
 use crate::server;
@@ -17,26 +17,26 @@
 use std::rc::Rc;
 use tokio_util::sync::CancellationToken;
 
-/// Readers at a time.
-const MOST_READERS: usize = 16;
+/// Maximum number of connections at a time.
+const MAX_CONNECTIONS: usize = 16;
 /// Path of the metrics.
 const PATH: &str = "/metrics";
 
-/// Answers a call of an operator, if it is one.
+/// Answers a request of an operator, if it is one.
 type OperatorCall = dyn Fn(Request<Bytes>) -> OperatorAnswer;
-/// The answer, once it is known.
+/// Future of the answer; `None` for a request that is not an operator's.
 type OperatorAnswer = Pin<Box<dyn Future<Output = Option<Response<Bytes>>>>>;
 
-/// What a process adds to its metrics when they are read.
-pub struct Readings {
-    /// Sets the gauges that tell the state of this moment.
+/// The operator's interface of a process, served beside its metrics.
+pub struct OperatorHooks {
+    /// Sets the gauges to the current state. Called before the metrics are served.
     pub refresh: Box<dyn Fn(&Metrics)>,
-    /// Answers other calls of operators; `None` for what it does not know.
+    /// Answers requests for other paths; `None` if it does not know the path.
     pub answer: Box<OperatorCall>,
 }
 
-impl Readings {
-    /// Gauges set by `refresh`, and no other calls.
+impl OperatorHooks {
+    /// Creates an interface with gauges set by `refresh` and no other requests.
     pub fn new(refresh: impl Fn(&Metrics) + 'static) -> Self {
         Self {
             refresh: Box::new(refresh),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The same, with `answer` for other calls.
+    /// Adds `answer` for other requests.
     pub fn with_answer<F: Future<Output = Option<Response<Bytes>>> + 'static>(
         mut self,
         answer: impl Fn(Request<Bytes>) -> F + 'static,
@@ -58,23 +58,23 @@
 ///
 /// # Errors
 ///
-/// When the address cannot be listened on.
+/// If the process cannot listen on the address.
 pub fn serve_metrics(
     address: SocketAddr,
     metrics: Rc<Metrics>,
-    readings: Readings,
+    hooks: OperatorHooks,
     stop: CancellationToken,
 ) -> Result<(), Failure> {
     let listener = server::bind(address)?;
-    let readings = Rc::new(readings);
+    let hooks = Rc::new(hooks);
     let handler = move |request: Request<Bytes>| {
-        let (metrics, readings) = (metrics.clone(), readings.clone());
-        async move { answer(&metrics, &readings, request).await }
+        let (metrics, hooks) = (metrics.clone(), hooks.clone());
+        async move { answer(&metrics, &hooks, request).await }
     };
     monoio::spawn(server::serve(
         listener,
         stop,
-        (Rc::new(Cell::new(0)), MOST_READERS),
+        (Rc::new(Cell::new(0)), MAX_CONNECTIONS),
         handler,
     ));
     Ok(())
@@ -82,23 +82,23 @@
 
 async fn answer(
     metrics: &Metrics,
-    readings: &Readings,
+    hooks: &OperatorHooks,
     request: Request<Bytes>,
 ) -> Response<Bytes> {
-    let reads = request.method() == Method::GET;
+    let is_get = request.method() == Method::GET;
     if request.uri().path() != PATH {
-        let missing = if reads {
+        let missing = if is_get {
             StatusCode::NOT_FOUND
         } else {
             StatusCode::METHOD_NOT_ALLOWED
         };
-        let other = (readings.answer)(request).await;
+        let other = (hooks.answer)(request).await;
         return other.unwrap_or_else(|| server::status(missing));
     }
-    if !reads {
+    if !is_get {
         return server::status(StatusCode::METHOD_NOT_ALLOWED);
     }
-    (readings.refresh)(metrics);
+    (hooks.refresh)(metrics);
     let mut response = Response::new(Bytes::from(metrics.text()));
     response.headers_mut().insert(
         header::CONTENT_TYPE,
--- a/crates/bh-node/src/leader/duties.rs
+++ b/crates/bh-node/src/leader/duties.rs
@@ -19,8 +19,8 @@
 use bh_scheduler::Action;
 use bh_scheduler::Event;
 use bh_scheduler::Fragmentation;
+use bh_scheduler::JobRecord;
 use bh_scheduler::Limits;
-use bh_scheduler::Record;
 use bh_scheduler::Scheduler;
 use std::sync::Arc;
 
@@ -116,7 +116,7 @@
             tasks: announcement.tasks.clone(),
         };
         let reports = announcement.tasks.clone();
-        self.task_leases.note_back(&announcement.name);
+        self.task_leases.worker_returned(&announcement.name);
         self.task_leases.note_contact(now_ms, &announcement.name);
         self.registry.announce(now_ms, announcement);
         let actions = self.scheduler.step(now_ms, event);
@@ -141,7 +141,7 @@
         };
         let holds = matches!(report.phase, TaskPhase::Prepared | TaskPhase::Running);
         if holds {
-            if self.scheduler.wants(&key) {
+            if self.scheduler.should_renew_lease(&key) {
                 reply.renewed.push(key);
             } else {
                 reply.stop.push(key);
@@ -189,7 +189,7 @@
         statuses.unwrap_or_default()
     }
 
-    fn status(&self, node: &Node, place: &GroupPlace, number: u64, record: &Record) -> Status {
+    fn status(&self, node: &Node, place: &GroupPlace, number: u64, record: &JobRecord) -> Status {
         let scheduled = self.scheduler.reason_of(number);
         let reason = if record.phase.is_final() || scheduled.is_empty() {
             &*record.reason
@@ -218,13 +218,13 @@
     }
 
     fn fragmentation(&self, place: &GroupPlace) -> FragmentationReport {
-        let cells = self.scheduler.cells();
-        let live = || cells.workers().iter().filter(|worker| worker.alive);
+        let inventory = self.scheduler.inventory();
+        let live = || inventory.workers().iter().filter(|worker| worker.alive);
         let guarantees = self.scheduler.guarantees();
         let mut shapes = self.scheduler.queued_shapes();
         shapes.extend(guarantees.cells().iter().map(|cell| cell.shape));
         let rows = shapes.into_iter().map(|shape| {
-            let fragmentation = Fragmentation::new(cells, &shape);
+            let fragmentation = Fragmentation::new(inventory, &shape);
             ShapeFragmentation {
                 shape,
                 usable: fragmentation.usable,
--- a/crates/bh-node/src/leader/jobs_group.rs
+++ b/crates/bh-node/src/leader/jobs_group.rs
@@ -142,8 +142,8 @@
         let now_ms = node.clock.now_ms();
         let lost = match self.duties.borrow_mut().as_mut() {
             Some(duties) => {
-                let gone = duties.registry.take_gone(now_ms);
-                duties.task_leases.note_gone(now_ms, &gone)
+                let gone = duties.registry.take_expired_targets(now_ms);
+                duties.task_leases.expire_workers(now_ms, &gone)
             }
             None => return,
         };
@@ -199,7 +199,7 @@
     }
 }
 
-fn recorded_job(node: &Node, job: u64, record: &bh_scheduler::Record) -> RecordedJob {
+fn recorded_job(node: &Node, job: u64, record: &bh_scheduler::JobRecord) -> RecordedJob {
     let age_ms = node
         .clock
         .wall_ms()
--- a/crates/bh-scheduler/src/fragmentation.rs
+++ b/crates/bh-scheduler/src/fragmentation.rs
@@ -1,6 +1,6 @@
-//! How much of the free accelerators cannot serve the shapes that are wanted.
+//! The share of free accelerators that a shape can't use.
 
-use crate::cells::Cells;
+use crate::inventory::Inventory;
 use bh_protocol::shape::Adjacency;
 use bh_protocol::shape::Shape;
 use serde::Serialize;
@@ -8,19 +8,19 @@
 /// Fragmentation for one shape.
 ///
 /// `value = 1 - usable / free`, where `free` counts all free accelerators and `usable` those that whole copies of the
-/// shape could take, packed greedily. 0 means every free accelerator can serve the shape, 1 that none can.
+/// shape could use, packed greedily. 0 means that the shape can use every free accelerator, 1 that it can use none.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Fragmentation {
     /// Free accelerators.
     pub free: u32,
-    /// Free accelerators that whole copies of the shape could take.
+    /// Free accelerators that whole copies of the shape could use.
     pub usable: u32,
 }
 
 impl Fragmentation {
-    /// Fragmentation of the live workers of `cells` for `shape`.
-    pub fn new(cells: &Cells, shape: &Shape) -> Self {
-        let free = cells
+    /// Computes the fragmentation for `shape` over the live workers.
+    pub fn new(inventory: &Inventory, shape: &Shape) -> Self {
+        let free = inventory
             .workers()
             .iter()
             .filter(|worker| worker.alive)
@@ -28,11 +28,11 @@
             .sum();
         Self {
             free,
-            usable: copies(cells, shape) * shape.accelerators(),
+            usable: copies(inventory, shape) * shape.accelerators(),
         }
     }
 
-    /// The share of free accelerators that cannot serve the shape, from 0 to 1.
+    /// The share of free accelerators that the shape can't use, from 0 to 1.
     pub fn value(&self) -> f64 {
         if self.free == 0 {
             0.0
@@ -42,10 +42,10 @@
     }
 }
 
-/// Copies of the shape that fit into the free accelerators.
-fn copies(cells: &Cells, shape: &Shape) -> u32 {
+/// Number of copies of the shape that fit into the free accelerators.
+fn copies(inventory: &Inventory, shape: &Shape) -> u32 {
     let tasks_on = |id: &u32| {
-        let worker = cells.worker(*id);
+        let worker = inventory.worker(*id);
         if worker.alive {
             worker.free() / shape.accelerators_per_task.max(1)
         } else {
@@ -55,19 +55,19 @@
     let in_rack = |workers: &[u32]| -> u32 { workers.iter().map(tasks_on).sum() };
     let tasks = shape.tasks.max(1);
     match shape.adjacent {
-        Adjacency::Worker => cells
+        Adjacency::Worker => inventory
             .racks()
             .iter()
             .flat_map(|rack| &rack.workers)
             .map(|id| tasks_on(id) / tasks)
             .sum(),
-        Adjacency::Rack => cells
+        Adjacency::Rack => inventory
             .racks()
             .iter()
             .map(|rack| in_rack(&rack.workers) / tasks)
             .sum(),
         Adjacency::DataCentre => {
-            cells
+            inventory
                 .racks()
                 .iter()
                 .map(|rack| in_rack(&rack.workers))
--- a/crates/bh-scheduler/src/lib.rs
+++ b/crates/bh-scheduler/src/lib.rs
@@ -1,34 +1,34 @@
-//! Gangs, guarantees, placement and reclaim, as pure decision code.
+//! Gang scheduling, guaranteed capacity, placement and reclaim, as pure decision code without I/O.
 //!
-//! [`Scheduler`] runs on the leader of a data centre's group: it takes the time and an [`Event`] and returns
-//! [`Action`]s. [`Table`] is the replicated record of the jobs: what is in it survives the leader.
+//! [`Scheduler`] runs on the leader of a data centre's group. It takes the current time and an [`Event`] and returns
+//! [`Action`]s. [`JobTable`] is the replicated table of jobs, which outlives any leader.
 
 mod action;
-mod cells;
 mod event;
 mod fragmentation;
 mod guarantees;
 mod health;
+mod inventory;
 mod job;
+mod job_table;
 mod limits;
 mod placement;
 mod runtimes;
 mod scheduler;
-mod table;
 
 pub use action::Action;
-pub use cells::Cells;
-pub use cells::WorkerCell;
 pub use event::Event;
 pub use event::RecordedJob;
 pub use fragmentation::Fragmentation;
-pub use guarantees::Cell;
+pub use guarantees::GuaranteedCell;
 pub use guarantees::Guarantees;
+pub use inventory::Inventory;
+pub use inventory::Worker;
 pub use job::State;
+pub use job_table::Command;
+pub use job_table::JobRecord;
+pub use job_table::JobTable;
+pub use job_table::Outcome;
 pub use limits::Limits;
 pub use placement::Search;
 pub use scheduler::Scheduler;
-pub use table::Command;
-pub use table::Outcome;
-pub use table::Record;
-pub use table::Table;
--- a/crates/bh-workload/src/dispatch/answers.rs
+++ b/crates/bh-workload/src/dispatch/answers.rs
@@ -1,10 +1,10 @@
-//! What a worker's answers mean for its runs.
+//! Applies a worker's answers to its runs.
 
 use super::Answer;
 use super::Denial;
 use super::Order;
 use super::Report;
-use super::RunWatch;
+use super::RunState;
 use super::StartPhase;
 use super::StopPhase;
 use super::Target;
@@ -18,12 +18,12 @@
 use crate::state::Workload;
 use bh_protocol::Incarnation;
 
-/// Ends as a command, with the time left for the caller to fill in.
+/// The command that records `ends`, if there are any. The caller fills in the time.
 fn ends_command(ends: Vec<End>) -> Option<Command> {
     (!ends.is_empty()).then(|| Command::ends(ends))
 }
 
-/// Takes the answer to a start order; returns what must be recorded.
+/// Processes the answer to a start order; returns what must be recorded.
 pub(super) fn note_start(
     now_ms: u64,
     target: &mut Target,
@@ -31,7 +31,7 @@
     worker: &Incarnation,
     answer: &Answer,
 ) -> Option<Command> {
-    let watch = target.runs.get_mut(&run)?;
+    let run_state = target.runs.get_mut(&run)?;
     let not_started = End {
         run,
         worker: worker.clone(),
@@ -40,20 +40,20 @@
     };
     match answer {
         Answer::Done { .. } => {
-            watch.start = StartPhase::Confirmed { at_ms: now_ms };
+            run_state.start = StartPhase::Confirmed { at_ms: now_ms };
             None
         }
-        // Nothing was sent: a gang, or another worker, need not wait for the end of a lease.
-        Answer::NotListening if !watch.may_have_begun() => {
-            watch.settled = true;
+        // Nothing was sent, so the run ends now: its gang or its next attempt need not wait until the lease expires.
+        Answer::NotListening if !run_state.may_have_started() => {
+            run_state.recording_end = true;
             ends_command(vec![not_started])
         }
-        // The run was there: its end is listed, or it is fenced off for good. The next look tells which.
+        // The worker has had the run: its end is listed, or the worker refuses it for good. The next probe tells which.
         Answer::Denied {
             denial: Denial::Outdated,
             ..
         } => {
-            watch.start = StartPhase::Confirmed { at_ms: now_ms };
+            run_state.start = StartPhase::Confirmed { at_ms: now_ms };
             None
         }
         Answer::Denied {
@@ -65,36 +65,36 @@
         | Answer::CarrierLost
         | Answer::OtherIncarnation
         | Answer::Restarted { .. } => {
-            watch.start = StartPhase::Unsure {
+            run_state.start = StartPhase::Unsure {
                 retry_ms: now_ms + RETRY_MS,
             };
-            watch.was_unsure = true;
+            run_state.was_unconfirmed = true;
             None
         }
         Answer::Denied { denial, .. } => {
-            watch.was_unsure = watch.may_have_begun();
-            let was_unsure = watch.was_unsure;
-            watch.start = StartPhase::Unsure {
+            run_state.was_unconfirmed = run_state.may_have_started();
+            let was_unconfirmed = run_state.was_unconfirmed;
+            run_state.start = StartPhase::Unsure {
                 retry_ms: now_ms + RETRY_MS,
             };
-            watch.give_up = !was_unsure;
-            watch.refused_ms = was_unsure.then_some(now_ms);
+            run_state.stop_requested = !was_unconfirmed;
+            run_state.start_refused_ms = was_unconfirmed.then_some(now_ms);
             if *denial == Denial::Unhealthy || *denial == Denial::NoRoom {
                 target.set_aside(now_ms);
             }
             // An earlier send may have been carried out: the next report tells, or a confirmed stop.
-            if was_unsure {
+            if was_unconfirmed {
                 return None;
             }
-            if let Some(watch) = target.runs.get_mut(&run) {
-                watch.settled = true;
+            if let Some(run_state) = target.runs.get_mut(&run) {
+                run_state.recording_end = true;
             }
             ends_command(vec![not_started])
         }
     }
 }
 
-/// Takes a worker's report; returns the ends to record.
+/// Processes a worker's report; returns the ends to record.
 pub(super) fn note_report(
     now_ms: u64,
     order: &Order,
@@ -103,27 +103,27 @@
     report: &Report,
 ) -> Option<Command> {
     for running in &report.running {
-        if let Some(watch) = target.runs.get_mut(&running.run) {
-            if !matches!(watch.start, StartPhase::Confirmed { .. }) {
-                watch.start = StartPhase::Confirmed { at_ms: now_ms };
+        if let Some(run_state) = target.runs.get_mut(&running.run) {
+            if !matches!(run_state.start, StartPhase::Confirmed { .. }) {
+                run_state.start = StartPhase::Confirmed { at_ms: now_ms };
             }
-            if running.percent != watch.percent {
-                watch.percent = running.percent;
-                watch.progress_ms = now_ms;
+            if running.percent != run_state.percent {
+                run_state.percent = running.percent;
+                run_state.progress_ms = now_ms;
             }
-            watch.seen_ms = Some(now_ms);
-            watch.load = running.load;
+            run_state.last_reported_ms = Some(now_ms);
+            run_state.load = running.load;
             if running.checkpoint.is_some() {
-                watch.checkpoint = running.checkpoint.clone();
+                run_state.checkpoint = running.checkpoint.clone();
             }
         } else if !worker.runs.contains_key(&running.run) {
-            // Nothing recorded: a copy of an order that came after its run had been given up. It is stopped like any other.
-            let mut watch = RunWatch::new(StartPhase::Confirmed { at_ms: now_ms }, now_ms);
-            watch.give_up = true;
-            target.runs.insert(running.run, watch);
+            // The run is not recorded: a delayed copy of its start order arrived after the run had ended. It is stopped like any other run.
+            let mut run_state = RunState::new(StartPhase::Confirmed { at_ms: now_ms }, now_ms);
+            run_state.stop_requested = true;
+            target.runs.insert(running.run, run_state);
         }
     }
-    pacing::adjust(now_ms, target, worker, workload);
+    pacing::adjust_fill_pace(now_ms, target, worker, workload);
     let mut ends: Vec<End> = Vec::new();
     for ended in &report.ended {
         if ended.number <= target.recorded_to {
@@ -134,29 +134,29 @@
             EndKind::Failed => target.note_failure(now_ms, ended.run.task.step.job),
             _ => {}
         }
-        let seen = target
+        let last_checkpoint = target
             .runs
             .get(&ended.run)
-            .and_then(|watch| watch.checkpoint.clone());
+            .and_then(|run_state| run_state.checkpoint.clone());
         ends.push(End {
             run: ended.run,
             worker: order.to.worker.clone(),
             kind: ended.kind,
-            checkpoint: ended.checkpoint.clone().or(seen),
+            checkpoint: ended.checkpoint.clone().or(last_checkpoint),
         });
     }
     if !report.more {
-        ends.extend(missing(order, target, worker, report));
+        ends.extend(ends_of_missing_runs(order, target, worker, report));
     }
     target.runs.retain(|run, _| {
         worker.runs.contains_key(run) || report.running.iter().any(|r| r.run == *run)
     });
-    let newest = report.ended.last().map_or(0, |ended| ended.number);
+    let last_number = report.ended.last().map_or(0, |ended| ended.number);
     let late_failures = late_failures(target, report);
     if ends.is_empty() {
         return None;
     }
-    target.recording_to = Some(newest);
+    target.recording_to = Some(last_number);
     Some(Command::Ends {
         ends,
         now_ms: 0,
@@ -165,28 +165,37 @@
     })
 }
 
-/// Listed failures of runs that had been taken to be over. They count like any other: a gang that fails whenever it runs would be begun once too often.
-/// But those whose lease has run out since count as lost with it, for the worker too. Before its first grant a leader does not know that.
+/// Reported failures of runs that are recorded as lost. They count like any other failure: otherwise a gang that always fails would be
+/// started once too often. A failure does not count if the lease has expired since, because the run then counts as lost with it, for the
+/// worker too. Before its first grant a leader does not know whether the lease has expired.
 fn late_failures(target: &mut Target, report: &Report) -> Vec<RunId> {
     let failed = |run: &RunId| {
         let mut ended = report.ended.iter();
         ended.any(|ended| ended.run == *run && ended.kind == EndKind::Failed)
     };
-    // What is listed is kept until that is recorded: the plan counts it as a possible failure until then.
-    target.unsaid.retain(|run| {
-        let runs = report.running.iter().any(|running| running.run == *run);
-        runs || report.ended.iter().any(|ended| ended.run == *run)
+    // A listed run is kept until its end is recorded: until then the planner counts it as a possible failure.
+    target.presumed_lost.retain(|run| {
+        let is_running = report.running.iter().any(|running| running.run == *run);
+        is_running || report.ended.iter().any(|ended| ended.run == *run)
     });
-    let in_lease = target.granted_ms == 0
+    let in_lease = target.granted_until_ms == 0
         || target
             .clock
-            .is_some_and(|clock| clock.worker_ms <= target.granted_ms);
-    let unsaid = target.unsaid.iter().copied();
-    unsaid.filter(|run| in_lease && failed(run)).collect()
+            .is_some_and(|clock| clock.worker_ms <= target.granted_until_ms);
+    let presumed_lost = target.presumed_lost.iter().copied();
+    presumed_lost
+        .filter(|run| in_lease && failed(run))
+        .collect()
 }
 
-/// Runs that the worker neither runs nor lists as ended though it must: it had confirmed the start, or a stop, before it was looked at.
-fn missing(order: &Order, target: &Target, worker: &Worker, report: &Report) -> Vec<End> {
+/// Ends of runs that the worker reports neither as running nor as ended, although it had confirmed the start or a stop before the probe was
+/// sent.
+fn ends_of_missing_runs(
+    order: &Order,
+    target: &Target,
+    worker: &Worker,
+    report: &Report,
+) -> Vec<End> {
     let listed = |run: &RunId| {
         report.running.iter().any(|running| running.run == *run)
             || report.ended.iter().any(|ended| ended.run == *run)
@@ -195,18 +204,18 @@
         .runs
         .iter()
         .filter(|(run, _)| worker.runs.contains_key(run) && !listed(run))
-        .filter(|(_, watch)| {
+        .filter(|(_, run_state)| {
             let stopped =
-                matches!(watch.stop, StopPhase::Confirmed { at_ms } if at_ms < order.sent_ms);
+                matches!(run_state.stop, StopPhase::Confirmed { at_ms } if at_ms < order.sent_ms);
             let started =
-                matches!(watch.start, StartPhase::Confirmed { at_ms } if at_ms < order.sent_ms);
+                matches!(run_state.start, StartPhase::Confirmed { at_ms } if at_ms < order.sent_ms);
             stopped || started
         })
-        .map(|(run, watch)| End {
+        .map(|(run, run_state)| End {
             run: *run,
             worker: order.to.worker.clone(),
             kind: EndKind::NotStarted,
-            checkpoint: watch.checkpoint.clone(),
+            checkpoint: run_state.checkpoint.clone(),
         })
         .collect()
 }
--- a/crates/bh-workload/src/dispatch/restart.rs
+++ b/crates/bh-workload/src/dispatch/restart.rs
@@ -2,11 +2,11 @@
 
 use super::Order;
 use super::Report;
-use super::RunWatch;
+use super::RunState;
 use super::StopPhase;
 use super::Target;
 use super::crash::suspects;
-use super::departure::departure;
+use super::departure::gone_command;
 use super::departure::is_leaving;
 use crate::job::RunId;
 use crate::state::Command;
@@ -18,8 +18,8 @@
 
 /// State kept after another incarnation of a worker answered in place of the recorded one.
 ///
-/// Both incarnations accept orders at the same address under the same id, so an order for the earlier one that is still in transit is carried out by
-/// the later one.
+/// Both incarnations accept orders at the same address under the same id, so an order for the earlier one that is still in flight is
+/// carried out by the later one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Restart {
     /// Start time of the later incarnation, in milliseconds since 1970 by the worker's clock.
@@ -34,9 +34,9 @@
 
 /// Processes a report of a later incarnation of a worker; returns what must be recorded.
 ///
-/// The recorded incarnation and its runs have ended. However, a start order for one of these runs may have reached the later incarnation, or may still
-/// reach it. Such a run is over only once the later incarnation has confirmed a stop of it, which makes it refuse later start orders for the run, and
-/// no longer reports it as running.
+/// The recorded incarnation and its runs have ended. However, a start order for one of these runs may have reached the later incarnation,
+/// or may still reach it. Such a run has ended only once the later incarnation has confirmed a stop of it, which makes it refuse later
+/// start orders for the run, and no longer reports it as running.
 pub(super) fn note_restart(
     now_ms: u64,
     order: &Order,
@@ -44,8 +44,8 @@
     (id, workload): (&Incarnation, &Workload),
     (started_ms, report): (u64, &Report),
 ) -> Option<Command> {
-    /// Interval between looks at the later incarnation, in milliseconds.
-    const LOOK_INTERVAL_MS: u64 = 50;
+    /// Interval between probes of the later incarnation, in milliseconds.
+    const PROBE_INTERVAL_MS: u64 = 50;
     let is_new_restart = target
         .restart
         .as_ref()
@@ -55,8 +55,8 @@
             Some(restart) => restart.suspects,
             None => suspects(now_ms, target, workload, is_leaving(id, workload)),
         };
-        for watch in target.runs.values_mut() {
-            watch.stop = StopPhase::None;
+        for run_state in target.runs.values_mut() {
+            run_state.stop = StopPhase::None;
         }
         target.restart = Some(Restart {
             started_ms,
@@ -73,7 +73,7 @@
     restart
         .reported_runs
         .extend(running.clone().chain(ended).filter(is_recorded));
-    target.next_look_ms = now_ms + LOOK_INTERVAL_MS;
+    target.next_probe_ms = now_ms + PROBE_INTERVAL_MS;
     let ends: Vec<End> = report
         .ended
         .iter()
@@ -89,13 +89,13 @@
         return Some(Command::ends(ends));
     }
     let running: BTreeSet<RunId> = running.collect();
-    let is_over = |(run, watch): (&RunId, &RunWatch)| {
+    let is_over = |(run, run_state): (&RunId, &RunState)| {
         let is_stopped =
-            matches!(watch.stop, StopPhase::Confirmed { at_ms } if at_ms < order.sent_ms);
+            matches!(run_state.stop, StopPhase::Confirmed { at_ms } if at_ms < order.sent_ms);
         !is_recorded(run)
-            || !watch.may_reach_later_incarnation()
+            || !run_state.may_reach_later_incarnation()
             || is_stopped && !running.contains(run)
     };
-    let all_over = target.runs.iter().all(is_over);
-    (all_over && target.note_gone(now_ms)).then(|| departure(now_ms, id, target, workload))
+    let all_are_over = target.runs.iter().all(is_over);
+    (all_are_over && target.note_gone(now_ms)).then(|| gone_command(now_ms, id, target, workload))
 }
--- a/crates/bh-workload/src/plan/collect.rs
+++ b/crates/bh-workload/src/plan/collect.rs
@@ -216,7 +216,7 @@
 /// a worker has crashed go first, without the others.
 fn waiting_tasks(progress: &Step, spec: &StepSpec) -> (Vec<u32>, Vec<u32>) {
     if spec.gang {
-        if !progress.gang_waits() {
+        if !progress.is_gang_waiting() {
             return (Vec::new(), Vec::new());
         }
         let attempt = progress.next_gang_attempt();
--- a/crates/bh-workload/src/plan/disruption_budget.rs
+++ b/crates/bh-workload/src/plan/disruption_budget.rs
@@ -1,7 +1,7 @@
 //! Limits on how many tasks of a service are unavailable at the same time.
 
 use crate::dispatch::Dispatcher;
-use crate::dispatch::RunWatch;
+use crate::dispatch::RunState;
 use crate::dispatch::StartPhase;
 use crate::job::RunId;
 use crate::job::StepId;
@@ -70,10 +70,10 @@
     }
 
     fn is_available(&self, run: RunId) -> bool {
-        let at_work = |watch: &RunWatch| {
-            watch.percent >= READY_PERCENT
-                && !watch.give_up
-                && matches!(watch.start, StartPhase::Confirmed { .. })
+        let at_work = |run_state: &RunState| {
+            run_state.percent >= READY_PERCENT
+                && !run_state.stop_requested
+                && matches!(run_state.start, StartPhase::Confirmed { .. })
         };
         let watched = self
             .workload
--- a/crates/bh-workload/src/plan/leaving.rs
+++ b/crates/bh-workload/src/plan/leaving.rs
@@ -4,7 +4,7 @@
 use super::collect::lateness_value;
 use super::collect::objective_ms;
 use crate::dispatch::Dispatcher;
-use crate::dispatch::RunWatch;
+use crate::dispatch::RunState;
 use crate::dispatch::StartPhase;
 use crate::job::RunId;
 use crate::state::Worker;
@@ -55,12 +55,15 @@
             return Vec::new();
         };
         // A worker that does not answer can't be told to stop anything.
-        let Some(leaves_ms) = target.leaves_ms.filter(|_| !target.is_failing()) else {
+        let Some(runs_until_ms) = target.runs_until_ms.filter(|_| !target.is_silent()) else {
             return Vec::new();
         };
         let is_cut_short = |run: &RunId| {
-            let watch = target.runs.get(run).filter(|watch| !watch.give_up);
-            watch.is_some_and(|watch| self.is_cut_short(*run, watch, leaves_ms))
+            let run_state = target
+                .runs
+                .get(run)
+                .filter(|run_state| !run_state.stop_requested);
+            run_state.is_some_and(|run_state| self.is_cut_short(*run, run_state, runs_until_ms))
         };
         let runs = worker.runs.keys().copied();
         runs.filter(is_cut_short)
@@ -68,7 +71,7 @@
             .collect()
     }
 
-    fn is_cut_short(&self, run: RunId, watch: &RunWatch, leaves_ms: u64) -> bool {
+    fn is_cut_short(&self, run: RunId, run_state: &RunState, runs_until_ms: u64) -> bool {
         let Some(job) = self.workload.job(run.task.step.job) else {
             return false;
         };
@@ -76,18 +79,18 @@
         let Some(spec) = spec.filter(|spec| spec.gang && !spec.long_running) else {
             return false;
         };
-        if !job.wants(run) {
+        if !job.should_run(run) {
             return false;
         }
         let queue = &job.queue.name;
         let usual_ms = self.runtimes.expected_ms(queue, run.task.step, spec);
-        if expected_end_ms(self.now_ms, watch, usual_ms) <= leaves_ms {
+        if expected_end_ms(self.now_ms, run_state, usual_ms) <= runs_until_ms {
             return false;
         }
         let timing = self.dispatcher.timing();
         let restarted_end_ms = self.wall_ms + timing.stop_timeout_ms + usual_ms;
         let lost_end_ms =
-            self.wall_ms + leaves_ms.saturating_sub(self.now_ms) + timing.lease_ms + usual_ms;
+            self.wall_ms + runs_until_ms.saturating_sub(self.now_ms) + timing.lease_ms + usual_ms;
         let queue = self.workload.queue_of(job);
         let objective_ms = objective_ms(run.task.step.job, job, queue, self.runtimes);
         let ready_ms = job
@@ -101,14 +104,14 @@
 
 /// Returns when a run is expected to end, on the leader's clock in milliseconds: by its pace so far if that is known, else by the usual run
 /// time.
-fn expected_end_ms(now_ms: u64, watch: &RunWatch, usual_ms: u64) -> u64 {
-    let started_ms = match watch.start {
+fn expected_end_ms(now_ms: u64, run_state: &RunState, usual_ms: u64) -> u64 {
+    let started_ms = match run_state.start {
         StartPhase::Confirmed { at_ms } => at_ms,
         _ => now_ms,
     };
-    if watch.percent >= MIN_PACE_PERCENT && !watch.was_unsure {
-        let reported_ms = watch.progress_ms.saturating_sub(started_ms);
-        return started_ms + reported_ms * 100 / watch.percent;
+    if run_state.percent >= MIN_PACE_PERCENT && !run_state.was_unconfirmed {
+        let reported_ms = run_state.progress_ms.saturating_sub(started_ms);
+        return started_ms + reported_ms * 100 / run_state.percent;
     }
     started_ms + usual_ms
 }
--- a/crates/bh-workload/src/plan/room.rs
+++ b/crates/bh-workload/src/plan/room.rs
@@ -4,9 +4,9 @@
 use super::Unit;
 use super::UnusableReason;
 use crate::dispatch::Dispatcher;
-use crate::dispatch::RunWatch;
+use crate::dispatch::RunState;
 use crate::dispatch::Target;
-use crate::dispatch::apart_ms;
+use crate::dispatch::isolation_ms;
 use crate::job::Resources;
 use crate::job::StepId;
 use crate::state::Task;
@@ -34,11 +34,11 @@
             suspect: false,
         };
         for run in worker.runs.keys() {
-            let watch = target.and_then(|target| target.runs.get(run));
-            let at_work_ms = watch.map_or(0, RunWatch::at_work_ms);
+            let run_state = target.and_then(|target| target.runs.get(run));
+            let run_time_ms = run_state.map_or(0, RunState::run_time_ms);
             let crashes = workload.task(run.task).map_or(0, Task::all_crashes);
-            recent.any |= watch.is_none_or(RunWatch::has_just_begun);
-            recent.suspect |= at_work_ms < apart_ms(crashes);
+            recent.any |= run_state.is_none_or(RunState::has_just_started);
+            recent.suspect |= run_time_ms < isolation_ms(crashes);
         }
         recent
     }
@@ -94,7 +94,7 @@
 fn too_many_set_aside(workload: &Workload, dispatcher: &Dispatcher, now_ms: u64) -> bool {
     /// Maximum share of workers that are plausibly at fault at the same time, in percent.
     const MAX_SET_ASIDE_PERCENT: usize = 34;
-    dispatcher.count_aside(now_ms) * 100 > workload.worker_count() * MAX_SET_ASIDE_PERCENT
+    dispatcher.count_set_aside(now_ms) * 100 > workload.worker_count() * MAX_SET_ASIDE_PERCENT
 }
 
 /// Returns why the worker behind `target` gets no new work, judged by its answers to orders and probes.
@@ -103,7 +103,7 @@
     dispatcher: &Dispatcher,
     now_ms: u64,
 ) -> Option<UnusableReason> {
-    if target.is_failing() || target.carrier_lost {
+    if target.is_silent() || target.carrier_lost {
         Some(UnusableReason::Silent)
     } else if !target.answers() {
         Some(UnusableReason::Unheard)
@@ -171,7 +171,7 @@
             reserved_capacity: Resources::default(),
             held_for_gangs: Resources::default(),
             runs,
-            fill_percent: view.map_or(100, |target| target.filling.percent()),
+            fill_percent: view.map_or(100, |target| target.fill_pace.percent()),
             urgent_only: false,
             has_recent_start: recent.any,
             cold: view.is_some_and(|target| now_ms < target.cold_until_ms),
--- a/crates/bh-workload/tests/delays/leader.rs
+++ b/crates/bh-workload/tests/delays/leader.rs
@@ -109,9 +109,11 @@
         leader.turn_ms = now_ms + TURN_MS;
         self.push(leader.turn_ms, Event::Turn { term });
         if leader.deposed.is_none() {
-            let news = self.record.take_news();
-            leader.plan_due |= news.plan;
-            leader.dispatcher.note_news(now_ms, &news, &self.record);
+            let record_events = self.record.take_events();
+            leader.plan_due |= record_events.plan;
+            leader
+                .dispatcher
+                .note_events(now_ms, &record_events, &self.record);
         }
         let all = now_ms >= leader.swept_ms + SWEEP_MS;
         if all {
@@ -166,7 +168,7 @@
             .planner
             .plan(now_ms, wall_ms, &self.record, &leader.dispatcher);
         for (worker, run) in &plan.evictions {
-            leader.dispatcher.give_up(worker, *run);
+            leader.dispatcher.request_stop(worker, *run);
         }
         if !plan.starts.is_empty() {
             leader.planning = true;
@@ -298,7 +300,7 @@
                 .note_ends(now_ms, ends, record, &leader.dispatcher);
         }
         if let Some(command) = command {
-            let is_look = matches!(order.body, OrderBody::Look { .. });
+            let is_look = matches!(order.body, OrderBody::Probe { .. });
             let listed_to = leader.dispatcher.recording_to(&order.to.worker);
             let listed_to = listed_to.filter(|_| is_look);
             self.propose(&leader, command, listed_to);
@@ -372,11 +374,11 @@
         let bytes = machine.snapshot().unwrap();
         machine.restore(&bytes).unwrap();
         self.record = machine.read().clone();
-        self.record.take_news();
+        self.record.take_events();
         let (term, now_ms) = (self.term, self.now_ms);
         let mut dispatcher = Dispatcher::new(self.fleet().timing, term, now_ms, &self.record);
         if gap_ms > SHORT_GAP_MS {
-            dispatcher = dispatcher.with_old_record();
+            dispatcher = dispatcher.with_outdated_worker_info();
         }
         self.note(|| format!("core{core} leads in term {term}"));
         self.leader = Some(Leader {
@@ -427,8 +429,8 @@
             let own: Vec<String> = runs
                 .filter(|run| run.task.step.job == job)
                 .map(|run| {
-                    let watch = target.and_then(|target| target.runs.get(run));
-                    format!("{run}: {watch:?}")
+                    let run_state = target.and_then(|target| target.runs.get(run));
+                    format!("{run}: {run_state:?}")
                 })
                 .collect();
             if own.is_empty() {
@@ -496,7 +498,7 @@
         };
         for worker in self.record.workers() {
             for run in worker.runs.keys().filter(|run| run.task.step.job == *id) {
-                leader.dispatcher.give_up(&worker.info.id, *run);
+                leader.dispatcher.request_stop(&worker.info.id, *run);
             }
         }
     }
--- a/crates/bh-workload/tests/leaving_workers.rs
+++ b/crates/bh-workload/tests/leaving_workers.rs
@@ -39,7 +39,7 @@
         .note_leaving(site.now_ms, &worker, leaves_in_ms);
     let leaves = WorkerChange::Draining(worker.clone());
     site.workload.apply(Command::Workers(vec![leaves]));
-    site.take_news();
+    site.take_events();
     (site, worker, run)
 }
 
@@ -59,7 +59,7 @@
     let (mut site, worker, run) = with_notice(gang(), 2_000);
     let cut = cut_short(&site);
     assert_eq!(cut, [(worker.clone(), run)]);
-    site.dispatcher.give_up(&worker, run);
+    site.dispatcher.request_stop(&worker, run);
     assert!(cut_short(&site).is_empty(), "once");
     let orders = site.orders();
     let stops = |order: &bh_workload::dispatch::Order| order.body == OrderBody::Stop { run };
@@ -123,13 +123,13 @@
     let worker = site.open_runs()[0].0.clone();
     let leaves = WorkerChange::Draining(worker);
     site.workload.apply(Command::Workers(vec![leaves]));
-    site.take_news();
+    site.take_events();
     assert!(cut_short(&site).is_empty());
 }
 
 fn leave(site: &mut Site, worker: &Incarnation) -> Option<Command> {
     site.dispatcher
-        .note_left(site.now_ms, worker, &site.workload)
+        .note_announced_end(site.now_ms, worker, &site.workload)
 }
 
 /// Nothing listens at a worker's address any more when its word comes that it ends: it is gone at once.
@@ -219,7 +219,7 @@
     site.answer_for(&worker, &Answer::Lost);
     let leaves = WorkerChange::Draining(worker);
     site.workload.apply(Command::Workers(vec![leaves]));
-    site.take_news();
+    site.take_events();
     for _ in 0..10 {
         site.advance(400);
         let orders = site.orders();
--- a/crates/bh-workload/tests/lost_carriers.rs
+++ b/crates/bh-workload/tests/lost_carriers.rs
@@ -29,13 +29,13 @@
     let mut orders = orders(site);
     assert_eq!(orders.len(), 1, "{orders:?}");
     let order = orders.remove(0);
-    assert!(matches!(order.body, OrderBody::Look { .. }));
+    assert!(matches!(order.body, OrderBody::Probe { .. }));
     order
 }
 
 fn lease_of(order: &Order) -> Option<u64> {
     match order.body {
-        OrderBody::Look { lease_until_ms, .. } => lease_until_ms,
+        OrderBody::Probe { lease_until_ms, .. } => lease_until_ms,
         _ => None,
     }
 }
@@ -73,7 +73,7 @@
     let on = going_on(&site, run);
     answer(&mut site, &second, &on);
     let target = site.dispatcher.view(&worker_id("w00")).unwrap();
-    assert!(target.answers() && !target.is_failing());
+    assert!(target.answers() && !target.is_silent());
 }
 
 /// Carriers are lost again and again, each after it has sent the look on. The worker hears every look, and nobody hears the worker: a lease that
--- a/crates/bh-workload/tests/runnable.rs
+++ b/crates/bh-workload/tests/runnable.rs
@@ -139,7 +139,7 @@
 
 fn give_it_up(site: &mut Site, worker: &Incarnation, run: RunId) {
     confirm(site, worker, run);
-    site.dispatcher.give_up(worker, run);
+    site.dispatcher.request_stop(worker, run);
 }
 
 fn end_it_without_a_record(site: &mut Site, _: &Incarnation, run: RunId) {
@@ -207,7 +207,7 @@
     let plan = site.plan();
     assert_eq!(wait(&site, job), WaitReason::StartRecording);
     site.workload.apply(Command::Starts(plan.starts));
-    site.take_news();
+    site.take_events();
     let phase = RunPhase::Unsent;
     assert_eq!(wait(&site, job), WaitReason::Ordered { phase });
 }
@@ -242,14 +242,14 @@
     let worker = worker.info.id.clone();
     match why {
         UnusableReason::Unheard => {
-            let said_ms = site.now_ms;
+            let info_ms = site.now_ms;
             site.now_ms += Timing::DEFAULT.current_ms() + 1;
             for (other, _) in site.open_runs() {
                 site.dispatcher
                     .note_heartbeat(site.now_ms, &other, Some(site.now_ms));
             }
             let target = site.dispatcher.view(&worker).unwrap();
-            assert_eq!(target.said_ms, Some(said_ms));
+            assert_eq!(target.info_ms, Some(info_ms));
         }
         UnusableReason::Silent => {
             site.dispatcher.check_incarnations(&worker, &site.workload);
@@ -572,7 +572,7 @@
     let mut site = quiet_site(1);
     let leaving = WorkerChange::Draining(worker_id("w00"));
     site.workload.apply(Command::Workers(vec![leaving]));
-    site.take_news();
+    site.take_events();
     let job = site.submit(2, "other", vec![step(1, 1)]);
     let steps = steps_of(&site, job);
     assert_eq!(steps[0].wait, WaitReason::NoWorkerAllowed);
