--- a/crates/bh-workload/src/dispatch/broken_gangs.rs
+++ b/crates/bh-workload/src/dispatch/broken_gangs.rs
@@ -68,9 +68,10 @@
         }
     }
 
-    /// Whether the unconfirmed runs `remaining` of a broken gang must have started. That holds for a single run, which must be the one that
-    /// broke the gang, if no member can have been started again after a restart of its worker. The run has then started and ended on
-    /// `worker`, which refuses its start order from then on.
+    /// Whether the runs `remaining` of a broken gang must have started on `worker`, even if the worker has not confirmed that. This holds for
+    /// a single run, which must be the one that broke the gang, if no member can have been started again after a restart of its worker. It
+    /// is only conclusive if all other members have ended as `Broken`, which [`BrokenGangs::all_ended`] checks. The run has then started and
+    /// ended on `worker`, which refuses its start order from then on.
     pub fn must_have_started(&self, worker: &Incarnation, remaining: &[RunId]) -> bool {
         let [run] = remaining else {
             return false;
--- a/crates/bh-workload/src/dispatch/dispatcher.rs
+++ b/crates/bh-workload/src/dispatch/dispatcher.rs
@@ -35,7 +35,8 @@
 /// Delay before a worker that did not answer is probed again, in milliseconds.
 const SILENT_PROBE_DELAY_MS: u64 = 400;
 /// Delay before a worker is probed through another core after the core that carried the last order was lost, in milliseconds. It is short,
-/// but not zero: if carriers are lost repeatedly, probes must not be sent in a tight loop.
+/// but not zero: if carriers are lost repeatedly, probes must not be sent in a tight loop. Also the delay after a probe that brought no
+/// report from a worker that announced its end.
 const CARRIER_RETRY_MS: u64 = 30;
 /// Longest time for which a deposed leader may keep sending orders after this leader was elected, in milliseconds: twice the longest
 /// election timeout in use. A leader stops when it has not heard from a majority for one election timeout.
@@ -85,8 +86,8 @@
             target.is_recorded = true;
             target.fill_pace = FillPace::after_takeover();
             target.info_ms = Some(now_ms);
-            // This leader cannot know which of them were lost because a lease expired. It waits for all of them, so that it does not miss a
-            // failure that another leader would have counted.
+            // This leader cannot know for which of these runs the lease has expired since they were recorded as lost. It waits for all of
+            // them, so that it does not miss a failure that another leader would have counted.
             target.presumed_lost = worker.unheard.clone();
             target.lease_expiry_ms =
                 now_ms + LEADER_OVERLAP_MS + timing.lease_expiry_after_ms(timing.lease_ms);
@@ -100,8 +101,8 @@
         dispatcher
     }
 
-    /// Requires a heartbeat from each worker before it is given work. Used when there was no leader for a while, or for an unknown time:
-    /// workers may have lost capacity meanwhile without a leader to report it to.
+    /// Requires a heartbeat from each worker before the worker is given work. Used when there was no leader for a while, or for an unknown
+    /// time: workers may have lost capacity in that time without a leader to report it to.
     pub fn with_outdated_worker_info(mut self) -> Self {
         for target in self.targets.values_mut() {
             target.info_ms = None;
@@ -282,7 +283,8 @@
         self.emptied.contains(worker)
     }
 
-    /// Number of workers that temporarily get no new work because runs failed there.
+    /// Number of workers that are set aside now: runs failed or stalled there, or the worker refused a start as unhealthy or for lack of
+    /// capacity. Workers that are only slow are not counted.
     pub fn count_set_aside(&self, now_ms: u64) -> usize {
         let targets = self.targets.values();
         targets
@@ -303,8 +305,9 @@
     }
 
     /// Processes the outcome of recording ends of runs on a worker. `listed_to` is the value of [`Self::recording_to`] when the command was
-    /// made, or `None` for ends that the worker did not list. Several commands may be in flight. If the commit of another command counted
-    /// for the listed ends, the worker would forget them, and they would be lost if the leader failed before their own commit.
+    /// made, or `None` for ends that the worker did not list. Several commands may be in flight, so the value tells which of them recorded the
+    /// listed ends. If the listed ends were acknowledged after the commit of another command, the worker would forget them, and they would be
+    /// lost if the leader failed before their own command is committed.
     pub fn note_recorded(
         &mut self,
         worker: &Incarnation,
@@ -363,12 +366,12 @@
             else {
                 continue;
             };
-            // Only an answer tells which of several recorded incarnations is running.
+            // A worker with several recorded incarnations gets orders even without runs: only an answer tells which of them is running.
             if !target.needs_orders() && !workload.has_other_incarnation(&id) {
                 continue;
             }
-            // An order to a conflicting incarnation reaches the newest one, which refuses fencing tokens below the highest that it has
-            // received.
+            // An order to an incarnation that has been replaced reaches the newest one, which refuses fencing tokens below the highest that
+            // it has received. So each order counts the restarts up to the newest incarnation.
             let recorded = workload.incarnations(&id).map(|other| other.restarts).max();
             // A later incarnation that is not recorded yet will have one restart more.
             let is_unrecorded = target.restart.is_some() && !workload.has_other_incarnation(&id);
--- a/crates/bh-workload/src/dispatch/fill_pace.rs
+++ b/crates/bh-workload/src/dispatch/fill_pace.rs
@@ -1,4 +1,4 @@
-//! The speed of fill tasks beside services: tasks that only use processors that others leave idle.
+//! The speed of fill tasks on workers that also run services. A fill task only uses processors that other tasks leave idle.
 
 use super::pace::FULL_PERCENT;
 
--- a/crates/bh-workload/src/dispatch/fleet_counts.rs
+++ b/crates/bh-workload/src/dispatch/fleet_counts.rs
@@ -12,7 +12,8 @@
     pub workers_silent: usize,
     /// Workers that get no new work because their latest heartbeat is missing or too old.
     pub workers_outdated: usize,
-    /// Workers that temporarily get no new work because runs failed there.
+    /// Workers that are set aside because runs failed or stalled there, or because they refused a start as unhealthy or for lack of
+    /// capacity. Workers that are only slow are not counted.
     pub workers_set_aside: usize,
     /// Workers that are leaving.
     pub workers_draining: usize,
--- a/crates/bh-workload/src/dispatch/permissions.rs
+++ b/crates/bh-workload/src/dispatch/permissions.rs
@@ -1,4 +1,4 @@
-//! Permissions of an external adviser to run steps on workers.
+//! Permissions to run steps on workers, given by an external adviser.
 
 use crate::job::StepId;
 use crate::rules::AdviserTiming;
--- a/crates/bh-workload/src/dispatch/target.rs
+++ b/crates/bh-workload/src/dispatch/target.rs
@@ -249,8 +249,8 @@
         }
     }
 
-    /// Notes that the worker is gone. Returns whether that should be recorded now: several orders may be in flight and each of them is
-    /// answered this way, but the end is recorded once.
+    /// Notes that the worker is gone. Returns whether that should be recorded now: several orders may be in flight, and another incarnation
+    /// may answer each of them, but the end is recorded once.
     pub fn note_gone(&mut self, now_ms: u64) -> bool {
         /// Delay before the end is recorded again if it is still not in the record, in milliseconds.
         const RECORD_AGAIN_MS: u64 = 1_000;
--- a/crates/bh-workload/src/dispatch/timing.rs
+++ b/crates/bh-workload/src/dispatch/timing.rs
@@ -47,8 +47,11 @@
         self.heartbeat_ms * HEARTBEATS_PERCENT / 100
     }
 
-    /// Longest time after a grant for which a run under the lease may go on, given that the worker's clock was read `age_ms` ago. The
-    /// worker's clock may be up to two percent slow, so the leader's estimate of it since the last reading may be too high by that share.
+    /// Longest time after a grant for which a run under the lease may go on, given that the worker's clock was read `age_ms` ago.
+    ///
+    /// The worker's clock may be up to two percent slow, which has two effects. The lease lasts longer by that share on the leader's clock
+    /// than on the worker's clock. And the leader's estimate of the worker's clock, based on the last reading, may be too high by the same
+    /// share of `age_ms`, which makes the granted lease longer.
     pub fn lease_expiry_after_ms(&self, age_ms: u64) -> u64 {
         const SLOW_CLOCK_PERCENT: u64 = 2;
         /// Rounding of the two clocks to whole milliseconds.
--- a/crates/bh-workload/src/dispatch/worker_reconciler.rs
+++ b/crates/bh-workload/src/dispatch/worker_reconciler.rs
@@ -29,13 +29,15 @@
 const MIN_PROBE_WAIT_MS: u64 = 700;
 /// Longest wait of a probe, in milliseconds. Workers do not wait longer.
 const MAX_PROBE_WAIT_MS: u64 = 2_000;
-/// Probes per second, over all workers, up to which the leader shortens the wait of its probes. About 500 per second, including those that
-/// report ends, took 0.18 of a processor core; this limit leaves room for the probes that report ends.
+/// Probes per second, over all workers, up to which the leader shortens the wait of its probes below the longest wait. A probe that reports
+/// an end is answered early, which adds to this rate. The limit leaves room for that: about 500 probes per second in all took 0.18 of a
+/// processor core.
 const PROBES_PER_S: u64 = 250;
 /// Probes that fit into the time of one lease: several may be lost before the lease expires.
 const PROBES_PER_LEASE: u64 = 3;
-/// Delay after a confirmed stop before the stop is sent again if the run has still not ended, in milliseconds.
+/// Time beyond the longest stop after which a confirmed stop order is sent again if the run has still not ended, in milliseconds.
 const STOP_RESEND_MS: u64 = 1_500;
+
 /// How long a worker may hold back its answer to a probe when `busy` workers have runs, in milliseconds.
 pub(super) fn probe_wait_ms(busy: usize) -> u64 {
     const MS_PER_S: u64 = 1_000;
@@ -109,7 +111,8 @@
         self.probe(target);
     }
 
-    /// Stops the runs whose start orders may reach the later incarnation, then probes that incarnation until it reports none of them.
+    /// Handles a restart of the worker: stops the runs whose start orders may reach the later incarnation, then probes that incarnation until
+    /// its report lists none of them.
     fn resolve_restart(&mut self, target: &mut Target) {
         let runs: Vec<RunId> = target.runs.keys().copied().collect();
         for run in runs {
@@ -127,14 +130,14 @@
         }
     }
 
-    /// Ends all runs after the lease has certainly expired: the worker has ended them itself.
+    /// Records the ends of all runs once the lease has certainly expired: the worker has ended the runs itself.
     fn end_expired_runs(&mut self, target: &mut Target) {
         let runs: Vec<RunId> = target.runs.keys().copied().collect();
         for run in runs {
             self.end_without_report(target, run, EndKind::Lapsed);
         }
-        // Failures of members that are recorded as lost no longer count. Without recording that, each new leader would wait for this lease
-        // again.
+        // Failures of gang members that are recorded as lost no longer count from now on. This is recorded too, because otherwise each new
+        // leader would wait for the lease again.
         for run in self.worker.unheard.intersection(&target.presumed_lost) {
             if target.presumed_lost_expiring.insert(*run) {
                 self.ends.push(End {
@@ -147,9 +150,10 @@
         }
     }
 
-    /// Ends gangs whose runs on this worker must have ended although it does not answer; otherwise their callers would wait until its lease
-    /// expires. Only runs that the worker had confirmed count, or a run that must have been the one that broke the gang: a start order of
-    /// any other run may still be in flight and start the run after the gang has started again elsewhere.
+    /// Records the ends of gang members on this worker that must have ended, although the worker does not answer. Otherwise the callers would
+    /// wait until its lease expires. The worker must have confirmed the starts of all these members, or the only member must be the one that
+    /// broke the gang. In any other case a start order may still be in flight, and may start its run after the gang has started again
+    /// elsewhere.
     fn end_broken_gangs(&mut self, target: &mut Target) {
         let mut gangs: BTreeMap<(StepId, u32), Vec<RunId>> = BTreeMap::new();
         for run in self.worker.runs.keys() {
@@ -179,7 +183,7 @@
         }
     }
 
-    /// Ends a run without a report of the worker.
+    /// Records the end of a run without a report of the worker.
     fn end_without_report(&mut self, target: &mut Target, run: RunId, kind: EndKind) {
         let Some(run_state) = target
             .runs
@@ -214,8 +218,9 @@
         });
     }
 
-    /// Whether a start order can be expected to reach the recorded incarnation: it has answered a probe since the last unanswered order, and
-    /// no other incarnation of the worker is recorded.
+    /// Whether a start order for `run` can be expected to reach the recorded incarnation of the worker: that incarnation answers, it has
+    /// answered a probe that was sent after any unconfirmed start order for the run, and no other incarnation is recorded. This is not
+    /// checked for a worker that does not report its start time.
     fn can_receive_start(&self, target: &Target, run: RunId) -> bool {
         if !target.reports_start_time {
             return true;
@@ -236,8 +241,8 @@
             .runs
             .get(&run)
             .is_some_and(|run_state| run_state.start == StartPhase::Unsent);
-        // Ends the run at once, so that its gang or its next attempt does not wait until this worker is heard again or its lease has
-        // expired.
+        // The start was never sent, so the run ends now: its gang or its next attempt need not wait until this worker is heard again or its
+        // lease has expired.
         if is_unsent && (target.is_silent() || !target.is_current(now_ms, self.timing)) {
             self.record_not_started(target, run);
             return;
@@ -250,7 +255,7 @@
                 StartPhase::Unsure { retry_ms } => now_ms >= retry_ms,
                 StartPhase::InFlight | StartPhase::Confirmed { .. } => false,
             });
-        // After a silence the worker may have lost capacity; its next heartbeat tells.
+        // A worker without a recent heartbeat may have lost capacity; its next heartbeat tells.
         if !ready || !target.is_current(now_ms, self.timing) || !self.can_receive_start(target, run)
         {
             return;
@@ -289,8 +294,8 @@
         self.push_order(body);
     }
 
-    /// Runs that are not known to have started and do not fit beside those that are: the worker has lost capacity since they were recorded.
-    /// A worker that does not check its capacity would start them anyway, and everything on it would slow down or be killed.
+    /// Runs whose starts are not confirmed and that do not fit beside the confirmed runs, because the worker has lost capacity since they were
+    /// recorded. A worker that does not check its capacity would start them anyway, and everything on it would slow down or be killed.
     fn excess_runs(&self, target: &Target) -> BTreeSet<RunId> {
         let mut excess_runs = BTreeSet::new();
         if self.worker.excess() == Resources::default() {
@@ -317,8 +322,8 @@
     }
 
     /// Withdraws a run that is known not to run, on a worker that takes no new runs: the worker is leaving, or its data centre is being
-    /// evacuated. If a start order had no answer, also one of an earlier leader, the next report tells whether it was carried out.
-    /// Withdrawing the run before that could stop work in progress, and with it the rest of a gang on other workers.
+    /// evacuated. If a start order of this or an earlier leader had no answer, the next report tells whether it was carried out. Withdrawing
+    /// the run before that could stop work in progress, and with it the rest of a gang on other workers.
     fn withdraw_if_not_running(&mut self, target: &mut Target, run: RunId) {
         let Some(run_state) = target.runs.get(&run) else {
             return;
@@ -347,8 +352,9 @@
         }
     }
 
-    /// Withdraws a run whose start must not be sent any more because a permission or capacity is missing. If a start order was sent before,
-    /// a stop settles whether it was carried out. The planner then finds another worker or asks for another permission.
+    /// Withdraws a run whose start must not be sent any more, for instance because a permission or capacity is missing. If a start order was
+    /// sent before, a stop order makes sure that the run ends or never starts. The planner then finds another worker or asks for another
+    /// permission.
     fn withdraw(&mut self, target: &mut Target, run: RunId) {
         let is_unsent = target
             .runs
@@ -364,7 +370,7 @@
         }
     }
 
-    /// Ends a run that was never ordered.
+    /// Records the end of a run whose start order was never sent.
     fn record_not_started(&mut self, target: &mut Target, run: RunId) {
         if let Some(run_state) = target.runs.get_mut(&run) {
             run_state.recording_end = true;
@@ -416,7 +422,7 @@
     }
 
     /// Probes the worker, with one probe in flight at a time. A probe renews the lease, reports ends as they happen and acknowledges recorded
-    /// ends. A worker without runs is probed only if [`Target::must_be_probed`] asks for it.
+    /// ends. A worker without runs is probed only if [`Target::must_be_probed`] asks for it or another incarnation of it is recorded.
     fn probe(&mut self, target: &mut Target) {
         if target.probe_in_flight
             || target.recording_to.is_some()
@@ -424,7 +430,7 @@
         {
             return;
         }
-        // A start in flight renews the lease itself, and a probe that overtook it would report nothing.
+        // A start order in flight renews the lease itself, and the report of a probe that overtook it would not list the run.
         let only_starts_in_flight = target
             .runs
             .values()
@@ -457,8 +463,8 @@
         };
         target.probe_in_flight = true;
         target.required_probes = target.required_probes.saturating_sub(1);
-        // Acknowledges ends only to a worker that answered its last probe: a restarted worker would discard new ends that have the same
-        // numbers.
+        // Ends are acknowledged only to an incarnation that is known to be running: a restarted worker would discard new ends that have the
+        // same numbers.
         let may_acknowledge = target.has_unacknowledged_ends()
             && !target.is_silent()
             && target.is_verified()
--- a/crates/bh-workload/src/job/job_spec.rs
+++ b/crates/bh-workload/src/job/job_spec.rs
@@ -7,7 +7,8 @@
 
 /// Maximum number of steps in a job. Without a limit, one caller could fill the replicated state.
 pub const MAX_STEPS: usize = 64;
-/// Maximum number of tasks in one occurrence of a job: the largest gang that the system is designed for, split into several steps.
+/// Maximum number of tasks in one occurrence of a job, over all its steps. It allows several steps that are each as large as the largest gang
+/// that the system is designed for.
 pub const MAX_TASKS: u64 = 8_192;
 /// Maximum number of occurrences of a job.
 pub const MAX_OCCURRENCES: u32 = 1_024;
--- a/crates/bh-workload/src/job/resources.rs
+++ b/crates/bh-workload/src/job/resources.rs
@@ -6,7 +6,7 @@
 /// An amount of cores, memory and accelerators: what a task needs, or what a worker has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resources {
-    /// Processor time in thousandths of a core.
+    /// Processor cores, in thousandths of a core.
     pub cpu_millis: u64,
     /// Memory in MiB.
     pub memory_mb: u64,
--- a/crates/bh-workload/src/plan/explain.rs
+++ b/crates/bh-workload/src/plan/explain.rs
@@ -83,7 +83,8 @@
     pub phase: Option<RunPhase>,
 }
 
-/// A recorded run that other tasks wait for.
+/// The recorded run that waiting tasks wait for: a run of an earlier attempt of their gang, or a run of one of the tasks themselves that is
+/// not known to be running.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BlockingRun {
     /// Name of the run, `JOB.OCCURRENCE.STEP.INDEX#ATTEMPT`.
--- a/crates/bh-workload/src/plan/mod.rs
+++ b/crates/bh-workload/src/plan/mod.rs
@@ -3,11 +3,13 @@
 //! A few terms are also the names of metrics and of reasons that operators see:
 //!
 //! - *Room* is the free capacity of a worker.
-//! - A worker is *set aside* for a while after runs have failed on it or were very slow there.
+//! - A worker is *set aside* for a while after runs have failed, stalled or been very slow on it, or after it has refused a start as
+//!   unhealthy or for lack of capacity.
 //! - A worker is *cold* for a while after it has started, and runs tasks more slowly during that time.
-//! - *Kept room* is free capacity that only work of priority 0 may use, so that it starts without delay.
-//! - Tasks wait *apart* when a worker has crashed under one of them: they wait for workers on which nothing else has just started, so that
-//!   a further crash can be attributed.
+//! - *Kept room* is free capacity that is kept for work of priority 0, so that such work starts without delay. Besides that work, only gangs
+//!   that must start soon to be on time, and units that have been stalled for long, may use it.
+//! - Tasks wait *apart* when a worker has crashed under one of them: for a short time they wait for workers on which nothing has just
+//!   started. If such a worker crashes too, the tasks are known to be the cause.
 
 mod collect;
 mod decided;
--- a/crates/bh-workload/src/plan/planner.rs
+++ b/crates/bh-workload/src/plan/planner.rs
@@ -30,15 +30,15 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Minimum number of waiting gangs for which capacity is held at the same time. A fleet with more racks than this holds capacity for one
-/// gang per rack. With one gang at a time, the next large gang would starve behind it. With many in a small fleet, much of the fleet would
-/// be idle. With few in a large fleet, gangs that need most of a rack would starve, because capacity becomes free in some rack all the time
-/// and smaller work takes it.
+/// Capacity is held at the same time for at most this many waiting gangs, or for as many as there are racks if that is more. If it were held
+/// for one gang at a time, the next large gang would starve behind it. If it were held for many gangs in a small fleet, much of the fleet
+/// would be idle. If it were held for few gangs in a large fleet, gangs that need most of a rack would starve, because capacity becomes free
+/// in some rack all the time and smaller work takes it.
 const MIN_HELD_GANGS: usize = 8;
 
-/// How long a unit under which a worker has crashed waits for workers without recent starts, in milliseconds. Workers report every second
-/// or two, so such a worker is found within this time unless tasks start everywhere all the time. A service that misses a task must not
-/// wait longer.
+/// Longest time for which a unit under which a worker has crashed waits for workers without recent starts, in milliseconds. Workers report
+/// every second or two, so a worker without recent starts is found within this time unless tasks start everywhere all the time. A service
+/// that lacks a task must not wait longer.
 const MAX_ISOLATION_WAIT_MS: u64 = 2_000;
 
 /// Decides for the leader which tasks start on which workers, and which runs stop.
@@ -50,12 +50,12 @@
     pub(super) speeds: Speeds,
     headroom: UrgentHeadroom,
     pub(super) reservations: BTreeMap<StepId, Reservation>,
-    /// Workers on which a task failed. The next attempt of the task prefers other workers.
+    /// Workers on which a task failed or was overdue. The next attempts of the task prefer other workers.
     pub(super) failed_on: BTreeMap<TaskId, BTreeSet<Incarnation>>,
-    /// Tasks that were restarted because they were slow. They are restarted for this reason only once: a task that is as slow on every
-    /// worker would never end otherwise.
+    /// Tasks that were restarted because they were slow. Each is restarted for this reason only once: otherwise a task that is slow on every
+    /// worker would never end.
     restarted_slow: BTreeSet<TaskId>,
-    /// Since when each unit under which a worker has crashed waits, on the leader's clock in milliseconds.
+    /// When each unit under which a worker has crashed began to wait, on the leader's clock in milliseconds.
     isolated_since_ms: BTreeMap<StepId, u64>,
     /// Outcome of the last pass, to explain why work waits.
     pub(super) last_pass: LastPass,
@@ -148,7 +148,7 @@
         self.runtimes.record(&job.queue.name, step, spec, took_ms);
     }
 
-    /// Returns the runs to restart on other workers. Their tasks avoid the current workers from now on.
+    /// Returns the overdue runs, which are to be restarted on other workers. Their tasks avoid the current workers from now on.
     pub fn overdue(
         &mut self,
         now_ms: u64,
@@ -273,8 +273,8 @@
             }
             let mut placement = pass.place_tasks(unit, &avoid);
             if placement.is_empty() && stalled_long {
-                // Of a step that is not a service, one task is enough for the job to make progress, and the others may wait for better
-                // workers. A service lacks each task that doesn't run.
+                // A service needs all its tasks. For any other step, one task is enough for the job to make progress, and the other tasks
+                // may wait for better workers.
                 let subset = if unit.spec.long_running {
                     unit.clone()
                 } else {
@@ -316,8 +316,8 @@
     }
 }
 
-/// Returns the workers on which tasks of the unit have failed. Returns none if the other workers that accept the unit could not hold it
-/// even if they were empty.
+/// Returns the workers on which tasks of the unit have failed or were overdue. Returns none if the other workers that accept the unit could
+/// not hold the whole gang even if they were empty, or not a single task if the unit is not a gang.
 pub(super) fn avoided_workers(
     failed_on: &BTreeMap<TaskId, BTreeSet<Incarnation>>,
     unit: &Unit,
@@ -365,7 +365,8 @@
     units.retain(|unit| !is_uncertain(unit.step, &unheard, workload));
 }
 
-/// Returns whether a gang has used up its attempts if all its attempts in `unheard`, which ended without a report, have failed.
+/// Returns whether a gang has used up its attempts, assuming that all its attempts in `unheard` have failed. These attempts ended without a
+/// report.
 pub(super) fn is_uncertain(
     step: StepId,
     unheard: &BTreeMap<StepId, BTreeSet<u32>>,
--- a/crates/bh-workload/src/plan/preemption.rs
+++ b/crates/bh-workload/src/plan/preemption.rs
@@ -93,7 +93,8 @@
         BTreeSet::new()
     };
     let in_rack = cheapest_in_one_rack(unit, &offers, rooms, &large_racks);
-    // Spread over several racks, the unit would be late. That is only done when the latest time for its start is near.
+    // Spread over several racks, the unit would be so slow that it would be late. It is only spread once it has waited its full time for a
+    // rack.
     if in_rack.is_none() && !large_racks.is_empty() && waits {
         return Err(PreemptionFailure::NoRack);
     }
--- a/crates/bh-workload/src/plan/room.rs
+++ b/crates/bh-workload/src/plan/room.rs
@@ -85,7 +85,7 @@
     pub usable: bool,
     /// Why the worker got no new work when the pass began; `None` if it did.
     pub unusable: Option<UnusableReason>,
-    /// Whether the only reason that the worker gets no new work is that runs failed there or took too long.
+    /// Whether the worker gets no new work only because it is set aside, for [`UnusableReason::SetAside`] or [`UnusableReason::Slow`].
     pub set_aside: bool,
 }
 
--- a/crates/bh-workload/src/plan/unusable_reason.rs
+++ b/crates/bh-workload/src/plan/unusable_reason.rs
@@ -25,7 +25,7 @@
     Unheard,
     /// The worker has not answered a probe since it started.
     Unverified,
-    /// Runs have failed on the worker.
+    /// Runs have failed or stalled on the worker, or the worker refused a start as unhealthy or for lack of capacity.
     SetAside,
 }
 
--- a/crates/bh-workload/src/state/command.rs
+++ b/crates/bh-workload/src/state/command.rs
@@ -165,7 +165,7 @@
     Failed,
     /// It was stopped by an order of the leader.
     Stopped,
-    /// The worker's lease expired, as the worker reported or as the leader computed.
+    /// The worker's lease expired: the worker reported it, or the lease has certainly expired by the leader's clock.
     Lapsed,
     /// Another member of its gang ended.
     Broken,
--- a/crates/bh-workload/src/state/record_events.rs
+++ b/crates/bh-workload/src/state/record_events.rs
@@ -1,4 +1,4 @@
-//! Changes of the record since they were last taken.
+//! Changes of the record since the leader last took them.
 
 use crate::job::JobId;
 use bh_protocol::Incarnation;
--- a/crates/bh-workload/src/upkeep/mod.rs
+++ b/crates/bh-workload/src/upkeep/mod.rs
@@ -1,4 +1,4 @@
-//! Upkeep waves: decides which VM is emptied and serviced next, and when.
+//! Upkeep waves: decides which VM is emptied next and when its upkeep is ordered.
 
 mod emptying;
 mod order;
--- a/crates/bh-workload/src/upkeep/order.rs
+++ b/crates/bh-workload/src/upkeep/order.rs
@@ -3,7 +3,7 @@
 use bh_protocol::Incarnation;
 use std::sync::Arc;
 
-/// Asks for the upkeep of one VM, which ends everything that runs on it.
+/// Asks for the upkeep of one VM. The upkeep immediately ends everything that runs on the VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpkeepOrder {
     /// Number of the wave.
@@ -25,7 +25,7 @@
     Done,
     /// An order with a higher token has arrived since.
     Fenced,
-    /// The VM is not up, or is shutting down.
+    /// The VM is not up, or is about to leave.
     Busy,
     /// The VM does not belong to the wave or does not exist.
     NotPart,
