--- a/crates/bh-net/src/http_server/answer.rs
+++ b/crates/bh-net/src/http_server/answer.rs
@@ -53,7 +53,7 @@
         request::RESULT_CODE,
         &code.number().to_string(),
     );
-    set(&mut response, request::RAN, code.ran().as_str());
+    set(&mut response, request::RAN, code.executed().as_str());
     response
 }
 
--- a/crates/bh-net/src/http_server/connection.rs
+++ b/crates/bh-net/src/http_server/connection.rs
@@ -177,7 +177,7 @@
         request::RESULT_CODE,
         code.number(),
         request::RAN,
-        code.ran().as_str(),
+        code.executed().as_str(),
         body.len(),
     );
     let (result, _) = raw.write_all(text.into_bytes()).await;
--- a/crates/bh-node/src/requests/final_answer.rs
+++ b/crates/bh-node/src/requests/final_answer.rs
@@ -1,8 +1,8 @@
 //! What became of a request: the one answer its caller gets.
 
 use bh_protocol::Code;
+use bh_protocol::Executed;
 use bh_protocol::Failure;
-use bh_protocol::Ran;
 use bh_protocol::request::StoredAnswer;
 use bytes::Bytes;
 use serde::Deserialize;
@@ -44,7 +44,7 @@
 
     /// Whether nothing was sent to a target.
     pub fn is_not_run(&self) -> bool {
-        self.code().ran() == Ran::No
+        self.code().executed() == Executed::No
     }
 
     /// The form that resends get.
--- a/crates/bh-node/src/requests/forward.rs
+++ b/crates/bh-node/src/requests/forward.rs
@@ -7,8 +7,8 @@
 use crate::node::into_result;
 use bh_net::link::CallError;
 use bh_protocol::Code;
+use bh_protocol::Executed;
 use bh_protocol::Failure;
-use bh_protocol::Ran;
 use bh_protocol::wire::RpcKind;
 use bytes::Bytes;
 use std::rc::Rc;
@@ -65,7 +65,7 @@
         failure.code,
         Code::Overloaded | Code::NoTarget | Code::Draining
     );
-    about_load && failure.code.ran() == Ran::No
+    about_load && failure.code.executed() == Executed::No
 }
 
 fn answered(label: &str, body: Vec<u8>) -> FinalAnswer {
--- a/crates/bh-protocol/src/code.rs
+++ b/crates/bh-protocol/src/code.rs
@@ -6,7 +6,7 @@
 
 /// Whether the work behind a request was executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Ran {
+pub enum Executed {
     /// Nothing was sent to a target; resending is safe.
     No,
     /// The work was executed.
@@ -15,19 +15,19 @@
     Unknown,
 }
 
-impl Ran {
+impl Executed {
     /// The word used in answers and in the documentation.
     pub fn as_str(self) -> &'static str {
         match self {
-            Ran::No => "no",
-            Ran::Yes => "yes",
-            Ran::Unknown => "unknown",
+            Executed::No => "no",
+            Executed::Yes => "yes",
+            Executed::Unknown => "unknown",
         }
     }
 }
 
 macro_rules! codes {
-    ($($variant:ident = $number:literal, $status:literal, $exit:literal, $ran:ident, $title:literal, $help:literal;)+) => {
+    ($($variant:ident = $number:literal, $status:literal, $exit:literal, $executed:ident, $title:literal, $help:literal;)+) => {
         /// One numbered result. The number never changes its meaning once released.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
         pub enum Code {
@@ -54,8 +54,8 @@
             }
 
             /// Whether the work ran, as far as this code can tell.
-            pub fn ran(self) -> Ran {
-                match self { $(Code::$variant => Ran::$ran,)+ }
+            pub fn executed(self) -> Executed {
+                match self { $(Code::$variant => Executed::$executed,)+ }
             }
 
             /// What happened, in one clause.
--- a/crates/bh-protocol/src/failure.rs
+++ b/crates/bh-protocol/src/failure.rs
@@ -41,7 +41,7 @@
             title: self.code.title().to_owned(),
             label: self.label.clone(),
             help: self.code.help().to_owned(),
-            ran: self.code.ran().as_str().to_owned(),
+            ran: self.code.executed().as_str().to_owned(),
             retry_after_ms: self.retry_after_ms,
         }
     }
--- a/crates/bh-protocol/src/lib.rs
+++ b/crates/bh-protocol/src/lib.rs
@@ -15,6 +15,6 @@
 pub mod wire;
 
 pub use code::Code;
-pub use code::Ran;
+pub use code::Executed;
 pub use failure::Failure;
 pub use incarnation::Incarnation;
--- a/crates/bh-protocol/tests/docs.rs
+++ b/crates/bh-protocol/tests/docs.rs
@@ -15,7 +15,7 @@
             "| {code} | {} | {} | {} | {} | {} |\n",
             code.http_status(),
             code.exit_status(),
-            code.ran().as_str(),
+            code.executed().as_str(),
             code.title(),
             code.help()
         ));
@@ -43,7 +43,7 @@
     for code in Code::ALL {
         assert_eq!(Code::from_number(code.number()), Some(*code));
         assert_eq!(code.exit_status() == 0, *code == Code::Done);
-        let unknown = code.ran() == bh_protocol::Ran::Unknown;
+        let unknown = code.executed() == bh_protocol::Executed::Unknown;
         assert_eq!(
             unknown,
             (400..500).contains(&code.number()) || code.number() >= 600,
