--- a/crates/bh-control/src/config/local_config.rs
+++ b/crates/bh-control/src/config/local_config.rs
@@ -2,7 +2,7 @@
 
 use bh_protocol::Code;
 use bh_protocol::Failure;
-use bh_protocol::number::whole;
+use bh_protocol::number::floor_to_u64;
 use bh_workload::dispatch::Timing;
 use rustix::process::Resource;
 use rustix::process::getrlimit;
@@ -159,12 +159,12 @@
 /// Converts seconds to whole milliseconds.
 fn seconds_to_ms(seconds: f64) -> u64 {
     const MS_PER_S: f64 = 1_000.0;
-    whole(seconds * MS_PER_S)
+    floor_to_u64(seconds * MS_PER_S)
 }
 
 /// Rounds a bound that others must keep up to whole milliseconds.
 fn ceil_ms(ms: f64) -> u64 {
-    whole(ms.ceil())
+    floor_to_u64(ms.ceil())
 }
 
 impl LocalConfig {
@@ -262,14 +262,16 @@
         let bounds = &self.bounds;
         Timing {
             lease_ms: bounds.longest_lease_ms.map_or(default.lease_ms, |longest| {
-                whole(longest) * LEASE_PERCENT / 100
+                floor_to_u64(longest) * LEASE_PERCENT / 100
             }),
             stop_timeout_ms: bounds
                 .stop_timeout_ms
                 .map_or(default.stop_timeout_ms, ceil_ms),
             remote_percent: bounds
                 .remote_factor
-                .map_or(default.remote_percent, |factor| whole(factor * 100.0)),
+                .map_or(default.remote_percent, |factor| {
+                    floor_to_u64(factor * 100.0)
+                }),
             heartbeat_ms: bounds.heartbeat_ms.map_or(default.heartbeat_ms, ceil_ms),
             retention_ms: bounds
                 .retention_s
--- a/crates/bh-protocol/src/number.rs
+++ b/crates/bh-protocol/src/number.rs
@@ -4,7 +4,7 @@
 const MOST: f64 = 1e12;
 
 /// The whole part of a figure; negative ones and what is no number count as 0.
-pub fn whole(figure: f64) -> u64 {
+pub fn floor_to_u64(figure: f64) -> u64 {
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
--- a/crates/bh-workload/src/plan/collect.rs
+++ b/crates/bh-workload/src/plan/collect.rs
@@ -11,7 +11,7 @@
 use crate::state::Task;
 use crate::state::TaskState;
 use crate::state::Workload;
-use bh_protocol::number::whole;
+use bh_protocol::number::floor_to_u64;
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -190,7 +190,7 @@
         reason = "times here are far below 2^53 ms"
     )]
     let scaled = ms as f64 * factor;
-    whole(scaled)
+    floor_to_u64(scaled)
 }
 
 pub(super) fn lateness_value(end_ms: u64, ready_ms: u64, slack_ms: u64) -> f64 {
