--- a/crates/bh-control/src/mesh/accept.rs
+++ b/crates/bh-control/src/mesh/accept.rs
@@ -3,7 +3,7 @@
 use super::Mesh;
 use super::mesh::LINK_TIMEOUT_MS;
 use bh_net::link;
-use bh_net::link::Opened;
+use bh_net::link::OpenedLink;
 use bh_net::runtime::sleep_ms;
 use bh_net::runtime::within_ms;
 use bh_protocol::wire::CoreStatus;
@@ -81,8 +81,8 @@
     }
 }
 
-async fn serve(mesh: Rc<Mesh>, opened: Opened, handler: Rc<LinkHandler>, inbound: Rc<Inbound>) {
-    let Opened {
+async fn serve(mesh: Rc<Mesh>, opened: OpenedLink, handler: Rc<LinkHandler>, inbound: Rc<Inbound>) {
+    let OpenedLink {
         hello,
         reader,
         writer,
--- a/crates/bh-control/src/mesh/dial.rs
+++ b/crates/bh-control/src/mesh/dial.rs
@@ -5,7 +5,7 @@
 use super::mesh::HEARTBEAT_INTERVAL_MS;
 use super::mesh::LINK_TIMEOUT_MS;
 use bh_net::link;
-use bh_net::link::Opened;
+use bh_net::link::OpenedLink;
 use bh_net::runtime::sleep_ms;
 use bh_net::runtime::within_ms;
 use bh_protocol::wire::CoreStatus;
@@ -40,7 +40,7 @@
     }
 }
 
-async fn open(mesh: &Rc<Mesh>, peer: &Rc<Peer>) -> io::Result<Opened> {
+async fn open(mesh: &Rc<Mesh>, peer: &Rc<Peer>) -> io::Result<OpenedLink> {
     let timed_out = || io::Error::from(io::ErrorKind::TimedOut);
     let stream = within_ms(CONNECT_TIMEOUT_MS, TcpStream::connect_addr(peer.address))
         .await
@@ -54,9 +54,9 @@
     Ok(opened)
 }
 
-async fn serve(mesh: &Rc<Mesh>, peer: &Rc<Peer>, opened: Opened) -> &'static str {
+async fn serve(mesh: &Rc<Mesh>, peer: &Rc<Peer>, opened: OpenedLink) -> &'static str {
     let receiver = peer.channel.open();
-    let Opened { reader, writer, .. } = opened;
+    let OpenedLink { reader, writer, .. } = opened;
     monoio::select! {
         () = read(mesh, peer, reader) => "the core closed it or fell silent",
         () = link::write_frames(writer, receiver, |_| peer.channel.note_sent()) => "writing failed",
--- a/crates/bh-net/src/link/handshake.rs
+++ b/crates/bh-net/src/link/handshake.rs
@@ -15,7 +15,7 @@
 const NONCE_BYTES: usize = 16;
 
 /// A link that both ends have opened.
-pub struct Opened {
+pub struct OpenedLink {
     /// What the other end says of itself.
     pub hello: Hello,
     /// Receiving side.
@@ -37,7 +37,7 @@
     mut own: Hello,
     shared: &LinkKey,
     dials: bool,
-) -> io::Result<Opened> {
+) -> io::Result<OpenedLink> {
     let _ = stream.set_nodelay(true);
     let mut nonce = vec![0; NONCE_BYTES];
     getrandom::fill(&mut nonce).map_err(|error| io::Error::other(error.to_string()))?;
@@ -72,7 +72,7 @@
     };
     writer.set_key(sending);
     reader.set_key(receiving);
-    Ok(Opened {
+    Ok(OpenedLink {
         hello,
         reader,
         writer,
--- a/crates/bh-net/src/link/mod.rs
+++ b/crates/bh-net/src/link/mod.rs
@@ -13,7 +13,7 @@
 pub use channel::Channel;
 pub use codec::MAX_FRAME_BYTES;
 pub use codec::RawCodec;
-pub use handshake::Opened;
+pub use handshake::OpenedLink;
 pub use handshake::handshake;
 pub use key::LinkKey;
 pub use key::MAC_BYTES;
--- a/crates/bh-node/src/peers/accept.rs
+++ b/crates/bh-node/src/peers/accept.rs
@@ -3,7 +3,7 @@
 use crate::node::Node;
 use bh_net::link;
 use bh_net::link::LinkKey;
-use bh_net::link::Opened;
+use bh_net::link::OpenedLink;
 use bh_net::runtime::within_ms;
 use bh_protocol::wire::Frame;
 use bh_protocol::wire::Payload;
@@ -35,8 +35,8 @@
     }
 }
 
-async fn serve(node: Rc<Node>, opened: Opened) {
-    let Opened {
+async fn serve(node: Rc<Node>, opened: OpenedLink) {
+    let OpenedLink {
         hello,
         reader,
         writer,
--- a/crates/bh-node/src/peers/dial.rs
+++ b/crates/bh-node/src/peers/dial.rs
@@ -4,7 +4,7 @@
 use crate::node::Node;
 use bh_net::link;
 use bh_net::link::LinkKey;
-use bh_net::link::Opened;
+use bh_net::link::OpenedLink;
 use bh_net::runtime::sleep_ms;
 use bh_net::runtime::within_ms;
 use bh_protocol::wire::Payload;
@@ -34,7 +34,7 @@
     }
 }
 
-async fn open(node: &Rc<Node>, peer: &Rc<Peer>, key: &LinkKey) -> io::Result<Opened> {
+async fn open(node: &Rc<Node>, peer: &Rc<Peer>, key: &LinkKey) -> io::Result<OpenedLink> {
     let limit_ms = node.config.election_ms;
     let timed_out = || io::Error::from(io::ErrorKind::TimedOut);
     let stream = within_ms(limit_ms, TcpStream::connect_addr(peer.vm.peer_address))
@@ -57,9 +57,9 @@
 ///
 /// A connection can go silent for good while new ones work, because a device between the two ends has forgotten it.
 /// Both ends send heartbeats and expect them, so either notices within the election time and opens a new one.
-async fn serve(node: &Rc<Node>, peer: &Rc<Peer>, opened: Opened) -> &'static str {
+async fn serve(node: &Rc<Node>, peer: &Rc<Peer>, opened: OpenedLink) -> &'static str {
     let receiver = peer.channel.open();
-    let Opened { reader, writer, .. } = opened;
+    let OpenedLink { reader, writer, .. } = opened;
     monoio::select! {
         () = read(node, peer, reader) => "the other end closed it or fell silent",
         () = link::write_frames(writer, receiver, |bytes| note_sent(node, peer, bytes)) => "writing failed",
