--- a/crates/bh-settings/src/check.rs
+++ b/crates/bh-settings/src/check.rs
@@ -1,4 +1,4 @@
-//! Questions callers' work puts to the settings, with the numbered refusal for each.
+//! Checks requests and jobs against the settings; each refusal has a result code.
 
 use crate::Settings;
 use crate::token;
@@ -10,11 +10,11 @@
 use bh_protocol::shape::Shape;
 use std::sync::Arc;
 
-/// What the settings say about one piece of work.
+/// The settings that apply to one request or job.
 pub struct Resolved<'a> {
     /// Team that owns the customer.
     pub team_name: &'a Arc<str>,
-    /// Its subtree.
+    /// Settings of that team.
     pub team: &'a Team,
     /// The customer.
     pub customer: &'a Customer,
@@ -51,7 +51,7 @@
     })
 }
 
-/// The shape `name` of `team`.
+/// Finds the shape `name` of `team`.
 ///
 /// # Errors
 ///
@@ -63,7 +63,7 @@
         .ok_or_else(|| Failure::new(Code::UnknownShape, format!("shape `{name}`")))
 }
 
-/// Whether `token` may send work for `team`.
+/// Checks that `token` allows its holder to send work for `team`: it is a caller or operator token, or the team requires none.
 ///
 /// # Errors
 ///
@@ -73,16 +73,16 @@
         return Ok(());
     }
     let digest = token.map(token::digest);
-    let known = digest.is_some_and(|digest| {
+    let is_known = digest.is_some_and(|digest| {
         token::is_among(&digest, &team.caller_tokens_sha256)
             | token::is_among(&digest, &team.operator_tokens_sha256)
     });
-    if known {
+    if is_known {
         Ok(())
     } else {
         Err(Failure::new(
             Code::NotAuthorized,
-            "a caller's token of the team",
+            "a caller or operator token of the team is required",
         ))
     }
 }
--- a/crates/bh-settings/src/diff.rs
+++ b/crates/bh-settings/src/diff.rs
@@ -1,4 +1,4 @@
-//! What a new tree would change, one line for each value.
+//! Differences between two settings trees, one per value.
 
 use crate::Settings;
 use bh_protocol::Code;
@@ -9,19 +9,19 @@
 /// One value that differs.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct Difference {
-    /// Place in the tree.
+    /// Path in the tree.
     pub path: String,
-    /// Value in force; `None` when it is new.
+    /// Value before the change; `None` if the change adds it.
     pub before: Option<String>,
-    /// Value after the change; `None` when it goes away.
+    /// Value after the change; `None` if the change removes it.
     pub after: Option<String>,
 }
 
-/// The values that differ between `before` and `after`, in the order of their paths.
+/// The values that differ between `before` and `after`, ordered by path.
 ///
 /// # Errors
 ///
-/// [`Code::Internal`] when a tree cannot be written, which no valid tree causes.
+/// [`Code::Internal`] if a tree cannot be serialized, which happens with no valid tree.
 pub fn between(before: &Settings, after: &Settings) -> Result<Vec<Difference>, Failure> {
     let old = flatten(before)?;
     let new = flatten(after)?;
@@ -40,15 +40,16 @@
     Ok(differences)
 }
 
+/// Maps the path of each scalar value to its text.
 fn flatten(settings: &Settings) -> Result<BTreeMap<String, String>, Failure> {
     let value = serde_json::to_value(settings)
         .map_err(|error| Failure::new(Code::Internal, error.to_string()))?;
     let mut flat = BTreeMap::new();
-    walk(String::new(), &value, &mut flat);
+    flatten_value(String::new(), &value, &mut flat);
     Ok(flat)
 }
 
-fn walk(path: String, value: &Value, flat: &mut BTreeMap<String, String>) {
+fn flatten_value(path: String, value: &Value, flat: &mut BTreeMap<String, String>) {
     match value {
         Value::Object(map) => {
             for (key, inner) in map {
@@ -57,12 +58,12 @@
                 } else {
                     format!("{path}.{key}")
                 };
-                walk(next, inner, flat);
+                flatten_value(next, inner, flat);
             }
         }
         Value::Array(items) => {
             for (index, inner) in items.iter().enumerate() {
-                walk(format!("{path}[{index}]"), inner, flat);
+                flatten_value(format!("{path}[{index}]"), inner, flat);
             }
         }
         Value::String(text) => {
--- a/crates/bh-settings/src/entry.rs
+++ b/crates/bh-settings/src/entry.rs
@@ -1,4 +1,4 @@
-//! An entry's own file: its name, addresses, peers and limits.
+//! Configuration file of one entry: its name, addresses, peers and limits.
 
 use crate::Problem;
 use crate::document::Document;
@@ -13,80 +13,80 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// Voters of the settings group at most; five survive the loss of two.
+/// Maximum number of voters in the settings group; five voters tolerate the loss of two.
 pub const MAX_SETTINGS_VOTERS: usize = 5;
-/// Voters of a data centre's job group.
+/// Maximum number of voters in the job group of a data centre.
 pub const JOBS_VOTERS: usize = 3;
-/// A follower waits for at least this many missed heartbeats before an election.
-const HEARTBEATS_PER_ELECTION: u64 = 4;
+/// Minimum election timeout, as a number of heartbeats.
+const MIN_HEARTBEATS_PER_ELECTION: u64 = 4;
 
 /// One entry VM of the system.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryVm {
     /// Name of the VM.
     pub name: Arc<str>,
-    /// Data centre it stands in.
+    /// Data centre of the VM.
     pub data_centre: Arc<str>,
-    /// Address for callers, targets and operators.
+    /// Listening address for callers, targets and operators.
     pub http_address: SocketAddr,
-    /// Address for the other entries.
+    /// Listening address for the other entries.
     pub peer_address: SocketAddr,
-    /// Whether it has a disk.
+    /// Whether the VM has a disk and may keep replicated state.
     pub disk: bool,
 }
 
-/// An entry's checked configuration.
+/// The validated configuration of an entry.
 #[derive(Clone, Debug)]
 pub struct EntryConfig {
     /// This VM.
     pub own: EntryVm,
-    /// All VMs by name, this one among them.
+    /// All entry VMs by name, including this one.
     pub entries: BTreeMap<Arc<str>, EntryVm>,
     /// Folder on the VM's disk.
     pub data_folder: Option<PathBuf>,
-    /// File with the key shared by all entries.
+    /// File with the key that all entries share.
     pub peer_key_file: Option<PathBuf>,
-    /// Where metrics go.
+    /// Address that metrics are sent to over UDP, if any.
     pub statsd_address: Option<SocketAddr>,
-    /// SHA-256 of the token for the first change.
+    /// SHA-256 of the token accepted while the settings name no administrator.
     pub bootstrap_token_sha256: Option<Arc<str>>,
     /// Whether logs are JSON rather than text.
     pub log_json: bool,
-    /// Least level that is logged.
+    /// Lowest level that is logged.
     pub log_level: Arc<str>,
     /// Time between heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Silence before an election, in milliseconds.
+    /// Time without contact to the leader after which a new leader is elected, in milliseconds.
     pub election_ms: u64,
-    /// Silence after which a target gets no new work, in milliseconds.
+    /// Time without an announcement after which a target gets no new work and its tasks stop, in milliseconds.
     pub target_lease_ms: u64,
-    /// Time between not ready and closing the listener, in milliseconds.
+    /// Time between reporting not ready and closing the listener at shutdown, in milliseconds.
     pub drain_delay_ms: u64,
     /// Longest wait for requests in progress at shutdown, in milliseconds.
     pub drain_limit_ms: u64,
-    /// Connections open at a time.
+    /// Maximum number of open connections of callers and targets.
     pub max_connections: usize,
-    /// Idle time before a caller's connection is closed, in milliseconds.
+    /// Longest wait for a request on a caller's connection before it is closed, in milliseconds.
     pub idle_connection_ms: u64,
-    /// Log entries after which a snapshot is taken.
+    /// Number of log entries after which a snapshot is taken.
     pub snapshot_entries: u64,
-    /// Whether one sync serves all records that wait.
+    /// Whether one disk sync covers all pending records.
     pub group_sync: bool,
-    /// Time to open a connection to a target, in milliseconds.
+    /// Longest time to open a connection to a target, in milliseconds.
     pub target_connect_ms: u64,
 }
 
 impl EntryConfig {
-    /// Reads and checks an entry's file.
+    /// Parses and validates the configuration file of an entry.
     ///
     /// # Errors
     ///
-    /// Every mistake in the file, in the order of its lines.
+    /// Every problem in the file, ordered by line.
     pub fn parse(file: impl Into<Arc<str>>, bytes: &[u8]) -> Result<EntryConfig, Vec<Problem>> {
         let document =
             Document::parse(file, Code::BadConfigFile, bytes).map_err(|problem| vec![*problem])?;
         let reader = Reader::new(&document, ENTRY_KEYS);
-        let config = read(reader.root());
+        let config = read_config(reader.root());
         let problems = reader.into_problems();
         match config {
             Some(config) if problems.is_empty() => Ok(config),
@@ -94,37 +94,39 @@
         }
     }
 
-    /// Names of the VMs that shall vote on settings: those with a disk, spread over the data centres, an odd number.
+    /// Names of the VMs that vote on settings: an odd number of VMs with a disk, spread over the data centres.
     pub fn settings_voters(&self) -> BTreeSet<Arc<str>> {
         let mut by_data_centre: BTreeMap<&Arc<str>, Vec<&EntryVm>> = BTreeMap::new();
         for vm in self.entries.values().filter(|vm| vm.disk) {
             by_data_centre.entry(&vm.data_centre).or_default().push(vm);
         }
-        let mut order = Vec::new();
-        let deepest = by_data_centre.values().map(Vec::len).max().unwrap_or(0);
-        for rank in 0..deepest {
-            order.extend(
+        let mut candidates = Vec::new();
+        let max_per_data_centre = by_data_centre.values().map(Vec::len).max().unwrap_or(0);
+        for rank in 0..max_per_data_centre {
+            candidates.extend(
                 by_data_centre
                     .values()
                     .filter_map(|vms| vms.get(rank))
                     .map(|vm| vm.name.clone()),
             );
         }
-        order.truncate(odd(order.len().min(MAX_SETTINGS_VOTERS)));
-        order.into_iter().collect()
+        candidates.truncate(largest_odd(candidates.len().min(MAX_SETTINGS_VOTERS)));
+        candidates.into_iter().collect()
     }
 
-    /// Names of the VMs that shall vote on the jobs of `data_centre`: its own with a disk, made up to three from others.
+    /// Names of the VMs that vote on the jobs of `data_centre`: an odd number of VMs with a disk, at most [`JOBS_VOTERS`], those of
+    /// the data centre first.
     pub fn jobs_voters(&self, data_centre: &str) -> BTreeSet<Arc<str>> {
-        let disks = self.entries.values().filter(|vm| vm.disk);
-        let (own, others): (Vec<_>, Vec<_>) = disks.partition(|vm| &*vm.data_centre == data_centre);
-        let mut order: Vec<Arc<str>> = own
+        let with_disk = self.entries.values().filter(|vm| vm.disk);
+        let (own, others): (Vec<_>, Vec<_>) =
+            with_disk.partition(|vm| &*vm.data_centre == data_centre);
+        let mut candidates: Vec<Arc<str>> = own
             .iter()
             .chain(others.iter())
             .map(|vm| vm.name.clone())
             .collect();
-        order.truncate(odd(order.len().min(JOBS_VOTERS)));
-        order.into_iter().collect()
+        candidates.truncate(largest_odd(candidates.len().min(JOBS_VOTERS)));
+        candidates.into_iter().collect()
     }
 
     /// Names of all data centres.
@@ -136,8 +138,8 @@
     }
 }
 
-/// The largest odd number up to `count`: an even group needs one more vote and survives no more losses.
-fn odd(count: usize) -> usize {
+/// The largest odd number up to `count`, or 0. A group with one more voter would need a larger quorum and tolerate no more losses.
+fn largest_odd(count: usize) -> usize {
     if count.is_multiple_of(2) {
         count.saturating_sub(1)
     } else {
@@ -145,13 +147,13 @@
     }
 }
 
-fn read(mut root: Section<'_>) -> Option<EntryConfig> {
+fn read_config(mut root: Section<'_>) -> Option<EntryConfig> {
     let name = root.name("name");
     let entries = read_entries(&mut root);
     let own = entries.get(&name).cloned();
     if own.is_none() && !name.is_empty() && !entries.is_empty() {
         let known: Vec<&str> = entries.keys().map(|name| &**name).collect();
-        root.note(
+        root.report(
             format!("`name` is `{name}`, which is not among `entries`"),
             format!("use one of: {}", known.join(", ")),
         );
@@ -159,32 +161,32 @@
     let data_folder = root.text("data_folder").map(|path| PathBuf::from(&*path));
     let peer_key_file = root.text("peer_key_file").map(|path| PathBuf::from(&*path));
     let statsd_address = read_address(&mut root, "statsd_address");
-    let bootstrap_token_sha256 = read_bootstrap(&mut root);
+    let bootstrap_token_sha256 = read_bootstrap_digest(&mut root);
     let log_json = root.choice("log_format") == "json";
     let log_level = Arc::from(root.choice("log_level"));
     let heartbeat_ms = root.number("heartbeat_ms");
     let election_ms = root.number("election_ms");
-    if election_ms < heartbeat_ms * HEARTBEATS_PER_ELECTION {
-        root.note(
-            format!("`election_ms` is {election_ms}, less than {HEARTBEATS_PER_ELECTION} heartbeats of {heartbeat_ms} ms"),
-            format!("write `election_ms: {}` or more", heartbeat_ms * HEARTBEATS_PER_ELECTION),
+    if election_ms < heartbeat_ms * MIN_HEARTBEATS_PER_ELECTION {
+        root.report(
+            format!("`election_ms` is {election_ms}, less than {MIN_HEARTBEATS_PER_ELECTION} heartbeats of {heartbeat_ms} ms"),
+            format!("write `election_ms: {}` or more", heartbeat_ms * MIN_HEARTBEATS_PER_ELECTION),
         );
     }
     let own_has_disk = own.as_ref().is_some_and(|vm| vm.disk);
     if own_has_disk && data_folder.is_none() {
-        root.note(
+        root.report(
             "this VM has `disk: true` but no `data_folder`",
             "add `data_folder:` with a folder on that disk",
         );
     }
     if !own_has_disk && own.is_some() && data_folder.is_some() {
-        root.note(
+        root.report(
             "`data_folder` is given but this VM has no `disk: true`",
             "set `disk: true` for it in `entries`, or leave out `data_folder`",
         );
     }
     if entries.len() > 1 && peer_key_file.is_none() {
-        root.note(
+        root.report(
             "there is more than one entry but no `peer_key_file`",
             "add `peer_key_file:` with the file that holds the shared key",
         );
@@ -215,10 +217,10 @@
     config
 }
 
-fn read_bootstrap(root: &mut Section<'_>) -> Option<Arc<str>> {
+fn read_bootstrap_digest(root: &mut Section<'_>) -> Option<Arc<str>> {
     let digest = root.text("bootstrap_token_sha256")?;
     if !token::is_digest(&digest) {
-        root.note(
+        root.report(
             "`bootstrap_token_sha256` is not a SHA-256 digest",
             "write 64 hexadecimal digits, as `beechctl token hash` prints them",
         );
@@ -229,8 +231,8 @@
 fn read_entries(root: &mut Section<'_>) -> BTreeMap<Arc<str>, EntryVm> {
     let mut entries = BTreeMap::new();
     let mut addresses = BTreeSet::new();
-    let sections = root.list("entries");
-    let names_none = sections.is_empty();
+    let sections = root.section_list("entries");
+    let is_empty = sections.is_empty();
     for mut section in sections {
         let name = section.name("name");
         let data_centre = section.name("data_centre");
@@ -239,9 +241,9 @@
         let disk = section.flag("disk");
         for address in [http_address, peer_address].into_iter().flatten() {
             if !addresses.insert(address) {
-                section.note(
+                section.report(
                     format!("the address {address} is used twice"),
-                    "give each listener an address of its own",
+                    "give each listener its own address",
                 );
             }
         }
@@ -254,31 +256,31 @@
                 disk,
             };
             if entries.insert(name.clone(), vm).is_some() {
-                section.note(
+                section.report(
                     format!("the name `{name}` is used twice"),
-                    "give each entry a name of its own",
+                    "give each entry its own name",
                 );
             }
         }
         section.finish();
     }
-    if names_none {
-        root.note(
-            "`entries` names no VM",
-            "list every entry VM, this one among them",
+    if is_empty {
+        root.report(
+            "`entries` lists no VM",
+            "list every entry VM, including this one",
         );
     }
     entries
 }
 
-/// Reads an address that must be an IP number and a port: the VMs have no name service.
+/// Reads an IP address and a port. Host names are refused, since the VMs have no name service.
 fn read_address(section: &mut Section<'_>, name: &'static str) -> Option<SocketAddr> {
     let text = section.text(name)?;
     match text.parse() {
         Ok(address) => Some(address),
         Err(_) => {
-            section.note(
-                format!("`{name}` is `{text}`, not an IP number and a port"),
+            section.report(
+                format!("`{name}` is `{text}`, not an IP address and a port"),
                 "write it like 10.0.0.7:8080 or [fd00::7]:8080",
             );
             None
--- a/crates/bh-settings/src/entry_key.rs
+++ b/crates/bh-settings/src/entry_key.rs
@@ -1,66 +1,66 @@
-//! Every key of an entry's own file.
+//! Table of the keys of an entry's configuration file.
 
 use crate::key::Key;
 use crate::key::Kind;
 use crate::key::OPTIONAL_TEXT;
 use crate::key::REQUIRED_TEXT;
-use crate::key::number;
-use crate::key::other;
+use crate::key::number_key;
+use crate::key::other_key;
 
-/// Keys of an entry's own file.
+/// Keys of an entry's configuration file.
 pub const ENTRY_KEYS: &[Key] = &[
-    other(
+    other_key(
         "name",
         REQUIRED_TEXT,
         "Name of this entry VM, one of `entries`.",
     ),
-    other(
+    other_key(
         "entries",
         Kind::List,
         "All entry VMs; the same list in every file.",
     ),
-    other("entries[].name", REQUIRED_TEXT, "Name of the VM."),
-    other(
+    other_key("entries[].name", REQUIRED_TEXT, "Name of the VM."),
+    other_key(
         "entries[].data_centre",
         REQUIRED_TEXT,
         "Data centre the VM stands in.",
     ),
-    other(
+    other_key(
         "entries[].http_address",
         REQUIRED_TEXT,
         "`IP:port` for callers, targets and operators.",
     ),
-    other(
+    other_key(
         "entries[].peer_address",
         REQUIRED_TEXT,
         "`IP:port` for the other entries.",
     ),
-    other(
+    other_key(
         "entries[].disk",
         Kind::Flag { default: false },
         "Whether the VM has a disk and may keep the replicated state.",
     ),
-    other(
+    other_key(
         "data_folder",
         OPTIONAL_TEXT,
         "Folder on the VM's disk; required when this VM has `disk: true`.",
     ),
-    other(
+    other_key(
         "peer_key_file",
         OPTIONAL_TEXT,
         "File with the key shared by all entries; required when there is more than one.",
     ),
-    other(
+    other_key(
         "statsd_address",
         OPTIONAL_TEXT,
         "`IP:port` that metrics are sent to over UDP; none when left out.",
     ),
-    other(
+    other_key(
         "bootstrap_token_sha256",
         OPTIONAL_TEXT,
         "SHA-256 (hex) of the token for the first change; it ends when the settings name an administrator.",
     ),
-    other(
+    other_key(
         "log_format",
         Kind::Choice {
             words: &["text", "json"],
@@ -68,7 +68,7 @@
         },
         "Form of the log on standard error.",
     ),
-    other(
+    other_key(
         "log_level",
         Kind::Choice {
             words: &["info", "debug", "warn", "error"],
@@ -76,7 +76,7 @@
         },
         "Least level that is logged.",
     ),
-    number(
+    number_key(
         "heartbeat_ms",
         "ms",
         10,
@@ -84,7 +84,7 @@
         Some(150),
         "Time between heartbeats of leaders and peer links.",
     ),
-    number(
+    number_key(
         "election_ms",
         "ms",
         50,
@@ -92,7 +92,7 @@
         Some(600),
         "Silence after which a new leader is elected; at least four heartbeats.",
     ),
-    number(
+    number_key(
         "target_lease_ms",
         "ms",
         200,
@@ -100,7 +100,7 @@
         Some(3_000),
         "Silence after which a target gets no new work and its tasks stop.",
     ),
-    number(
+    number_key(
         "drain_delay_ms",
         "ms",
         0,
@@ -108,7 +108,7 @@
         Some(500),
         "Time between not ready and closing the listener at shutdown, for the balancer.",
     ),
-    number(
+    number_key(
         "drain_limit_ms",
         "ms",
         0,
@@ -116,7 +116,7 @@
         Some(30_000),
         "Longest wait for requests in progress at shutdown.",
     ),
-    number(
+    number_key(
         "max_connections",
         "connections",
         1,
@@ -124,7 +124,7 @@
         Some(4_096),
         "Connections of callers and targets open at a time.",
     ),
-    number(
+    number_key(
         "idle_connection_ms",
         "ms",
         100,
@@ -132,7 +132,7 @@
         Some(30_000),
         "Idle or slow head on a caller's connection before it is closed.",
     ),
-    number(
+    number_key(
         "snapshot_entries",
         "entries",
         16,
@@ -140,12 +140,12 @@
         Some(4_096),
         "Log entries after which a snapshot is taken.",
     ),
-    other(
+    other_key(
         "group_sync",
         Kind::Flag { default: true },
         "Whether one disk sync serves all records that wait; only a measurement turns it off.",
     ),
-    number(
+    number_key(
         "target_connect_ms",
         "ms",
         10,
--- a/crates/bh-settings/src/key.rs
+++ b/crates/bh-settings/src/key.rs
@@ -1,8 +1,8 @@
-//! Every key of the two kinds of YAML file, with unit, default and limits.
+//! Description of settings keys, and the table of the keys that operators apply, with unit, default and limits.
 //!
 //! `docs/SETTINGS.md` is checked against these tables by a test.
 
-/// What a key holds.
+/// Type of the value of a key, with its limits and default.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// A whole number from `min` to `max`; `default` is `None` when the key is required.
@@ -41,20 +41,20 @@
     List,
 }
 
-/// One key: its place, kind and meaning. `*` stands for a name, `[]` for an item of a list.
+/// One key: its path, kind and meaning.
 #[derive(Clone, Copy, Debug)]
 pub struct Key {
-    /// Place in the file.
+    /// Path in the file; `*` stands for a name, `[]` for an item of a list.
     pub path: &'static str,
-    /// What it holds.
+    /// Type of its value.
     pub kind: Kind,
-    /// Unit of a number; empty when it has none.
+    /// Unit of a number; empty if there is none.
     pub unit: &'static str,
-    /// What it means.
+    /// Meaning, as the documentation shows it.
     pub meaning: &'static str,
 }
 
-pub(crate) const fn number(
+pub(crate) const fn number_key(
     path: &'static str,
     unit: &'static str,
     min: u64,
@@ -70,7 +70,7 @@
     }
 }
 
-pub(crate) const fn other(path: &'static str, kind: Kind, meaning: &'static str) -> Key {
+pub(crate) const fn other_key(path: &'static str, kind: Kind, meaning: &'static str) -> Key {
     Key {
         path,
         kind,
@@ -81,23 +81,23 @@
 
 pub(crate) const REQUIRED_TEXT: Kind = Kind::Text { required: true };
 pub(crate) const OPTIONAL_TEXT: Kind = Kind::Text { required: false };
-/// Largest number of accelerators a quota can name; more than the largest system has.
-pub const NO_QUOTA: u64 = 1_000_000;
+/// Default and maximum of a quota. It exceeds the accelerators of the largest system, so it sets no limit.
+pub const UNLIMITED_QUOTA: u64 = 1_000_000;
 
 /// Keys of the settings that operators apply.
 pub const SETTINGS_KEYS: &[Key] = &[
-    other(
+    other_key(
         "system",
         Kind::Section,
         "What holds for all teams; administrators only.",
     ),
-    other(
+    other_key(
         "system.administrator_tokens_sha256",
         Kind::Texts,
         "SHA-256 (hex) of the tokens that may change everything.",
     ),
-    other("system.policy", Kind::Section, "How placements are chosen."),
-    number(
+    other_key("system.policy", Kind::Section, "How placements are chosen."),
+    number_key(
         "system.policy.completion_weight",
         "",
         0,
@@ -105,7 +105,7 @@
         Some(1),
         "How much job completion time counts.",
     ),
-    number(
+    number_key(
         "system.policy.fragmentation_weight",
         "",
         0,
@@ -113,7 +113,7 @@
         Some(1),
         "How much accelerator fragmentation counts.",
     ),
-    number(
+    number_key(
         "system.policy.checkpoint_wait_ms",
         "ms",
         0,
@@ -121,7 +121,7 @@
         Some(2_000),
         "How long a borrower may checkpoint before it is stopped.",
     ),
-    number(
+    number_key(
         "system.policy.starvation_ms",
         "ms",
         100,
@@ -129,7 +129,7 @@
         Some(300_000),
         "Wait after which a gang makes smaller jobs move; scaled by the two weights.",
     ),
-    number(
+    number_key(
         "system.policy.max_attempts",
         "",
         1,
@@ -137,31 +137,31 @@
         Some(5),
         "Distinct workers a job may fail on before it is given up.",
     ),
-    other(
+    other_key(
         "teams",
         Kind::Named,
         "One subtree a team; its operators change no other.",
     ),
-    number(
+    number_key(
         "teams.*.quota_accelerators",
         "accelerators",
         0,
-        NO_QUOTA,
-        Some(NO_QUOTA),
+        UNLIMITED_QUOTA,
+        Some(UNLIMITED_QUOTA),
         "Accelerators the team's jobs may hold at a time.",
     ),
-    other(
+    other_key(
         "teams.*.operator_tokens_sha256",
         Kind::Texts,
         "SHA-256 (hex) of the tokens that may change this subtree.",
     ),
-    other(
+    other_key(
         "teams.*.caller_tokens_sha256",
         Kind::Texts,
         "SHA-256 (hex) of the tokens that may send work; without any, work needs no token.",
     ),
-    other("teams.*.shapes", Kind::Named, "Job shapes."),
-    number(
+    other_key("teams.*.shapes", Kind::Named, "Job shapes."),
+    number_key(
         "teams.*.shapes.*.tasks",
         "tasks",
         1,
@@ -169,7 +169,7 @@
         None,
         "Tasks of the gang; all run or none does.",
     ),
-    number(
+    number_key(
         "teams.*.shapes.*.accelerators_per_task",
         "accelerators",
         1,
@@ -177,7 +177,7 @@
         None,
         "Accelerators of each task, on one worker.",
     ),
-    other(
+    other_key(
         "teams.*.shapes.*.adjacent",
         Kind::Choice {
             words: &["worker", "rack", "data_centre"],
@@ -185,12 +185,12 @@
         },
         "How near the accelerators must be.",
     ),
-    other(
+    other_key(
         "teams.*.request_types",
         Kind::Named,
         "Request types; they decide the priority, never the caller.",
     ),
-    number(
+    number_key(
         "teams.*.request_types.*.priority",
         "",
         0,
@@ -198,7 +198,7 @@
         Some(5),
         "Higher is served sooner.",
     ),
-    number(
+    number_key(
         "teams.*.request_types.*.deadline_ms",
         "ms",
         1,
@@ -206,12 +206,12 @@
         Some(5_000),
         "Longest time a caller waits for its answer.",
     ),
-    other(
+    other_key(
         "teams.*.request_types.*.idempotent",
         Kind::Flag { default: false },
         "Whether a request may be run again after an unclear outcome.",
     ),
-    number(
+    number_key(
         "teams.*.request_types.*.max_body_bytes",
         "bytes",
         0,
@@ -219,7 +219,7 @@
         Some(1_048_576),
         "Largest request body.",
     ),
-    number(
+    number_key(
         "teams.*.request_types.*.objective_ppm",
         "ppm",
         1,
@@ -227,7 +227,7 @@
         Some(999_000),
         "Share of requests that must succeed in time, the service-level objective.",
     ),
-    number(
+    number_key(
         "teams.*.request_types.*.objective_ms",
         "ms",
         1,
@@ -235,12 +235,12 @@
         Some(2_000),
         "Answer time within which a request counts as good.",
     ),
-    other(
+    other_key(
         "teams.*.customers",
         Kind::Named,
         "Customers; names are unique over all teams.",
     ),
-    number(
+    number_key(
         "teams.*.customers.*.weight",
         "",
         1,
@@ -248,25 +248,25 @@
         Some(1),
         "Share of the slots for short requests under load.",
     ),
-    number(
+    number_key(
         "teams.*.customers.*.quota_accelerators",
         "accelerators",
         0,
-        NO_QUOTA,
-        Some(NO_QUOTA),
+        UNLIMITED_QUOTA,
+        Some(UNLIMITED_QUOTA),
         "Accelerators the customer's jobs may hold at a time.",
     ),
-    other(
+    other_key(
         "teams.*.customers.*.guarantees",
         Kind::List,
         "Shapes the customer can always have.",
     ),
-    other(
+    other_key(
         "teams.*.customers.*.guarantees[].shape",
         REQUIRED_TEXT,
         "Name of a shape of the team.",
     ),
-    number(
+    number_key(
         "teams.*.customers.*.guarantees[].count",
         "shapes",
         1,
@@ -274,14 +274,14 @@
         Some(1),
         "How many at a time.",
     ),
-    other(
+    other_key(
         "teams.*.customers.*.guarantees[].data_centre",
         REQUIRED_TEXT,
         "Data centre that holds them.",
     ),
 ];
 
-/// The key at `path` of `keys`.
+/// Finds the key with `path` in `keys`.
 pub fn find(keys: &'static [Key], path: &str) -> Option<&'static Key> {
     keys.iter().find(|key| key.path == path)
 }
--- a/crates/bh-settings/src/lib.rs
+++ b/crates/bh-settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! The settings tree: reading it from YAML, checking it, comparing it and changing it.
 //!
-//! Operators drive the whole system by changing this tree. Each team owns the subtree under its name; the
-//! replicated [`Machine`] decides which of two racing changes wins.
+//! Operators configure the whole system by changing this tree. Each team owns the subtree under its name. The
+//! replicated [`Machine`] decides which of two concurrent changes wins.
 
 pub mod check;
 pub mod diff;
--- a/crates/bh-settings/src/machine.rs
+++ b/crates/bh-settings/src/machine.rs
@@ -1,4 +1,4 @@
-//! The replicated settings: compare-and-set by subtree, and one answer for each change.
+//! Replicated state machine of the settings: compare-and-set per subtree, and one outcome per change id.
 
 use crate::Settings;
 use crate::token;
@@ -14,43 +14,43 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Answers of changes that are kept for resends. At 12,000 changes a day that is more than a day and a half.
-pub const ANSWERS_KEPT: usize = 20_000;
+/// Number of outcomes stored to answer resent changes; at 12,000 changes a day they cover more than a day and a half.
+pub const MAX_STORED_OUTCOMES: usize = 20_000;
 
-/// A settings change as replicated, already parsed.
+/// A parsed settings change, as it is replicated.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Command {
-    /// The operator's id of the change.
+    /// Id of the change, chosen by the operator's tool.
     pub change_id: Arc<str>,
-    /// Revision it was made against.
+    /// Revision the change is based on.
     pub base_revision: u64,
-    /// Subtree it replaces.
+    /// Subtree the change replaces.
     pub scope: Scope,
     /// SHA-256 of the operator's token.
     pub token_sha256: Arc<str>,
     /// SHA-256 of the token accepted while the settings name no administrator.
     pub bootstrap_sha256: Option<Arc<str>>,
-    /// The new tree; only the part in scope counts.
+    /// The new tree; it may contain only the subtree in `scope`.
     pub settings: Settings,
 }
 
-/// Answer to a change, kept for its resends.
+/// Result of a change, stored to answer resends.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcome {
-    /// Number of the result code; 0 when accepted.
+    /// Number of the result code; 0 if the change was accepted.
     pub code: u32,
-    /// Label of a refusal.
+    /// Label of the failure; empty if the change was accepted.
     pub label: String,
-    /// Revision that carries the change, or the revision in force at the refusal.
+    /// Revision created by the change, or the revision in force when it was refused.
     pub revision: u64,
 }
 
 impl Outcome {
-    /// The outcome as the caller sees it.
+    /// Converts the outcome to the answer for the operator.
     ///
     /// # Errors
     ///
-    /// The refusal, with its numbered code.
+    /// The refusal, with its result code.
     pub fn into_result(self) -> Result<Accepted, Failure> {
         match Code::from_number(self.code) {
             Some(Code::Done) => Ok(Accepted {
@@ -62,40 +62,40 @@
     }
 }
 
-/// A kept answer, with what it answered.
+/// A stored outcome, with a digest of the change it belongs to.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct Kept {
+struct StoredOutcome {
     fingerprint: Arc<str>,
     outcome: Outcome,
 }
 
-/// The settings state machine. Replicas that apply the same commands in the same order are equal.
+/// The settings state machine. Replicas that apply the same commands in the same order have the same state.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Machine {
     /// Revision in force; 0 before the first change.
     pub revision: u64,
-    /// The tree in force.
+    /// Settings in force.
     pub settings: Arc<Settings>,
     team_changed_at: BTreeMap<Arc<str>, u64>,
-    answers: BTreeMap<Arc<str>, Kept>,
+    answers: BTreeMap<Arc<str>, StoredOutcome>,
     answer_order: VecDeque<Arc<str>>,
 }
 
 impl Machine {
-    /// A machine with no settings at revision 0.
+    /// Creates a machine with default settings at revision 0.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Applies one change and returns its answer.
+    /// Applies one change and returns its outcome.
     ///
-    /// A change id that was answered before gets the first answer again, whatever it was: an operator whose
-    /// answer was lost resends, and a refused change that arrives twice must not be accepted the second time.
+    /// A resend of a change returns the stored outcome, also if the change was refused: an operator resends when the
+    /// answer was lost, and a change that was refused must not be accepted when it arrives again.
     pub fn apply(&mut self, command: &Command) -> Outcome {
         let fingerprint = fingerprint(command);
-        if let Some(kept) = self.answers.get(&command.change_id) {
-            if kept.fingerprint == fingerprint {
-                return kept.outcome.clone();
+        if let Some(stored) = self.answers.get(&command.change_id) {
+            if stored.fingerprint == fingerprint {
+                return stored.outcome.clone();
             }
             return self.refusal(Failure::new(
                 Code::KeyReused,
@@ -110,9 +110,9 @@
             },
             Err(failure) => self.refusal(failure),
         };
-        self.keep(
+        self.store_outcome(
             command.change_id.clone(),
-            Kept {
+            StoredOutcome {
                 fingerprint,
                 outcome: outcome.clone(),
             },
@@ -128,10 +128,11 @@
         }
     }
 
-    fn keep(&mut self, change_id: Arc<str>, kept: Kept) {
-        self.answers.insert(change_id.clone(), kept);
+    /// Stores an outcome and drops the oldest one above [`MAX_STORED_OUTCOMES`].
+    fn store_outcome(&mut self, change_id: Arc<str>, stored: StoredOutcome) {
+        self.answers.insert(change_id.clone(), stored);
         self.answer_order.push_back(change_id);
-        if self.answer_order.len() > ANSWERS_KEPT
+        if self.answer_order.len() > MAX_STORED_OUTCOMES
             && let Some(oldest) = self.answer_order.pop_front()
         {
             self.answers.remove(&oldest);
@@ -141,16 +142,16 @@
     fn try_apply(&mut self, command: &Command) -> Result<(), Failure> {
         self.authorize(command)?;
         self.check_base(command)?;
-        let next = self.replaced(command)?;
+        let next = self.next_settings(command)?;
         next.check()?;
         self.revision += 1;
-        self.note_changed(command);
+        self.record_changed_teams(command);
         self.settings = Arc::new(next);
         Ok(())
     }
 
-    /// Checks the token against the tokens in force at this place of the log, so that a token that a racing
-    /// change withdrew cannot be used after it.
+    /// Checks the token against the settings in force at this log position, so that a token revoked by a concurrent
+    /// change cannot be used after that change.
     fn authorize(&self, command: &Command) -> Result<(), Failure> {
         let administrators = &self.settings.system.administrator_tokens_sha256;
         let bootstrap: Vec<Arc<str>> = command.bootstrap_sha256.iter().cloned().collect();
@@ -185,7 +186,7 @@
         }
     }
 
-    /// The change wins only if its subtree is still as it was at the revision it was made against.
+    /// Refuses the change if its subtree has changed since the revision it is based on.
     fn check_base(&self, command: &Command) -> Result<(), Failure> {
         let changed_at = match &command.scope {
             Scope::All => self.revision,
@@ -201,7 +202,8 @@
         Ok(())
     }
 
-    fn replaced(&self, command: &Command) -> Result<Settings, Failure> {
+    /// The settings after the change; refuses a change that reaches outside of its scope.
+    fn next_settings(&self, command: &Command) -> Result<Settings, Failure> {
         match &command.scope {
             Scope::All => Ok(command.settings.clone()),
             Scope::Team(name) => {
@@ -228,7 +230,8 @@
         }
     }
 
-    fn note_changed(&mut self, command: &Command) {
+    /// Stores the new revision for each team that the change affects.
+    fn record_changed_teams(&mut self, command: &Command) {
         match &command.scope {
             Scope::Team(name) => {
                 self.team_changed_at.insert(name.clone(), self.revision);
@@ -237,8 +240,9 @@
                 let old: Vec<Arc<str>> = self.settings.teams.keys().cloned().collect();
                 let new: Vec<Arc<str>> = command.settings.teams.keys().cloned().collect();
                 for name in old.into_iter().chain(new) {
-                    let same = team_of(&self.settings, &name) == team_of(&command.settings, &name);
-                    if !same {
+                    let is_same =
+                        team_of(&self.settings, &name) == team_of(&command.settings, &name);
+                    if !is_same {
                         self.team_changed_at.insert(name, self.revision);
                     }
                 }
@@ -251,6 +255,7 @@
     settings.teams.get(name)
 }
 
+/// Digest of the content of a change, to tell a resend from another change with the same id.
 fn fingerprint(command: &Command) -> Arc<str> {
     let text = serde_json::to_string(&(command.base_revision, &command.scope, &command.settings))
         .unwrap_or_default();
--- a/crates/bh-settings/src/problem.rs
+++ b/crates/bh-settings/src/problem.rs
@@ -1,4 +1,4 @@
-//! One mistake in a YAML file, with the place it was found and what to write instead.
+//! A problem in a YAML file, with its position and a suggested fix.
 
 use bh_protocol::Code;
 use miette::Diagnostic;
@@ -8,11 +8,11 @@
 use std::fmt::Display;
 use std::sync::Arc;
 
-/// A mistake at a line of a file.
+/// A problem at a position in a file.
 #[derive(Clone, Debug, thiserror::Error)]
 #[error("{file}:{line}:{column}: {label}")]
 pub struct Problem {
-    /// Numbered result, [`Code::BadConfigFile`] or [`Code::InvalidSettings`].
+    /// Result code, [`Code::BadConfigFile`] or [`Code::InvalidSettings`].
     pub code: Code,
     /// Name of the file.
     pub file: Arc<str>,
@@ -24,12 +24,12 @@
     pub label: String,
     /// What to write instead.
     pub help: String,
-    text: Option<Arc<NamedSource<String>>>,
+    source_text: Option<Arc<NamedSource<String>>>,
     offset: usize,
 }
 
 impl Problem {
-    /// A mistake at `line` and `column` of `file`, both from 1.
+    /// Creates a problem at `line` and `column` of `file`, both from 1.
     pub fn new(
         code: Code,
         file: impl Into<Arc<str>>,
@@ -44,20 +44,20 @@
             column,
             label: label.into(),
             help: help.into(),
-            text: None,
+            source_text: None,
             offset: 0,
         }
     }
 
-    /// Adds the text of the file, so that the report can quote the line.
+    /// Adds the text of the file, so that a report can quote the line.
     pub fn with_source(mut self, source: Arc<NamedSource<String>>) -> Self {
-        self.offset = offset_of(source.inner(), self.line, self.column);
-        self.text = Some(source);
+        self.offset = byte_offset(source.inner(), self.line, self.column);
+        self.source_text = Some(source);
         self
     }
 }
 
-fn offset_of(text: &str, line: usize, column: usize) -> usize {
+fn byte_offset(text: &str, line: usize, column: usize) -> usize {
     let before: usize = text
         .split_inclusive('\n')
         .take(line.saturating_sub(1))
@@ -76,11 +76,13 @@
     }
 
     fn source_code(&self) -> Option<&dyn SourceCode> {
-        self.text.as_deref().map(|source| source as &dyn SourceCode)
+        self.source_text
+            .as_deref()
+            .map(|source| source as &dyn SourceCode)
     }
 
     fn labels(&self) -> Option<Box<dyn Iterator<Item = LabeledSpan> + '_>> {
-        self.text.as_ref()?;
+        self.source_text.as_ref()?;
         let span = LabeledSpan::new(Some("here".to_owned()), self.offset, 1);
         Some(Box::new(std::iter::once(span)))
     }
--- a/crates/bh-settings/src/section.rs
+++ b/crates/bh-settings/src/section.rs
@@ -1,4 +1,4 @@
-//! Walks a YAML mapping by the key tables and notes every mistake it meets.
+//! Reads YAML mappings according to the key tables and collects every problem found.
 
 use crate::Problem;
 use crate::document::Document;
@@ -11,10 +11,10 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Longest name of a team, customer, shape and the like, in bytes.
+/// Maximum length of the name of a team, customer, shape or other item, in bytes.
 pub const MAX_NAME_BYTES: usize = 63;
 
-/// Collects the mistakes of one document.
+/// Reads one document and collects its problems.
 pub struct Reader<'a> {
     document: &'a Document,
     keys: &'static [Key],
@@ -22,7 +22,7 @@
 }
 
 impl<'a> Reader<'a> {
-    /// A reader of `document` by `keys`.
+    /// Creates a reader of `document` that accepts the keys in `keys`.
     pub fn new(document: &'a Document, keys: &'static [Key]) -> Self {
         Self {
             document,
@@ -31,18 +31,18 @@
         }
     }
 
-    /// The top section.
+    /// The top-level section.
     pub fn root(&'a self) -> Section<'a> {
         Section::new(self, &self.document.root, String::new())
     }
 
-    /// Notes a mistake at `span`.
-    pub fn note(&self, span: &Span, label: impl Into<String>, help: impl Into<String>) {
-        let place = span.start().map_or((1, 1), |m| (m.line(), m.column()));
+    /// Adds a problem at `span`.
+    pub fn report(&self, span: &Span, label: impl Into<String>, help: impl Into<String>) {
+        let position = span.start().map_or((1, 1), |m| (m.line(), m.column()));
         let problem = Problem::new(
             self.document.code,
             self.document.file.clone(),
-            place,
+            position,
             label,
             help,
         );
@@ -51,7 +51,7 @@
             .push(problem.with_source(self.document.source.clone()));
     }
 
-    /// The mistakes noted, in the order of their lines.
+    /// The collected problems, ordered by line and column.
     pub fn into_problems(self) -> Vec<Problem> {
         let mut problems = self.problems.into_inner();
         problems.sort_by_key(|problem| (problem.line, problem.column));
@@ -59,12 +59,12 @@
     }
 }
 
-/// One mapping of the document.
+/// One mapping of the document, with the names of the keys read from it so far.
 pub struct Section<'a> {
     reader: &'a Reader<'a>,
     node: &'a MarkedMappingNode,
     path: String,
-    known: BTreeSet<&'static str>,
+    read_keys: BTreeSet<&'static str>,
 }
 
 impl<'a> Section<'a> {
@@ -73,36 +73,37 @@
             reader,
             node,
             path,
-            known: BTreeSet::new(),
+            read_keys: BTreeSet::new(),
         }
     }
 
-    /// Place of the mapping in the file.
+    /// Position of the mapping in the file.
     pub fn span(&self) -> &'a Span {
         self.node.span()
     }
 
-    /// Notes a mistake in this mapping.
-    pub fn note(&self, label: impl Into<String>, help: impl Into<String>) {
-        self.reader.note(self.span(), label, help);
+    /// Adds a problem at the position of this mapping.
+    pub fn report(&self, label: impl Into<String>, help: impl Into<String>) {
+        self.reader.report(self.span(), label, help);
     }
 
-    /// Place of the value of `name`, or of the mapping when it is left out.
+    /// Position of the value at `name`, or of the mapping if the key is missing.
     pub fn span_of(&self, name: &str) -> &'a Span {
         self.node
             .get_node(name)
             .map_or(self.node.span(), Node::span)
     }
 
+    /// Looks up the key in the table and marks it as read.
     fn key(&mut self, name: &'static str) -> &'static Key {
-        self.known.insert(name);
+        self.read_keys.insert(name);
         let path = join(&self.path, name);
         crate::key::find(self.reader.keys, &path)
             .unwrap_or_else(|| unreachable!("no key {path} in the table"))
     }
 
     fn wrong_kind(&self, name: &str, expected: &str) {
-        self.reader.note(
+        self.reader.report(
             self.span_of(name),
             format!("`{name}` must be {expected}"),
             format!("write `{name}:` with {expected}"),
@@ -110,19 +111,22 @@
     }
 
     fn missing(&self, name: &str, expected: &str) {
-        self.note(
+        self.report(
             format!("`{name}` is missing"),
             format!("add `{name}:` with {expected}"),
         );
     }
 
-    /// The whole number at `name`, or its default.
+    /// Reads the whole number at `name`; returns its default, or else its minimum, if it is missing or invalid.
     pub fn number(&mut self, name: &'static str) -> u64 {
         let key = self.key(name);
         let Kind::Number { min, max, default } = key.kind else {
             unreachable!("{name} is not a number in the table")
         };
-        let expected = format!("a whole number from {min} to {max}{}", with_unit(key.unit));
+        let expected = format!(
+            "a whole number from {min} to {max}{}",
+            unit_suffix(key.unit)
+        );
         let Some(node) = self.node.get_node(name) else {
             if default.is_none() {
                 self.missing(name, &expected);
@@ -139,12 +143,12 @@
         }
     }
 
-    /// The number at `name` as 32 bits; the tables keep such keys within that range.
+    /// Reads the number at `name` as `u32`; the key tables limit such keys to that range.
     pub fn number_u32(&mut self, name: &'static str) -> u32 {
         u32::try_from(self.number(name)).unwrap_or(u32::MAX)
     }
 
-    /// The flag at `name`, or its default.
+    /// Reads the boolean at `name`; returns its default if it is missing or invalid.
     pub fn flag(&mut self, name: &'static str) -> bool {
         let Kind::Flag { default } = self.key(name).kind else {
             unreachable!("{name} is not a flag in the table")
@@ -161,7 +165,7 @@
         }
     }
 
-    /// The word at `name`, one of those in the table.
+    /// Reads the word at `name`, one of those in the table; returns the first of them if it is missing or invalid.
     pub fn choice(&mut self, name: &'static str) -> &'static str {
         let Kind::Choice { words, required } = self.key(name).kind else {
             unreachable!("{name} is not a choice in the table")
@@ -183,27 +187,27 @@
         }
     }
 
-    /// The text at `name`.
+    /// Reads the text at `name`, which must not be empty.
     pub fn text(&mut self, name: &'static str) -> Option<Arc<str>> {
         let Kind::Text { required } = self.key(name).kind else {
             unreachable!("{name} is not a text in the table")
         };
         let Some(node) = self.node.get_node(name) else {
             if required {
-                self.missing(name, "a text");
+                self.missing(name, "non-empty text");
             }
             return None;
         };
         match node.as_scalar() {
             Some(scalar) if !scalar.as_str().is_empty() => Some(Arc::from(scalar.as_str())),
             _ => {
-                self.wrong_kind(name, "a text");
+                self.wrong_kind(name, "non-empty text");
                 None
             }
         }
     }
 
-    /// The text at `name` that must be a name.
+    /// Reads the text at `name` and checks that it is a valid name; returns an empty text if it is missing.
     pub fn name(&mut self, name: &'static str) -> Arc<str> {
         let text = self.text(name).unwrap_or_else(|| Arc::from(""));
         if !text.is_empty() {
@@ -212,7 +216,7 @@
         text
     }
 
-    /// The texts at `name`, each with its place.
+    /// Reads the list of texts at `name`, each with its position.
     pub fn texts(&mut self, name: &'static str) -> Vec<(Arc<str>, &'a Span)> {
         self.key(name);
         let Some(node) = self.node.get_node(name) else {
@@ -226,17 +230,17 @@
         for item in sequence.iter() {
             match item.as_scalar() {
                 Some(scalar) => texts.push((Arc::from(scalar.as_str()), item.span())),
-                None => self.reader.note(
+                None => self.reader.report(
                     item.span(),
-                    format!("an item of `{name}` must be a text"),
-                    "write one text a line",
+                    format!("an item of `{name}` must be text"),
+                    "write one `- text` item per line",
                 ),
             }
         }
         texts
     }
 
-    /// The section at `name`.
+    /// Reads the section at `name`.
     pub fn section(&mut self, name: &'static str) -> Option<Section<'a>> {
         self.key(name);
         let node = self.node.get_node(name)?;
@@ -247,8 +251,8 @@
         Some(Section::new(self.reader, mapping, join(&self.path, name)))
     }
 
-    /// The named sections at `name`, in the order of the file.
-    pub fn named(&mut self, name: &'static str) -> Vec<(Arc<str>, Section<'a>)> {
+    /// Reads the mapping from names to sections at `name`, in the order of the file.
+    pub fn named_sections(&mut self, name: &'static str) -> Vec<(Arc<str>, Section<'a>)> {
         self.key(name);
         let Some(node) = self.node.get_node(name) else {
             return Vec::new();
@@ -266,7 +270,7 @@
                     Arc::from(key.as_str()),
                     Section::new(self.reader, inner, path.clone()),
                 )),
-                None => self.reader.note(
+                None => self.reader.report(
                     value.span(),
                     format!("`{}` must be a mapping", key.as_str()),
                     "write its keys below it, or `{}` for the defaults",
@@ -276,8 +280,8 @@
         sections
     }
 
-    /// The sections in the list at `name`.
-    pub fn list(&mut self, name: &'static str) -> Vec<Section<'a>> {
+    /// Reads the list of sections at `name`.
+    pub fn section_list(&mut self, name: &'static str) -> Vec<Section<'a>> {
         self.key(name);
         let Some(node) = self.node.get_node(name) else {
             return Vec::new();
@@ -291,7 +295,7 @@
         for item in sequence.iter() {
             match item.as_mapping() {
                 Some(inner) => sections.push(Section::new(self.reader, inner, path.clone())),
-                None => self.reader.note(
+                None => self.reader.report(
                     item.span(),
                     format!("an item of `{name}` must be a mapping"),
                     "write `- key: value`",
@@ -301,18 +305,18 @@
         sections
     }
 
-    /// Ends the section: every key that was not asked for is unknown.
+    /// Reports every key that was not read as unknown; call it after the last key is read.
     pub fn finish(self) {
         for key in self.node.keys() {
-            if self.known.contains(key.as_str()) {
+            if self.read_keys.contains(key.as_str()) {
                 continue;
             }
-            let known: Vec<&str> = self.known.iter().copied().collect();
-            let help = match nearest(key.as_str(), &known) {
-                Some(near) => format!("did you mean `{near}`?"),
+            let known: Vec<&str> = self.read_keys.iter().copied().collect();
+            let help = match closest_key(key.as_str(), &known) {
+                Some(suggestion) => format!("did you mean `{suggestion}`?"),
                 None => format!("known here: {}", known.join(", ")),
             };
-            self.reader.note(
+            self.reader.report(
                 key.span(),
                 format!("the key `{}` is not known here", key.as_str()),
                 help,
@@ -321,14 +325,14 @@
     }
 
     fn check_name(&self, name: &str, span: &Span) {
-        let fits = name.len() <= MAX_NAME_BYTES;
-        let plain = name
+        let is_short_enough = name.len() <= MAX_NAME_BYTES;
+        let has_valid_bytes = name
             .bytes()
             .all(|b| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-');
-        let edges = name.starts_with(|c: char| c.is_ascii_alphanumeric())
+        let has_valid_ends = name.starts_with(|c: char| c.is_ascii_alphanumeric())
             && name.ends_with(|c: char| c.is_ascii_alphanumeric());
-        if !(fits && plain && edges) {
-            self.reader.note(
+        if !(is_short_enough && has_valid_bytes && has_valid_ends) {
+            self.reader.report(
                 span,
                 format!("`{}` is not a valid name", name.escape_debug()),
                 "use 1 to 63 lower-case letters, digits and hyphens, with no hyphen at either end",
@@ -337,7 +341,7 @@
     }
 }
 
-fn with_unit(unit: &str) -> String {
+fn unit_suffix(unit: &str) -> String {
     if unit.is_empty() {
         String::new()
     } else {
@@ -353,17 +357,18 @@
     }
 }
 
-/// The known key nearest to a misspelt one, when it is near enough to be meant.
-fn nearest<'k>(word: &str, known: &[&'k str]) -> Option<&'k str> {
-    const FARTHEST: usize = 3;
+/// The known key closest to a misspelt one, if it is close enough to be a likely typing error.
+fn closest_key<'k>(word: &str, known: &[&'k str]) -> Option<&'k str> {
+    const MAX_DISTANCE: usize = 3;
     known
         .iter()
         .map(|candidate| (edit_distance(word, candidate), *candidate))
-        .filter(|(distance, _)| *distance <= FARTHEST)
+        .filter(|(distance, _)| *distance <= MAX_DISTANCE)
         .min()
         .map(|(_, candidate)| candidate)
 }
 
+/// Levenshtein distance of the first 64 characters of both words.
 fn edit_distance(a: &str, b: &str) -> usize {
     let b: Vec<char> = b.chars().take(64).collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
--- a/crates/bh-settings/src/token.rs
+++ b/crates/bh-settings/src/token.rs
@@ -1,4 +1,4 @@
-//! Tokens: kept as SHA-256, compared in constant time.
+//! Tokens, stored as SHA-256 digests and compared in constant time.
 
 use sha2::Digest;
 use sha2::Sha256;
@@ -17,7 +17,7 @@
 
 /// Whether `digest` is among `known`.
 ///
-/// Every known digest is compared in full, so that the time taken tells nothing about how much of it matched.
+/// Compares every known digest in full, so the time taken does not reveal how many characters matched.
 pub fn is_among(digest: &str, known: &[Arc<str>]) -> bool {
     let mut found = subtle::Choice::from(0);
     for candidate in known {
@@ -26,7 +26,7 @@
     found.into()
 }
 
-/// Whether `text` has the form of a digest.
+/// Whether `text` is 64 lower-case hexadecimal digits.
 pub fn is_digest(text: &str) -> bool {
     text.len() == 64
         && text
--- a/crates/bh-settings/src/tree/customer.rs
+++ b/crates/bh-settings/src/tree/customer.rs
@@ -1,18 +1,18 @@
-//! A customer of a team.
+//! Settings of a customer.
 
 use super::Guarantee;
 use crate::section::Section;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A customer: its share, quota and guarantees.
+/// Share, quota and guarantees of a customer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Customer {
-    /// Share of the slots for short requests under load.
+    /// Weight of the customer when slots for short requests are shared under load.
     pub weight: u32,
-    /// Accelerators its jobs may hold at a time.
+    /// Maximum number of accelerators that the customer's jobs hold at a time.
     pub quota_accelerators: u32,
-    /// Shapes it can always have.
+    /// Shapes that are guaranteed to the customer.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub guarantees: Vec<Guarantee>,
 }
@@ -24,7 +24,7 @@
             weight: section.number_u32("weight"),
             quota_accelerators: section.number_u32("quota_accelerators"),
             guarantees: section
-                .list("guarantees")
+                .section_list("guarantees")
                 .into_iter()
                 .map(Guarantee::read)
                 .collect(),
--- a/crates/bh-settings/src/tree/guarantee.rs
+++ b/crates/bh-settings/src/tree/guarantee.rs
@@ -1,18 +1,18 @@
-//! A customer's guarantee.
+//! Guarantee of a customer.
 
 use crate::section::Section;
 use serde::Deserialize;
 use serde::Serialize;
 use std::sync::Arc;
 
-/// `count` shapes that a customer can always have in one data centre.
+/// Capacity that a customer can always use: `count` gangs of one shape at a time in one data centre.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Guarantee {
     /// Name of a shape of the customer's team.
     pub shape: Arc<str>,
-    /// How many at a time.
+    /// Number of gangs of that shape at a time.
     pub count: u32,
-    /// Data centre that holds them.
+    /// Data centre that provides them.
     pub data_centre: Arc<str>,
 }
 
--- a/crates/bh-settings/src/tree/mod.rs
+++ b/crates/bh-settings/src/tree/mod.rs
@@ -1,4 +1,4 @@
-//! The settings tree, typed.
+//! Types of the settings tree.
 
 mod customer;
 mod guarantee;
--- a/crates/bh-settings/src/tree/policy.rs
+++ b/crates/bh-settings/src/tree/policy.rs
@@ -1,19 +1,19 @@
-//! How placements are chosen.
+//! Placement policy.
 
 use crate::section::Section;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The operators' weights and waits for placement.
+/// Weights and time limits of placement, set by operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Policy {
-    /// How much job completion time counts.
+    /// Weight of job completion time.
     pub completion_weight: u32,
-    /// How much accelerator fragmentation counts.
+    /// Weight of accelerator fragmentation.
     pub fragmentation_weight: u32,
-    /// How long a borrower may checkpoint before it is stopped, in milliseconds.
+    /// How long a borrower, a job on accelerators guaranteed to others, may checkpoint before it is stopped, in milliseconds.
     pub checkpoint_wait_ms: u64,
-    /// Wait after which a gang makes smaller jobs move, in milliseconds; scaled by the two weights.
+    /// Wait after which smaller jobs are moved to make room for a gang, in milliseconds; scaled by the two weights.
     pub starvation_ms: u64,
     /// Distinct workers a job may fail on before it is given up.
     pub max_attempts: u32,
--- a/crates/bh-settings/src/tree/request_type.rs
+++ b/crates/bh-settings/src/tree/request_type.rs
@@ -1,21 +1,21 @@
-//! A request type of a team.
+//! Settings of a request type.
 
 use crate::section::Section;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What holds for one kind of request or job.
+/// Priority, limits and objective of one type of request or job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestType {
-    /// Higher is served sooner.
+    /// Priority; higher values are served first.
     pub priority: u8,
-    /// Longest time a caller waits, in milliseconds.
+    /// Longest time a caller waits for its answer, in milliseconds.
     pub deadline_ms: u64,
-    /// Whether a request may run again after an unclear outcome.
+    /// Whether a request may run again if its outcome is unknown.
     pub idempotent: bool,
-    /// Largest body in bytes.
+    /// Maximum size of a request body in bytes.
     pub max_body_bytes: u64,
-    /// Share that must succeed in time, in parts per million.
+    /// Share of requests that must succeed in time, in parts per million.
     pub objective_ppm: u32,
     /// Answer time within which a request counts as good, in milliseconds.
     pub objective_ms: u64,
--- a/crates/bh-settings/src/tree/settings.rs
+++ b/crates/bh-settings/src/tree/settings.rs
@@ -1,4 +1,4 @@
-//! The whole tree.
+//! Root of the settings tree.
 
 use super::System;
 use super::Team;
@@ -16,20 +16,20 @@
 /// All settings that operators apply.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settings {
-    /// What holds for all teams.
+    /// Settings that apply to all teams.
     #[serde(default)]
     pub system: System,
-    /// The teams' subtrees by name.
+    /// Subtrees of the teams by name.
     #[serde(default)]
     pub teams: BTreeMap<Arc<str>, Team>,
 }
 
 impl Settings {
-    /// Reads settings from YAML and checks them.
+    /// Parses settings from YAML and validates them.
     ///
     /// # Errors
     ///
-    /// Every mistake in the file, in the order of its lines.
+    /// Every problem in the file, ordered by line.
     pub fn parse(file: impl Into<Arc<str>>, bytes: &[u8]) -> Result<Settings, Vec<Problem>> {
         let document = Document::parse(file, Code::InvalidSettings, bytes)
             .map_err(|problem| vec![*problem])?;
@@ -37,14 +37,14 @@
         let mut root = reader.root();
         let system = root.section("system").map(System::read).unwrap_or_default();
         let mut teams = BTreeMap::new();
-        for (name, section) in root.named("teams") {
+        for (name, section) in root.named_sections("teams") {
             teams.insert(name, Team::read(section));
         }
         let settings = Settings { system, teams };
         if let Err(failure) = settings.check() {
-            root.note(
+            root.report(
                 failure.label,
-                "give each customer of the system a name of its own",
+                "customer names must be unique over all teams; rename one of the two",
             );
         }
         root.finish();
@@ -56,21 +56,21 @@
         }
     }
 
-    /// The settings as YAML that [`Settings::parse`] reads back.
+    /// Serializes the settings as YAML that [`Settings::parse`] accepts.
     ///
     /// # Errors
     ///
-    /// [`Code::Internal`] when the tree cannot be written, which no valid tree causes.
+    /// [`Code::Internal`] if the tree cannot be serialized, which happens with no valid tree.
     pub fn to_yaml(&self) -> Result<String, Failure> {
         serde_yaml_ng::to_string(self)
             .map_err(|error| Failure::new(Code::Internal, error.to_string()))
     }
 
-    /// Checks what spans several teams.
+    /// Checks constraints that span several teams.
     ///
     /// # Errors
     ///
-    /// [`Code::InvalidSettings`] naming a customer that two teams claim.
+    /// [`Code::InvalidSettings`], with the name of a customer that belongs to two teams.
     pub fn check(&self) -> Result<(), Failure> {
         let mut owners: BTreeMap<&Arc<str>, &Arc<str>> = BTreeMap::new();
         for (team_name, team) in &self.teams {
--- a/crates/bh-settings/src/tree/system.rs
+++ b/crates/bh-settings/src/tree/system.rs
@@ -1,4 +1,4 @@
-//! What holds for all teams.
+//! Settings that apply to all teams.
 
 use super::Policy;
 use super::team::read_digests;
@@ -7,13 +7,13 @@
 use serde::Serialize;
 use std::sync::Arc;
 
-/// The administrators' own subtree.
+/// Subtree that only administrators may change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct System {
-    /// SHA-256 of the tokens that may change everything.
+    /// SHA-256 digests of the tokens that allow changing the whole tree.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub administrator_tokens_sha256: Vec<Arc<str>>,
-    /// How placements are chosen.
+    /// Placement policy.
     #[serde(default)]
     pub policy: Policy,
 }
--- a/crates/bh-settings/src/tree/team.rs
+++ b/crates/bh-settings/src/tree/team.rs
@@ -1,4 +1,4 @@
-//! A team's subtree.
+//! Settings of a team.
 
 use super::Customer;
 use super::RequestType;
@@ -11,15 +11,15 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Everything one team owns.
+/// Subtree of the settings that one team owns.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Team {
-    /// Accelerators the team's jobs may hold at a time.
+    /// Maximum number of accelerators that the team's jobs hold at a time.
     pub quota_accelerators: u32,
-    /// SHA-256 of the tokens that may change this subtree.
+    /// SHA-256 digests of the tokens that allow changing this subtree.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub operator_tokens_sha256: Vec<Arc<str>>,
-    /// SHA-256 of the tokens that may send work; when empty, work needs no token.
+    /// SHA-256 digests of the tokens that allow sending work; if empty, no token is needed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub caller_tokens_sha256: Vec<Arc<str>>,
     /// Job shapes by name.
@@ -49,13 +49,13 @@
         team
     }
 
-    /// Notes guarantees that name a shape the team does not have.
+    /// Reports guarantees of shapes that the team does not define.
     fn check_references(&self, section: &Section<'_>) {
         for (name, customer) in &self.customers {
             for guarantee in &customer.guarantees {
                 if !guarantee.shape.is_empty() && !self.shapes.contains_key(&guarantee.shape) {
                     let known: Vec<&str> = self.shapes.keys().map(|shape| &**shape).collect();
-                    section.note(
+                    section.report(
                         format!("customer `{name}` is guaranteed the shape `{}`, which the team does not have", guarantee.shape),
                         format!("add it under `shapes`, or use one of: {}", known.join(", ")),
                     );
@@ -71,7 +71,7 @@
     read: impl Fn(Section<'_>) -> T,
 ) -> BTreeMap<Arc<str>, T> {
     section
-        .named(name)
+        .named_sections(name)
         .into_iter()
         .map(|(key, inner)| (key, read(inner)))
         .collect()
@@ -92,14 +92,14 @@
     shape
 }
 
-/// Reads a list of SHA-256 digests.
+/// Reads a list of SHA-256 digests and reports the items that are none.
 pub(super) fn read_digests(section: &mut Section<'_>, name: &'static str) -> Vec<Arc<str>> {
     let mut digests = Vec::new();
     for (text, _) in section.texts(name) {
         if token::is_digest(&text) {
             digests.push(text);
         } else {
-            section.note(
+            section.report(
                 format!("an item of `{name}` is not a SHA-256 digest"),
                 "write 64 hexadecimal digits, as `beechctl token hash` prints them; never the token itself",
             );
--- a/crates/bh-settings/tests/docs.rs
+++ b/crates/bh-settings/tests/docs.rs
@@ -1,4 +1,4 @@
-//! The tables of keys in the documentation are those of the code, and the examples are valid at the users' sizes.
+//! Checks that the key tables in the documentation match the code, and that the example settings are valid.
 
 use bh_settings::EntryConfig;
 use bh_settings::Settings;
@@ -81,7 +81,7 @@
     );
 }
 
-/// The examples name four customers each, and guarantees that the users' racks can hold.
+/// Each example has four customers, and guarantees that fit into its racks and take at most three quarters of its accelerators.
 #[rstest]
 #[case("kaupluseuhendus", 3, 50, 8)]
 #[case("manizales", 4, 50, 6)]
