--- a/crates/bh-protocol/src/code.rs
+++ b/crates/bh-protocol/src/code.rs
@@ -1,4 +1,4 @@
-//! Numbered result codes: what became of a request, and what the reader should do next.
+//! Result codes: the outcome of a request, and what its sender should do next.
 //!
 //! `docs/RESULT-CODES.md` is checked against this table by a test.
 
@@ -7,16 +7,16 @@
 /// Whether the work behind a request was executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Executed {
-    /// Nothing was sent to a target; resending is safe.
+    /// The work was not sent to a target, so it is safe to resend the request.
     No,
     /// The work was executed.
     Yes,
-    /// A target may have executed the work and its outcome could not be learned.
+    /// A target may have executed the work, but its outcome is unknown.
     Unknown,
 }
 
 impl Executed {
-    /// The word used in answers and in the documentation.
+    /// The word for it in answers and in the documentation.
     pub fn as_str(self) -> &'static str {
         match self {
             Executed::No => "no",
@@ -28,14 +28,14 @@
 
 macro_rules! codes {
     ($($variant:ident = $number:literal, $status:literal, $exit:literal, $executed:ident, $title:literal, $help:literal;)+) => {
-        /// One numbered result. The number never changes its meaning once released.
+        /// A result code. The meaning of a number never changes once it is released.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
         pub enum Code {
             $(#[doc = $title] $variant,)+
         }
 
         impl Code {
-            /// Every code, in ascending order of number.
+            /// All codes, ordered by number.
             pub const ALL: &'static [Code] = &[$(Code::$variant,)+];
 
             /// The stable number written in answers, logs and the documentation.
@@ -43,7 +43,7 @@
                 match self { $(Code::$variant => $number,)+ }
             }
 
-            /// The HTTP status that carries this code.
+            /// The HTTP status of an answer with this code.
             pub fn http_status(self) -> u16 {
                 match self { $(Code::$variant => $status,)+ }
             }
@@ -53,7 +53,7 @@
                 match self { $(Code::$variant => $exit,)+ }
             }
 
-            /// Whether the work ran, as far as this code can tell.
+            /// Whether the work was executed, as far as this code tells.
             pub fn executed(self) -> Executed {
                 match self { $(Code::$variant => Executed::$executed,)+ }
             }
@@ -63,7 +63,7 @@
                 match self { $(Code::$variant => $title,)+ }
             }
 
-            /// What the reader can do about it.
+            /// What the sender can do about it.
             pub fn help(self) -> &'static str {
                 match self { $(Code::$variant => $help,)+ }
             }
@@ -115,7 +115,7 @@
 }
 
 impl Code {
-    /// The code with the given number, if there is one.
+    /// The code with `number`, if there is one.
     pub fn from_number(number: u32) -> Option<Code> {
         Code::ALL
             .iter()
--- a/crates/bh-protocol/src/failure.rs
+++ b/crates/bh-protocol/src/failure.rs
@@ -1,4 +1,4 @@
-//! The error that every part of beechhollow reports: a numbered code and a label.
+//! The error type of all parts of beechhollow: a result code and a label.
 
 use crate::Code;
 use miette::Diagnostic;
@@ -6,20 +6,20 @@
 use serde::Serialize;
 use std::fmt::Display;
 
-/// A numbered failure, with a label that names the place or the value at fault.
+/// A failure: a result code, and a label that names the faulty value or its location.
 #[derive(Clone, Debug, thiserror::Error, PartialEq, Eq)]
 #[error("{}: {label}", code.title())]
 pub struct Failure {
-    /// The numbered result.
+    /// Result code.
     pub code: Code,
-    /// What exactly is at fault, for the person who reads it.
+    /// The faulty value or its location, for people to read.
     pub label: String,
-    /// When a resend may succeed, in milliseconds from now.
+    /// Time after which a resend may succeed, in milliseconds.
     pub retry_after_ms: Option<u64>,
 }
 
 impl Failure {
-    /// A failure with `code`, labelled with the value or place at fault.
+    /// Creates a failure with `code` and `label`.
     pub fn new(code: Code, label: impl Into<String>) -> Self {
         Self {
             code,
@@ -28,13 +28,13 @@
         }
     }
 
-    /// Adds the time, in milliseconds, after which a resend may succeed.
+    /// Sets the time after which a resend may succeed, in milliseconds.
     pub fn with_retry_after_ms(mut self, retry_after_ms: u64) -> Self {
         self.retry_after_ms = Some(retry_after_ms);
         self
     }
 
-    /// The form sent to callers.
+    /// Converts the failure to the form sent to callers.
     pub fn to_answer(&self) -> FailureAnswer {
         FailureAnswer {
             code: self.code.number(),
@@ -57,20 +57,20 @@
     }
 }
 
-/// A failure as JSON, the body of every answer that is not a success.
+/// A failure as JSON, the body of every answer that reports a failure.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FailureAnswer {
     /// Number of the result code.
     pub code: u32,
     /// What happened, in one clause.
     pub title: String,
-    /// The value or place at fault.
+    /// The faulty value or its location.
     pub label: String,
     /// What the reader can do.
     pub help: String,
-    /// `no`, `yes` or `unknown`: whether the work ran.
+    /// Whether the work was executed: `no`, `yes` or `unknown`.
     pub ran: String,
-    /// When a resend may succeed, in milliseconds.
+    /// Time after which a resend may succeed, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
--- a/crates/bh-protocol/src/job.rs
+++ b/crates/bh-protocol/src/job.rs
@@ -1,4 +1,4 @@
-//! Long jobs: what a caller submits and what it reads back.
+//! Jobs: submission, record and status.
 
 use crate::shape::Shape;
 use serde::Deserialize;
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A caller's submission, the body of `POST /v1/customers/{customer}/jobs`.
+/// A job as a caller submits it, the body of `POST /v1/customers/{customer}/jobs`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Submission {
@@ -16,35 +16,35 @@
     pub shape: Arc<str>,
     /// Name of a request type, which decides the priority.
     pub request_type: Arc<str>,
-    /// Run time the caller declares, in milliseconds; often far off.
+    /// Run time as declared by the caller, in milliseconds; an estimate that is often wrong.
     pub declared_ms: u64,
-    /// Handed to every task unchanged.
+    /// Passed to every task unchanged.
     #[serde(default)]
     pub payload: String,
 }
 
-/// A job as recorded: the submission with its names resolved.
+/// A submission whose shape and request type have been resolved, as recorded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Spec {
     /// Team that owns the customer.
     pub team: Arc<str>,
-    /// Customer the job is charged to.
+    /// Customer whose quota and guarantees apply to the job.
     pub customer: Arc<str>,
     /// The caller's idempotency key.
     pub key: Arc<str>,
-    /// Name of the shape; guarantees are matched by it.
+    /// Name of the shape; guarantees refer to it.
     pub shape_name: Arc<str>,
-    /// The demand.
+    /// Tasks and accelerators that the job needs.
     pub shape: Shape,
-    /// Priority from the request type; higher is sooner.
+    /// Priority from the request type; jobs with a higher priority are served first.
     pub priority: u8,
     /// Declared run time in milliseconds.
     pub declared_ms: u64,
-    /// Handed to every task.
+    /// Passed to every task unchanged.
     pub payload: String,
 }
 
-/// Where a job is in its life.
+/// Phase of a job's life cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
@@ -52,22 +52,22 @@
     Queued,
     /// The decision to start is recorded; tasks are starting or running.
     Started,
-    /// All tasks finished.
+    /// All tasks ended with success.
     Done,
-    /// Given up, with a reason.
+    /// Given up after failures.
     Failed,
     /// Cancelled by the caller.
     Cancelled,
 }
 
 impl Phase {
-    /// Whether the job will not change any more.
+    /// Whether the job stays in this phase.
     pub fn is_final(self) -> bool {
         matches!(self, Phase::Done | Phase::Failed | Phase::Cancelled)
     }
 }
 
-/// One task's place: a worker and how many accelerators it gives.
+/// Worker that one task is placed on.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TaskPlace {
     /// Index of the task in its gang, from 0.
@@ -76,10 +76,10 @@
     pub worker: Arc<str>,
 }
 
-/// A whole gang's placement.
+/// Placement of all tasks of a gang.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placement {
-    /// One place for each task.
+    /// The worker of each task.
     pub tasks: Vec<TaskPlace>,
 }
 
@@ -106,27 +106,27 @@
     }
 }
 
-/// A job as read back.
+/// Status of a job as callers read it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Status {
-    /// Identity of the job in its data centre.
+    /// Id of the job, unique in its data centre.
     pub job: u64,
-    /// Data centre that holds it.
+    /// Data centre that runs the job.
     pub data_centre: Arc<str>,
-    /// Customer it belongs to.
+    /// Customer that owns the job.
     pub customer: Arc<str>,
     /// Name of its shape.
     pub shape: Arc<str>,
-    /// Where it is in its life.
+    /// Phase of its life cycle.
     pub phase: Phase,
-    /// Whether every task of the gang has reported itself running.
+    /// Whether every task of the gang is reported as running.
     pub running: bool,
-    /// Start attempts so far; each has an epoch of its own.
+    /// Number of start attempts so far; each has its own epoch.
     pub attempt: u64,
     /// Placement of the current attempt.
     pub placement: Placement,
-    /// Why it waits, failed or was stopped.
+    /// Why the job waits, failed or was stopped.
     pub reason: String,
-    /// Milliseconds since it was submitted.
+    /// Time since the submission in milliseconds.
     pub age_ms: u64,
 }
--- a/crates/bh-protocol/src/lib.rs
+++ b/crates/bh-protocol/src/lib.rs
@@ -1,6 +1,6 @@
 //! Names, shapes, messages and result codes shared by every part of beechhollow.
 //!
-//! This is the bottom crate: it depends on nothing else of the project.
+//! This crate depends on no other crate of the project.
 
 pub mod code;
 pub mod failure;
--- a/crates/bh-protocol/src/number.rs
+++ b/crates/bh-protocol/src/number.rs
@@ -1,15 +1,15 @@
-//! Figures that come with a fraction.
+//! Conversion of floating-point numbers to integers.
 
-/// Largest figure that is told apart; larger ones count as this. Far above any time or size here, and exact as a floating-point number.
-const MOST: f64 = 1e12;
+/// Upper limit of the result: far above any time or size in the system, and exact as an `f64`.
+const MAX_VALUE: f64 = 1e12;
 
-/// The whole part of a figure; negative ones and what is no number count as 0.
-pub fn floor_to_u64(figure: f64) -> u64 {
+/// Rounds `number` down and limits it to at most 10¹²; negative numbers and NaN give 0.
+pub fn floor_to_u64(number: f64) -> u64 {
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         reason = "clamped to a range that fits"
     )]
-    let whole = figure.clamp(0.0, MOST) as u64;
-    whole
+    let floor = number.clamp(0.0, MAX_VALUE) as u64;
+    floor
 }
--- a/crates/bh-protocol/src/settings.rs
+++ b/crates/bh-protocol/src/settings.rs
@@ -1,10 +1,10 @@
-//! Settings changes as sent by operators and as read back.
+//! Settings changes that operators send, and reports of the settings in force.
 
 use serde::Deserialize;
 use serde::Serialize;
 use std::sync::Arc;
 
-/// Which subtree a change replaces.
+/// The subtree that a change replaces.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Scope {
@@ -18,11 +18,11 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// Chosen by the operator's tool; a resend with the same id gets the first answer again.
+    /// Id chosen by the operator's tool; a resend with the same id gets the first answer again.
     pub change_id: Arc<str>,
-    /// Revision the change was made against.
+    /// Revision that the change is based on.
     pub base_revision: u64,
-    /// The subtree it replaces.
+    /// The subtree to replace.
     pub scope: Scope,
     /// The new subtree, as YAML.
     pub yaml: String,
@@ -31,11 +31,11 @@
 /// Answer to an accepted change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accepted {
-    /// Revision that carries the change.
+    /// Revision that the change created.
     pub revision: u64,
 }
 
-/// What one entry has in force, the answer of `GET /v1/settings/in-force`.
+/// Settings in force on one entry, the answer of `GET /v1/settings/in-force`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct InForce {
     /// Name of the entry VM.
@@ -44,16 +44,16 @@
     pub data_centre: Arc<str>,
     /// Revision in force; 0 before the first change.
     pub revision: u64,
-    /// Milliseconds since this entry last heard from the settings leader.
+    /// Time since the last contact to the settings leader in milliseconds.
     pub confirmed_ms: u64,
-    /// Whether the entry is cut off from the settings quorum and may be behind.
+    /// Whether the entry has no contact to the settings quorum, so that its revision may be outdated.
     pub cut_off: bool,
 }
 
-/// The whole system's answer to `beechctl settings in-force`.
+/// Settings in force on all entries, the result of `beechctl settings in-force`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct InForceEverywhere {
-    /// One row for each entry that answered.
+    /// The entries that answered.
     pub entries: Vec<InForce>,
     /// Names of the entries that did not answer.
     pub silent: Vec<Arc<str>>,
--- a/crates/bh-protocol/src/shape.rs
+++ b/crates/bh-protocol/src/shape.rs
@@ -1,9 +1,9 @@
-//! Job shapes: how many tasks, how many accelerators each, and how near to each other.
+//! Job shapes: number of tasks, accelerators per task, and how close together they are placed.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How near the tasks of a gang must be to each other.
+/// How close together the tasks of a gang must be placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Adjacency {
@@ -15,19 +15,19 @@
     DataCentre,
 }
 
-/// A gang's demand: `tasks` tasks with `accelerators_per_task` accelerators each.
+/// Resources that a gang needs: `tasks` tasks with `accelerators_per_task` accelerators each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Shape {
     /// Number of tasks; all of them run or none does.
     pub tasks: u32,
     /// Accelerators of each task, all on one worker.
     pub accelerators_per_task: u32,
-    /// How near the tasks must be.
+    /// How close together the tasks must be placed.
     pub adjacent: Adjacency,
 }
 
 impl Shape {
-    /// A shape of `tasks` tasks with `accelerators_per_task` accelerators each.
+    /// Creates a shape of `tasks` tasks with `accelerators_per_task` accelerators each.
     pub fn new(tasks: u32, accelerators_per_task: u32, adjacent: Adjacency) -> Self {
         Self {
             tasks,
--- a/crates/bh-protocol/src/target.rs
+++ b/crates/bh-protocol/src/target.rs
@@ -1,4 +1,4 @@
-//! The target protocol: how workers announce themselves and are told to run tasks.
+//! The target protocol: announcements of workers and orders to run tasks.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,28 +8,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskPhase {
-    /// Accelerators are held under a lease; nothing runs.
+    /// The accelerators are reserved under a lease; the task does not run yet.
     Prepared,
     /// The task runs under a lease.
     Running,
-    /// The task ended by itself with success.
+    /// The task ended on its own with success.
     Done,
-    /// The task ended by itself with a failure.
+    /// The task ended on its own with a failure.
     Failed,
-    /// The task was stopped on request or because its lease lapsed.
+    /// The task was stopped by an order or because its lease expired.
     Stopped,
 }
 
-/// One task as its worker reports it.
+/// State of one task as its worker reports it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskReport {
     /// Job the task belongs to.
     pub job: u64,
-    /// Start attempt; a report of an older attempt is ignored.
+    /// Start attempt of the job; a report for an older attempt is ignored.
     pub epoch: u64,
     /// Index of the task in its gang.
     pub task: u32,
-    /// Progress.
+    /// Progress of the task.
     pub phase: TaskPhase,
 }
 
@@ -38,30 +38,30 @@
 pub struct Announcement {
     /// Name of the worker, unique in the system.
     pub name: Arc<str>,
-    /// Changes at each start of the worker's process, so that its earlier tasks count as lost.
+    /// Changes each time the worker's process starts, so that its earlier tasks count as lost.
     pub incarnation: u64,
-    /// Data centre it stands in.
+    /// Data centre of the worker.
     pub data_centre: Arc<str>,
-    /// Rack it stands in.
+    /// Rack of the worker.
     pub rack: Arc<str>,
-    /// `IP:port` where it takes work.
+    /// `IP:port` at which the worker accepts work.
     pub address: Arc<str>,
-    /// Processor cores.
+    /// Number of processor cores.
     pub cores: u32,
     /// Memory in mebibytes.
     pub memory_mib: u64,
-    /// Accelerators.
+    /// Number of accelerators.
     pub accelerators: u32,
-    /// Short requests it takes at a time.
+    /// Maximum number of short requests at a time.
     pub slots: u32,
-    /// Connections it takes at a time.
+    /// Maximum number of connections at a time.
     pub connections: u32,
-    /// Short requests in progress, with the lag of the worker's own reporting.
+    /// Short requests in progress; may lag behind, since the worker updates it with a delay.
     pub busy_slots: u32,
-    /// Whether it is leaving: no new work, work in progress finishes.
+    /// Whether the worker is leaving: it gets no new work, and work in progress finishes.
     #[serde(default)]
     pub leaving: bool,
-    /// Tasks held, running or ended and not yet acknowledged.
+    /// Tasks that are prepared or running, or that ended and are not acknowledged yet.
     #[serde(default)]
     pub tasks: Vec<TaskReport>,
 }
@@ -69,21 +69,21 @@
 /// Answer to an announcement.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnnounceReply {
-    /// The announcement counts for this long, in milliseconds.
+    /// Lease of the announcement in milliseconds.
     pub lease_ms: u64,
-    /// When to announce again, in milliseconds.
+    /// Time until the next announcement in milliseconds.
     pub renew_ms: u64,
     /// Other entries of the data centre, `IP:port`.
     pub entries: Vec<Arc<str>>,
-    /// Tasks whose lease is renewed.
+    /// Tasks whose leases are renewed.
     pub renewed: Vec<TaskKey>,
-    /// Tasks to stop, because the job no longer wants them.
+    /// Tasks to stop, since the job no longer needs them.
     pub stop: Vec<TaskKey>,
-    /// Ended tasks whose report is recorded; they need not be reported again.
+    /// Ended tasks whose reports are recorded; the worker stops reporting them.
     pub acknowledged: Vec<TaskKey>,
 }
 
-/// Identity of one task of one start attempt.
+/// Identifies one task of one start attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TaskKey {
     /// Job.
@@ -94,13 +94,13 @@
     pub task: u32,
 }
 
-/// What an entry asks of a worker for its tasks of one gang.
+/// Action that an entry orders for the tasks of a gang on one worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskVerb {
-    /// Hold the accelerators under a lease.
+    /// Reserve the accelerators under a lease.
     Prepare,
-    /// Run what was prepared.
+    /// Run the prepared tasks.
     Start,
     /// Checkpoint, then stop.
     Checkpoint,
@@ -111,19 +111,19 @@
 /// Body of `POST /v1/tasks`, sent by the data centre's leader to a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskOrder {
-    /// What to do.
+    /// Action to take.
     pub verb: TaskVerb,
     /// Job.
     pub job: u64,
-    /// Start attempt; a worker refuses an order of an older attempt than it has seen.
+    /// Start attempt; a worker refuses an order for an older attempt than it has seen.
     pub epoch: u64,
-    /// Indices of the tasks meant.
+    /// Indices of the tasks in the gang.
     pub tasks: Vec<u32>,
     /// Accelerators of each task.
     pub accelerators_per_task: u32,
-    /// The order holds this long without renewal, in milliseconds.
+    /// Lease of the tasks in milliseconds; they stop unless it is renewed.
     pub lease_ms: u64,
-    /// The caller's payload.
+    /// Payload of the job's submission.
     #[serde(default)]
     pub payload: String,
 }
@@ -133,7 +133,7 @@
 pub struct TaskOrderReply {
     /// Whether the order was carried out for all its tasks.
     pub accepted: bool,
-    /// Why it was not.
+    /// Why the order was refused; empty if it was accepted.
     #[serde(default)]
     pub reason: String,
 }
--- a/crates/bh-protocol/src/wire/carry.rs
+++ b/crates/bh-protocol/src/wire/carry.rs
@@ -1,4 +1,4 @@
-//! Orders to workers that one core carries for another, and signs of life of workers.
+//! Orders to workers that one core relays for the leader, and heartbeats of workers relayed to the leader.
 
 /// A header of an HTTP request.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
@@ -11,13 +11,13 @@
     pub value: Vec<u8>,
 }
 
-/// An order as the leader wrote it, for the core that talks to the worker.
+/// An order of the leader that another core, the carrier, sends to the worker.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct CarryRequest {
-    /// Term of the leader: the carrier refuses orders of one that it knows to be replaced.
+    /// Term of the leader. The carrier refuses an order if it knows a later term.
     #[prost(uint64, tag = "1")]
     pub term: u64,
-    /// When it was sent, on the leader's clock in milliseconds: the carrier refuses what was held up on its way.
+    /// When the order was sent, by the leader's clock in milliseconds. The carrier refuses an order that was delayed on its way.
     #[prost(uint64, tag = "2")]
     pub sent_ms: u64,
     /// Longest time to wait for the worker's answer, in milliseconds.
@@ -29,28 +29,29 @@
     /// Method of the HTTP request.
     #[prost(string, tag = "5")]
     pub method: String,
-    /// Its path.
+    /// Path of the HTTP request.
     #[prost(string, tag = "6")]
     pub path: String,
-    /// Its headers.
+    /// Headers of the HTTP request.
     #[prost(message, repeated, tag = "7")]
     pub headers: Vec<Header>,
-    /// Its body.
+    /// Body of the HTTP request.
     #[prost(bytes = "vec", tag = "8")]
     pub body: Vec<u8>,
 }
 
-/// What became of an order that was to be carried.
+/// Outcome of an order that a carrier was asked to send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum CarryOutcome {
-    /// It was not sent to the worker.
+    /// The order was not sent to the worker.
     NotCarried = 0,
     /// The worker answered.
     Answered = 1,
-    /// It was sent, or tried to be, and no whole answer came.
+    /// The carrier tried to send the order, and no complete answer came.
     NoAnswer = 2,
-    /// Nothing listens at the worker's address. A leader of an older version takes it for [`CarryOutcome::NotCarried`] and tries itself.
+    /// Nothing listens at the worker's address. A leader of an older version reads this as [`CarryOutcome::NotCarried`] and sends the
+    /// order itself.
     NotListening = 3,
 }
 
@@ -63,41 +64,41 @@
     /// Status of the worker's answer.
     #[prost(uint32, tag = "2")]
     pub status: u32,
-    /// Body of the worker's answer; why there is none otherwise.
+    /// Body of the worker's answer, or the reason why there is none.
     #[prost(bytes = "vec", tag = "3")]
     pub body: Vec<u8>,
-    /// Whether the order was sent again since the connection of an earlier send broke before its answer came.
+    /// Whether the order was sent more than once, because a connection broke before the answer came.
     #[prost(bool, tag = "4")]
     pub repeated: bool,
-    /// Whether the order surely did not reach the worker. Cores of older versions don't say so.
+    /// Whether the order certainly did not reach the worker. Cores of older versions never set this.
     #[prost(bool, tag = "5")]
     pub never_sent: bool,
 }
 
-/// A heartbeat that changed nothing, as the core that took it tells the leader.
+/// A worker's heartbeat without changes, relayed to the leader by the core that received it.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct RelayedHeartbeat {
-    /// The worker.
+    /// Name of the worker.
     #[prost(string, tag = "1")]
     pub worker: String,
-    /// The worker's clock in milliseconds.
+    /// Time of the worker's clock in milliseconds.
     #[prost(uint64, optional, tag = "2")]
     pub clock_ms: Option<u64>,
-    /// Number of the heartbeat.
+    /// Sequence number of the heartbeat.
     #[prost(uint64, tag = "3")]
     pub sequence: u64,
-    /// How long ago it came, in milliseconds.
+    /// Time since the heartbeat was received in milliseconds.
     #[prost(uint64, tag = "4")]
     pub age_ms: u64,
-    /// How much longer the worker is slow after its start, in milliseconds, when it came.
+    /// How long the worker stays slow after its start, in milliseconds from when the heartbeat was received.
     #[prost(uint64, tag = "5")]
     pub cold_ms: u64,
-    /// Shortest time for which the worker still ran when it came, in milliseconds, if it is leaving.
+    /// Minimum time that the worker still ran when the heartbeat was received, in milliseconds, if the worker is leaving.
     #[prost(uint64, optional, tag = "6")]
     pub leaves_in_ms: Option<u64>,
 }
 
-/// Heartbeats that came to one core within a moment.
+/// Heartbeats that one core received within a short time.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct RelayedHeartbeats {
     /// The heartbeats.
--- a/crates/bh-protocol/src/wire/core_status.rs
+++ b/crates/bh-protocol/src/wire/core_status.rs
@@ -1,6 +1,6 @@
-//! What a core VM tells those who are linked to it.
+//! Status that a core VM sends over its links.
 
-/// Leadership and membership as one core knows them. A core keeps part of the replicated state on its disk.
+/// Leadership and membership as one core knows them. A core is a VM that stores replicated state on its disk.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct CoreStatus {
     /// Whether the sender leads and may answer calls.
@@ -18,7 +18,7 @@
     /// Whether the sender is shutting down.
     #[prost(bool, tag = "5")]
     pub draining: bool,
-    /// Address at which the sender takes heartbeats; empty when it takes none.
+    /// Address at which the sender accepts heartbeats; empty if it accepts none.
     #[prost(string, tag = "6")]
     pub control_address: String,
 }
--- a/crates/bh-protocol/src/wire/peer.rs
+++ b/crates/bh-protocol/src/wire/peer.rs
@@ -1,10 +1,10 @@
-//! The envelope of the link between two entries.
+//! Frames of the link between two entries, and the calls in them.
 
 use super::CoreStatus;
 use super::Heartbeat;
 use super::RaftMessage;
 
-/// First message of each end of a link, before any other.
+/// First message that each end of a link sends.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Hello {
     /// Name of the sending entry VM.
@@ -13,52 +13,52 @@
     /// Data centre of the sender.
     #[prost(string, tag = "2")]
     pub data_centre: String,
-    /// Random number that keys this connection, so that no recorded frame is valid on another.
+    /// Random number that the keys of this connection are derived from, so that a recorded frame is valid on no other connection.
     #[prost(bytes = "vec", tag = "3")]
     pub nonce: Vec<u8>,
-    /// Identity of the sender's replicas.
+    /// Replica id of the sender, the same in all its groups.
     #[prost(uint64, tag = "4")]
     pub replica: u64,
-    /// Where the sender takes links, when others may dial it.
+    /// Address at which the sender accepts links; empty if others cannot dial it.
     #[prost(string, tag = "5")]
     pub address: String,
 }
 
-/// What a forwarded call asks for.
+/// Kind of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum RpcKind {
     /// Propose a command to a group; body: the command.
     Propose = 0,
-    /// Ask the leader of a group; body: a call as JSON.
+    /// A call for the leader of a group; body: the call as JSON.
     Leader = 1,
-    /// A short request to run on a target the receiver owns; head: its description as JSON; body: the request's own.
+    /// Run a short request on a target that the receiver owns; head: its description as JSON; body: the body of the request.
     RunRequest = 2,
-    /// What the receiver has in force; empty body.
+    /// Ask for the settings in force on the receiver; empty body.
     InForce = 3,
-    /// Whether a group has been formed and by whom; empty body.
+    /// Ask whether a group has been formed, and by which members; empty body.
     Formation = 4,
     /// A call for the leader of the workload; body: the call as JSON.
     Workload = 5,
-    /// An order to a worker that the receiver shall carry; body: a [`super::CarryRequest`].
+    /// Send an order to a worker for the leader; body: a [`super::CarryRequest`].
     Carry = 6,
-    /// Heartbeats of workers for the leader; body: [`super::RelayedHeartbeats`].
+    /// Heartbeats of workers, relayed to the leader; body: [`super::RelayedHeartbeats`].
     Signs = 7,
 }
 
-/// A call from one entry to another.
+/// A call to the other end of a link.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RpcRequest {
     /// Number of the call on this connection.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// Kind, an [`RpcKind`].
+    /// Kind of the call, an [`RpcKind`].
     #[prost(enumeration = "RpcKind", tag = "2")]
     pub kind: i32,
-    /// Replication group concerned, if any.
+    /// Replication group that the call is about, if any.
     #[prost(string, tag = "3")]
     pub group: String,
-    /// Header of the call, as JSON, when the body alone does not say enough.
+    /// Description of the call as JSON, for kinds whose body is not enough.
     #[prost(string, tag = "4")]
     pub head: String,
     /// Body of the call.
@@ -69,19 +69,19 @@
 /// Answer to an [`RpcRequest`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RpcReply {
-    /// Number of the call this answers.
+    /// Number of the call that this answers.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// Number of the result code; 0 is success.
+    /// Number of the result code; 0 means success.
     #[prost(uint32, tag = "2")]
     pub code: u32,
-    /// Label of the failure, or the header of the answer.
+    /// Label of the failure, or description of the answer.
     #[prost(string, tag = "3")]
     pub label: String,
     /// Body of the answer.
     #[prost(bytes = "vec", tag = "4")]
     pub body: Vec<u8>,
-    /// When a resend may succeed, in milliseconds; 0 when not said.
+    /// Time after which a resend may succeed, in milliseconds; 0 if unknown.
     #[prost(uint64, tag = "5")]
     pub retry_after_ms: u64,
 }
@@ -89,7 +89,7 @@
 /// One frame of a peer link.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Frame {
-    /// Content.
+    /// Content of the frame.
     #[prost(oneof = "Payload", tags = "1, 2, 3, 4, 5, 6")]
     pub payload: Option<Payload>,
 }
@@ -97,13 +97,13 @@
 /// Content of a [`Frame`].
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Payload {
-    /// Opens the link.
+    /// First message on the link.
     #[prost(message, tag = "1")]
     Hello(Hello),
     /// Liveness and load.
     #[prost(message, tag = "2")]
     Heartbeat(Heartbeat),
-    /// Replication.
+    /// A message of the replicated log.
     #[prost(message, tag = "3")]
     Raft(RaftMessage),
     /// A call.
@@ -112,7 +112,7 @@
     /// An answer.
     #[prost(message, tag = "5")]
     Reply(RpcReply),
-    /// What a core knows of the leader and of other cores.
+    /// Leadership and membership as a core knows them.
     #[prost(message, tag = "6")]
     Core(CoreStatus),
 }
--- a/crates/bh-protocol/tests/docs.rs
+++ b/crates/bh-protocol/tests/docs.rs
@@ -1,4 +1,4 @@
-//! The table of result codes in the documentation is the one in the code.
+//! Checks that the result codes are consistent, and that their table in the documentation matches the code.
 
 use bh_protocol::Code;
 use std::collections::BTreeSet;
@@ -35,7 +35,8 @@
     assert_eq!(after, table(), "run BLESS=1 cargo test -p bh-protocol");
 }
 
-/// Numbers are unique, and a code that says "not run" never comes with a status that means it may have run.
+/// Numbers are unique, only `Done` exits with 0, and just the codes from 400 to 499 and from 600 leave open whether the work was
+/// executed.
 #[test]
 fn codes_are_consistent() {
     let numbers: BTreeSet<u32> = Code::ALL.iter().map(|code| code.number()).collect();
