--- a/crates/bh-settings/src/entry.rs
+++ b/crates/bh-settings/src/entry.rs
@@ -16,7 +16,7 @@
 /// Maximum number of voters in the settings group; five voters tolerate the loss of two.
 pub const MAX_SETTINGS_VOTERS: usize = 5;
 /// Maximum number of voters in the job group of a data centre.
-pub const JOBS_VOTERS: usize = 3;
+pub const MAX_JOBS_VOTERS: usize = 3;
 /// Minimum election timeout, as a number of heartbeats.
 const MIN_HEARTBEATS_PER_ELECTION: u64 = 4;
 
@@ -114,7 +114,7 @@
         candidates.into_iter().collect()
     }
 
-    /// Names of the VMs that vote on the jobs of `data_centre`: an odd number of VMs with a disk, at most [`JOBS_VOTERS`], those of
+    /// Names of the VMs that vote on the jobs of `data_centre`: an odd number of VMs with a disk, at most [`MAX_JOBS_VOTERS`], those of
     /// the data centre first.
     pub fn jobs_voters(&self, data_centre: &str) -> BTreeSet<Arc<str>> {
         let with_disk = self.entries.values().filter(|vm| vm.disk);
@@ -125,7 +125,7 @@
             .chain(others.iter())
             .map(|vm| vm.name.clone())
             .collect();
-        candidates.truncate(largest_odd(candidates.len().min(JOBS_VOTERS)));
+        candidates.truncate(largest_odd(candidates.len().min(MAX_JOBS_VOTERS)));
         candidates.into_iter().collect()
     }
 
