--- a/crates/bh-net/src/clock.rs
+++ b/crates/bh-net/src/clock.rs
@@ -1,7 +1,7 @@
-//! Time as one value handed to every part.
+//! The clock of a process.
 //!
 //! The timer of `monoio` cannot be paused or advanced. Decision code therefore takes the time as an argument, and the
-//! daemon reads it from one [`Clock`], which a test sets by hand.
+//! daemon reads the time from one [`Clock`], which a test can set manually.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -21,7 +21,7 @@
 }
 
 impl Clock {
-    /// A clock that runs, from 1 at its creation.
+    /// Creates a clock that starts at 1.
     pub fn new() -> Self {
         Self {
             source: Source::Running {
@@ -30,14 +30,14 @@
         }
     }
 
-    /// A clock that shows what `now_ms` is set to.
+    /// Creates a clock whose time is the value of `now_ms`.
     pub fn with_manual(now_ms: Rc<Cell<u64>>) -> Self {
         Self {
             source: Source::Manual { now_ms },
         }
     }
 
-    /// Milliseconds on this clock; never goes back.
+    /// Time of this clock in milliseconds; never goes back.
     pub fn now_ms(&self) -> u64 {
         match &self.source {
             Source::Running { start_ms } => boot_ms().saturating_sub(*start_ms).saturating_add(1),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Milliseconds since 1970 by the wall clock, which may jump; for records that outlive the process only.
+    /// Wall-clock time in milliseconds since 1970. It may jump, so use it only for records that outlive the process.
     pub fn wall_ms(&self) -> u64 {
         match &self.source {
             Source::Running { .. } => SystemTime::now()
@@ -58,8 +58,8 @@
     }
 }
 
-/// Milliseconds since the VM was started, suspensions included. A VM that was suspended while it held a lease must find the
-/// lease expired when it wakes: the ordinary monotonic clock stands still meanwhile.
+/// Milliseconds since the VM was started, including time in which the VM was suspended. The usual monotonic clock stops during a
+/// suspension, so a VM that resumes would still count a lease as valid that has expired meanwhile.
 fn boot_ms() -> u64 {
     const MS_PER_S: u64 = 1_000;
     const NS_PER_MS: u64 = 1_000_000;
--- a/crates/bh-net/src/http_client/connection.rs
+++ b/crates/bh-net/src/http_client/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a target, with one request in progress at a time.
+//! Client connection, with one request in progress at a time.
 
 use super::SendError;
 use crate::runtime::within_ms;
@@ -25,8 +25,8 @@
 
 /// An open connection.
 ///
-/// The library's encoder and decoder hold some 16 KiB of buffers, so they live for one exchange only: a leader keeps a few
-/// connections to every worker, and with their buffers those took most of its memory.
+/// The encoder and decoder of `monoio-http` hold about 16 KiB of buffers, so they exist only during one exchange. A leader keeps a
+/// few connections to every worker, and with buffers these connections took most of its memory.
 pub struct Connection {
     read: OwnedReadHalf<TcpStream>,
     write: OwnedWriteHalf<TcpStream>,
@@ -38,7 +38,8 @@
     ///
     /// # Errors
     ///
-    /// [`SendError::Refused`], or [`SendError::NotConnected`], also when it takes longer than `limit_ms`.
+    /// [`SendError::Refused`] if nothing listens at the address, otherwise [`SendError::NotConnected`], also if it takes longer than
+    /// `limit_ms`.
     pub async fn open(address: SocketAddr, limit_ms: u64) -> Result<Connection, SendError> {
         let connecting = TcpStream::connect_addr(address);
         let stream = match within_ms(limit_ms, connecting).await {
@@ -57,19 +58,19 @@
         })
     }
 
-    /// Whether the last answer was read whole and the other side keeps the connection open.
+    /// Whether the last answer was complete and the other side keeps the connection open.
     pub fn is_reusable(&self) -> bool {
         self.reusable
     }
 
-    /// Sends `request` and reads the whole answer, of at most `max_answer_bytes`.
+    /// Sends `request` and reads the complete answer, of at most `max_answer_bytes`.
     ///
-    /// The connection must be dropped unless the answer came back whole: what is still to come on it belongs to
-    /// this request, and the next one would take it for its own.
+    /// After an error the connection must be dropped: the rest of the answer may still arrive, and the next request would read it
+    /// as its own answer.
     ///
     /// # Errors
     ///
-    /// Any [`SendError`] but [`SendError::NotConnected`] and [`SendError::Refused`].
+    /// Any [`SendError`] except [`SendError::NotConnected`] and [`SendError::Refused`].
     pub async fn send(
         &mut self,
         request: Request<Bytes>,
@@ -112,26 +113,27 @@
                 });
             }
         }
-        let says_close = parts
+        let asks_to_close = parts
             .headers
             .get(header::CONNECTION)
             .is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
-        // Bytes after the answer belong to no request of ours; they go with the decoder, and what follows them cannot be trusted.
-        let surplus = !reader.framed_mut().read_buffer().is_empty();
-        self.reusable = !says_close && !surplus && parts.version == http::Version::HTTP_11;
+        // Bytes after the answer belong to no request. They are dropped with the decoder, so the position in the stream is unknown.
+        let has_surplus = !reader.framed_mut().read_buffer().is_empty();
+        self.reusable = !asks_to_close && !has_surplus && parts.version == http::Version::HTTP_11;
         Ok(Response::from_parts(parts, bytes.freeze()))
     }
 }
 
+/// Checks that the answer states its length and that it is within the limit.
 fn check_length(parts: &http::response::Parts, max_answer_bytes: u64) -> Result<(), SendError> {
     if parts.headers.contains_key(header::TRANSFER_ENCODING) {
         return Ok(());
     }
-    let stated = parts
+    let content_length = parts
         .headers
         .get(header::CONTENT_LENGTH)
         .and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
-    match stated {
+    match content_length {
         Some(length) if length > max_answer_bytes => Err(SendError::TooLarge {
             limit: max_answer_bytes,
         }),
--- a/crates/bh-net/src/http_client/mod.rs
+++ b/crates/bh-net/src/http_client/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 towards targets, and from `beechctl` towards entries.
+//! HTTP/1.1 client, for calls to targets and for calls of `beechctl` to entries.
 
 mod connection;
 mod pool;
--- a/crates/bh-net/src/http_client/pool.rs
+++ b/crates/bh-net/src/http_client/pool.rs
@@ -1,25 +1,25 @@
-//! Connections kept open for reuse, by address.
+//! Pool of idle connections, by address.
 
 use super::Connection;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Idle connections at most for one address; a worker takes 64 over all entries together, and an entry never has
-/// more requests in progress on one worker than the worker has slots.
+/// Maximum number of idle connections to one address. A worker accepts 64 connections from all entries together, and an entry
+/// never has more requests in progress on one worker than the worker has slots.
 const MAX_IDLE: usize = 8;
-/// An idle connection older than this is closed: a middlebox may have forgotten it, and a request sent into it would
-/// wait for its whole time limit.
+/// Maximum idle time of a connection. A middlebox may drop the state of an idle connection, and a request on it would then wait
+/// for its full timeout.
 const MAX_IDLE_MS: u64 = 2_000;
 
-struct Idle {
+struct IdleConnection {
     connection: Connection,
     since_ms: u64,
 }
 
-/// Idle connections.
+/// Pool of idle connections.
 pub struct Pool {
-    idle: RefCell<BTreeMap<SocketAddr, Vec<Idle>>>,
+    idle: RefCell<BTreeMap<SocketAddr, Vec<IdleConnection>>>,
     max_idle: usize,
     max_idle_ms: u64,
     max_total: usize,
@@ -37,46 +37,46 @@
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool with the default limits.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Keeps at most `max_idle` idle connections to one address.
+    /// Limits the idle connections to one address.
     pub fn with_max_idle(mut self, max_idle: usize) -> Self {
         self.max_idle = max_idle;
         self
     }
 
-    /// Keeps idle connections for `max_idle_ms`.
+    /// Limits the idle time of a connection.
     pub fn with_max_idle_ms(mut self, max_idle_ms: u64) -> Self {
         self.max_idle_ms = max_idle_ms;
         self
     }
 
-    /// Keeps at most `max_total` idle connections to all addresses together.
+    /// Limits the idle connections to all addresses together.
     pub fn with_max_total(mut self, max_total: usize) -> Self {
         self.max_total = max_total;
         self
     }
 
-    /// Idle connections to all addresses.
+    /// Number of idle connections to all addresses.
     fn total(&self) -> usize {
         self.idle.borrow().values().map(Vec::len).sum()
     }
 
-    /// Takes the connection to `address` that was used last, if it is fresh enough.
+    /// Takes the most recently used connection to `address`, if there is one that has not expired.
     pub fn take(&self, address: SocketAddr, now_ms: u64) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let last = idle.get_mut(&address)?.pop()?;
-        if now_ms > last.since_ms + self.max_idle_ms {
+        let latest = idle.get_mut(&address)?.pop()?;
+        if now_ms > latest.since_ms + self.max_idle_ms {
             idle.remove(&address);
             return None;
         }
-        Some(last.connection)
+        Some(latest.connection)
     }
 
-    /// Gives a connection back, if it can be used again.
+    /// Returns a connection to the pool; closes it if it cannot be reused or the pool is full.
     pub fn give_back(&self, address: SocketAddr, connection: Connection, now_ms: u64) {
         if !connection.is_reusable() || self.total() >= self.max_total {
             return;
@@ -84,14 +84,14 @@
         let mut idle = self.idle.borrow_mut();
         let list = idle.entry(address).or_default();
         if list.len() < self.max_idle {
-            list.push(Idle {
+            list.push(IdleConnection {
                 connection,
                 since_ms: now_ms,
             });
         }
     }
 
-    /// Closes every idle connection to `address`, after one to it fell silent.
+    /// Closes every idle connection to `address`; call it after a connection to that address got no answer.
     pub fn forget(&self, address: SocketAddr) {
         self.idle.borrow_mut().remove(&address);
     }
@@ -101,7 +101,7 @@
         self.idle.borrow_mut().clear();
     }
 
-    /// Closes the connections that have been idle too long.
+    /// Closes the connections that have exceeded the maximum idle time.
     pub fn age_out(&self, now_ms: u64) {
         let mut idle = self.idle.borrow_mut();
         for list in idle.values_mut() {
--- a/crates/bh-net/src/http_server/answer.rs
+++ b/crates/bh-net/src/http_server/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of the product's own interface: each carries its result code.
+//! Answers of the product's interface, each with its result code in a header.
 
 use bh_protocol::Code;
 use bh_protocol::Failure;
@@ -8,7 +8,7 @@
 use http::StatusCode;
 use serde::Serialize;
 
-/// An answer with a body as JSON.
+/// A successful answer with `value` as JSON.
 pub fn json(value: &impl Serialize) -> Response<Bytes> {
     match serde_json::to_vec(value) {
         Ok(body) => build(200, Code::Done, "application/json", Bytes::from(body)),
@@ -16,12 +16,12 @@
     }
 }
 
-/// An answer with a body as plain text or another type.
+/// A successful answer with a text body.
 pub fn text(content_type: &str, body: String) -> Response<Bytes> {
     build(200, Code::Done, content_type, Bytes::from(body))
 }
 
-/// The answer that carries a failure.
+/// The answer that reports `failure`.
 pub fn failed(failure: &Failure) -> Response<Bytes> {
     let body = serde_json::to_vec(&failure.to_answer()).unwrap_or_default();
     let mut response = build(
@@ -42,7 +42,7 @@
     response
 }
 
-/// An answer with status, code and body.
+/// An answer with the given status, result code and body.
 pub fn build(status: u16, code: Code, content_type: &str, body: Bytes) -> Response<Bytes> {
     let mut response = Response::new(body);
     *response.status_mut() =
--- a/crates/bh-net/src/http_server/connection.rs
+++ b/crates/bh-net/src/http_server/connection.rs
@@ -1,8 +1,8 @@
-//! One connection of a caller, target or operator.
+//! Server side of one connection of a caller, target or operator.
 
 use super::Limits;
 use super::guard::Guard;
-use super::guard::Verdict;
+use super::guard::GuardStatus;
 use super::shared::Shared;
 use crate::runtime::within_ms;
 use bh_protocol::Code;
@@ -31,26 +31,26 @@
 use std::future::Future;
 use tokio_util::sync::CancellationToken;
 
-/// Bytes of an unread body that are read away before closing, so that the refusal is not lost to a reset.
-const LINGER_BYTES: usize = 1 << 20;
-/// Bytes asked for at a time.
-const READ_BYTES: usize = 16 << 10;
-/// Longest time for that, in milliseconds.
+/// Maximum number of bytes of an unread body that are discarded before closing, so that a reset does not drop the refusal.
+const MAX_LINGER_BYTES: usize = 1 << 20;
+/// Bytes per read while an unread body is discarded.
+const LINGER_READ_BYTES: usize = 16 << 10;
+/// Longest time for discarding an unread body, in milliseconds.
 const LINGER_MS: u64 = 500;
-/// Once the listener is closed, an idle connection waits this long for a request already on its way, in milliseconds.
-const LAST_REQUEST_MS: u64 = 50;
+/// How long an idle connection still waits for a request in transit when the process stops, in milliseconds.
+const STOP_GRACE_MS: u64 = 50;
 
-type Source = Shared<OwnedReadHalf<TcpStream>>;
-type Reading<'a> = RequestDecoder<&'a mut Guard<Source>>;
+type SharedReader = Shared<OwnedReadHalf<TcpStream>>;
+type Decoder<'a> = RequestDecoder<&'a mut Guard<SharedReader>>;
 
 /// Serves one connection until either side closes it.
 ///
-/// The library's decoder and encoder, with some 16 KiB of buffers, and the handler's work live for one request only: a leader holds a
-/// connection of every worker, idle but for a heartbeat every second or two.
+/// The decoder and encoder of `monoio-http`, with about 16 KiB of buffers, and the handler's future exist only during a request: a
+/// leader has a connection from every worker, and each is idle except for a heartbeat every second or two.
 ///
-/// A handler that puts `connection: close` into its answer has the connection closed behind it.
-/// While `draining` is cancelled every answer asks the caller to use another connection. When `stop` is cancelled an
-/// idle connection closes; a request in progress is finished first.
+/// The connection closes after an answer in which the handler sets `connection: close`. Once `draining` is cancelled, it closes
+/// after its next answer, which tells the caller so. Once `stop` is cancelled, an idle connection closes; a request in progress
+/// is finished first.
 pub async fn serve<F: Future<Output = Response<Bytes>>>(
     stream: TcpStream,
     limits: Limits,
@@ -60,40 +60,47 @@
 ) {
     let _ = stream.set_nodelay(true);
     let (read, write) = stream.into_split();
-    let verdict = Verdict::default();
+    let guard_status = GuardStatus::default();
     let source = Shared::new(read);
-    let mut guard = Guard::new(source.clone(), limits, verdict.clone());
-    let mut raw = Shared::new(write);
-    while let Some(request) =
-        next_request(&mut guard, &source, &mut raw, &verdict, &limits, stop).await
+    let mut guard = Guard::new(source.clone(), limits, guard_status.clone());
+    let mut writer = Shared::new(write);
+    while let Some(request) = next_request(
+        &mut guard,
+        &source,
+        &mut writer,
+        &guard_status,
+        &limits,
+        stop,
+    )
+    .await
     {
-        let wants_close = asks_to_close(&request);
+        let caller_closes = asks_to_close(&request);
         let mut response = Box::pin(handler(request)).await;
-        let close = wants_close
-            || says_close(response.headers())
-            || verdict.close.get()
+        let must_close = caller_closes
+            || has_close_header(response.headers())
+            || guard_status.close.get()
             || draining.is_cancelled()
             || stop.is_cancelled();
-        if close {
+        if must_close {
             response
                 .headers_mut()
                 .insert(header::CONNECTION, http::HeaderValue::from_static("close"));
         }
-        let sent = GenericEncoder::new(&mut raw)
+        let sent = GenericEncoder::new(&mut writer)
             .send_and_flush(with_payload(response))
             .await;
-        if sent.is_err() || close {
+        if sent.is_err() || must_close {
             break;
         }
     }
-    let _ = raw.shutdown().await;
+    let _ = writer.shutdown().await;
 }
 
 fn asks_to_close(request: &Request<Bytes>) -> bool {
-    says_close(request.headers()) || request.version() == http::Version::HTTP_10
+    has_close_header(request.headers()) || request.version() == http::Version::HTTP_10
 }
 
-fn says_close(headers: &HeaderMap) -> bool {
+fn has_close_header(headers: &HeaderMap) -> bool {
     let value = headers.get(header::CONNECTION);
     value.is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"))
 }
@@ -104,29 +111,31 @@
     Response::from_parts(parts, HttpBody::from(payload))
 }
 
-/// The next whole request, or `None` when the connection is to be closed.
+/// Reads the next complete request; returns `None` if the connection must be closed.
 async fn next_request<W: AsyncWriteRent>(
-    guard: &mut Guard<Source>,
-    source: &Source,
-    raw: &mut Shared<W>,
-    verdict: &Verdict,
+    guard: &mut Guard<SharedReader>,
+    source: &SharedReader,
+    writer: &mut Shared<W>,
+    guard_status: &GuardStatus,
     limits: &Limits,
     stop: &CancellationToken,
 ) -> Option<Request<Bytes>> {
     let (mut decoder, head) = next_head(guard, limits, stop).await?;
     let Ok(request) = head else {
-        let code = verdict.rejection.get().unwrap_or(Code::MalformedHead);
-        refuse(raw, source.clone(), code).await;
+        let code = guard_status.rejection.get().unwrap_or(Code::MalformedHead);
+        refuse(writer, source.clone(), code).await;
         return None;
     };
     if expects_continue(&request) {
-        let (result, _) = raw.write_all(&b"HTTP/1.1 100 Continue\r\n\r\n"[..]).await;
+        let (result, _) = writer
+            .write_all(&b"HTTP/1.1 100 Continue\r\n\r\n"[..])
+            .await;
         result.ok()?;
     }
     let filled = within_ms(limits.body_ms, decoder.fill_payload()).await?;
     if filled.is_err() {
-        if let Some(code) = verdict.rejection.get() {
-            refuse(raw, source.clone(), code).await;
+        if let Some(code) = guard_status.rejection.get() {
+            refuse(writer, source.clone(), code).await;
         }
         return None;
     }
@@ -137,17 +146,17 @@
 
 type Head = Result<Request<Payload>, monoio_http::common::error::HttpError>;
 
-/// The next head, with the decoder that reads its body.
+/// Reads the next head; returns it with the decoder for its body.
 async fn next_head<'a>(
-    guard: &'a mut Guard<Source>,
+    guard: &'a mut Guard<SharedReader>,
     limits: &Limits,
     stop: &CancellationToken,
-) -> Option<(Reading<'a>, Head)> {
+) -> Option<(Decoder<'a>, Head)> {
     let next = within_ms(limits.idle_ms, async move {
         if !guard.fill().await {
             return None;
         }
-        let mut decoder: Reading = RequestDecoder::new(guard);
+        let mut decoder: Decoder = RequestDecoder::new(guard);
         let head = decoder.next().await?;
         Some((decoder, head))
     });
@@ -156,7 +165,7 @@
         found = &mut next => return found.flatten(),
         () = stop.cancelled() => {}
     }
-    within_ms(LAST_REQUEST_MS, next).await.flatten().flatten()
+    within_ms(STOP_GRACE_MS, next).await.flatten().flatten()
 }
 
 fn expects_continue(request: &Request<Payload>) -> bool {
@@ -164,8 +173,8 @@
     value.is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"100-continue"))
 }
 
-/// Answers a request whose head or body could not be accepted, then closes.
-async fn refuse<W: AsyncWriteRent>(raw: &mut Shared<W>, source: Source, code: Code) {
+/// Refuses a request whose head or body was rejected, then closes the connection.
+async fn refuse<W: AsyncWriteRent>(writer: &mut Shared<W>, source: SharedReader, code: Code) {
     let answer = Failure::new(code, "the connection closes").to_answer();
     let body = serde_json::to_string(&answer).unwrap_or_default();
     let status =
@@ -180,18 +189,18 @@
         code.executed().as_str(),
         body.len(),
     );
-    let (result, _) = raw.write_all(text.into_bytes()).await;
-    if result.is_ok() && raw.shutdown().await.is_ok() {
+    let (result, _) = writer.write_all(text.into_bytes()).await;
+    if result.is_ok() && writer.shutdown().await.is_ok() {
         within_ms(LINGER_MS, linger(source)).await;
     }
 }
 
-/// Reads away what the caller is still sending. Closing with unread bytes resets the connection, and the caller
-/// would see the reset in place of the refusal.
-async fn linger(mut source: Source) {
+/// Discards what the caller is still sending. Closing with unread bytes would reset the connection, and the caller would see the
+/// reset instead of the refusal.
+async fn linger(mut source: SharedReader) {
     let mut total = 0;
-    while total < LINGER_BYTES {
-        let (result, _) = source.read(Vec::with_capacity(READ_BYTES)).await;
+    while total < MAX_LINGER_BYTES {
+        let (result, _) = source.read(Vec::with_capacity(LINGER_READ_BYTES)).await;
         match result {
             Ok(count) if count > 0 => total += count,
             _ => return,
--- a/crates/bh-net/src/http_server/framing.rs
+++ b/crates/bh-net/src/http_server/framing.rs
@@ -1,26 +1,26 @@
-//! Where a request ends, decided strictly and before the library sees it.
+//! Strict check of request heads and of the length of the body, before `monoio-http` parses them.
 //!
-//! The library accepts two `Content-Length` headers and `Content-Length` beside `Transfer-Encoding`. A balancer in
-//! front may read the other one, so that the bytes after the body it saw become a request of someone else's
-//! (request smuggling). Such heads are refused here.
+//! `monoio-http` accepts two `Content-Length` headers, and `Content-Length` together with `Transfer-Encoding`. A balancer in front
+//! of it may use the other header. The two then disagree about where the body ends, and bytes of one caller's body are read as
+//! the start of another caller's request (request smuggling). Such heads are refused here.
 
 use super::Limits;
 use bh_protocol::Code;
 
-/// How the body of a request is delimited.
+/// How the end of a request body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// This many bytes.
+    /// The body has this many bytes.
     Length(u64),
-    /// Chunks; the connection closes after the answer.
+    /// The body is chunked; the connection closes after the answer.
     Chunked,
 }
 
-/// Checks a whole head, up to and with its empty line.
+/// Checks a complete head, including its empty line.
 ///
 /// # Errors
 ///
-/// The code of the refusal; nothing of the request has been acted on.
+/// The result code with which the request is refused.
 pub fn check_head(head: &[u8], limits: &Limits) -> Result<Framing, Code> {
     if has_bare_newline(head) || head.contains(&0) {
         return Err(Code::MalformedHead);
@@ -36,8 +36,8 @@
 }
 
 fn has_bare_newline(head: &[u8]) -> bool {
-    let bare = |(at, byte): (usize, &u8)| *byte == b'\n' && (at == 0 || head[at - 1] != b'\r');
-    head.iter().enumerate().any(bare)
+    let is_bare = |(at, byte): (usize, &u8)| *byte == b'\n' && (at == 0 || head[at - 1] != b'\r');
+    head.iter().enumerate().any(is_bare)
 }
 
 fn framing_of(headers: &[httparse::Header<'_>], limits: &Limits) -> Result<Framing, Code> {
@@ -72,7 +72,7 @@
     }
 }
 
-/// Digits only: a sign, a space or a comma is read differently by different programs.
+/// Accepts digits only, since programs read a sign, a space or a comma differently.
 fn parse_length(value: &[u8]) -> Option<u64> {
     if value.is_empty() || !value.iter().all(u8::is_ascii_digit) {
         return None;
--- a/crates/bh-net/src/http_server/guard.rs
+++ b/crates/bh-net/src/http_server/guard.rs
@@ -1,4 +1,4 @@
-//! A reader that releases only checked heads and bounded bodies to the library's decoder.
+//! A reader that passes only checked heads and bodies within the limits to the decoder of `monoio-http`.
 
 use super::Framing;
 use super::Limits;
@@ -15,20 +15,22 @@
 use std::io;
 use std::rc::Rc;
 
+/// Bytes per read during a request.
 const READ_BYTES: usize = 8 << 10;
-/// The same while nothing of a request is there: an idle connection holds this much. Most heads, and heartbeats whole, fit.
+/// Bytes of the first read of a request. An idle connection holds a buffer of this size. Most heads and complete heartbeats fit.
 const FIRST_READ_BYTES: usize = 1 << 10;
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// What the guard tells the connection beside the bytes.
+/// What the guard reports to the connection in addition to the bytes.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Verdict {
-    /// Why the last head or body was refused.
+pub(super) struct GuardStatus {
+    /// Result code with which the last head or body was refused.
     pub rejection: Rc<Cell<Option<Code>>>,
     /// Whether the connection must close after the answer.
     pub close: Rc<Cell<bool>>,
 }
 
+/// Part of the request that is read next.
 #[derive(Clone, Copy, Debug)]
 enum Phase {
     Head,
@@ -43,22 +45,22 @@
     released: usize,
     phase: Phase,
     limits: Limits,
-    verdict: Verdict,
+    status: GuardStatus,
 }
 
 impl<R: AsyncReadRent> Guard<R> {
-    pub fn new(inner: R, limits: Limits, verdict: Verdict) -> Self {
+    pub fn new(inner: R, limits: Limits, status: GuardStatus) -> Self {
         Self {
             inner,
             buffer: BytesMut::new(),
             released: 0,
             phase: Phase::Head,
             limits,
-            verdict,
+            status,
         }
     }
 
-    /// Waits until there are bytes to check; `false` at the end of the connection.
+    /// Waits until there are bytes to check; returns `false` at the end of the connection.
     pub async fn fill(&mut self) -> bool {
         self.released > 0
             || !self.buffer.is_empty()
@@ -68,18 +70,18 @@
                 .is_ok_and(|count| count > 0)
     }
 
-    async fn read_more(&mut self, most: usize) -> io::Result<usize> {
-        let (result, chunk) = self.inner.read(Vec::with_capacity(most)).await;
+    async fn read_more(&mut self, max_bytes: usize) -> io::Result<usize> {
+        let (result, chunk) = self.inner.read(Vec::with_capacity(max_bytes)).await;
         self.buffer.extend_from_slice(&chunk);
         result
     }
 
     fn reject(&self, code: Code) -> io::Error {
-        self.verdict.rejection.set(Some(code));
+        self.status.rejection.set(Some(code));
         io::Error::new(io::ErrorKind::InvalidData, code.title())
     }
 
-    /// Releases what may be released of the bytes at hand; `false` when more must be read first.
+    /// Passes on as many buffered bytes as are allowed; returns `false` if more must be read first.
     fn release(&mut self) -> io::Result<bool> {
         let available = u64::try_from(self.buffer.len()).unwrap_or(u64::MAX);
         if available == 0 {
@@ -131,8 +133,8 @@
             Framing::Length(0) => Phase::Head,
             Framing::Length(remaining) => Phase::Body { remaining },
             Framing::Chunked => {
-                // Where the chunks end is not tracked here, so whatever follows them must not be read as a request.
-                self.verdict.close.set(true);
+                // The end of the last chunk is not tracked here, so bytes after it must not be read as a request.
+                self.status.close.set(true);
                 Phase::Chunked {
                     budget: self.limits.max_body_bytes,
                 }
--- a/crates/bh-net/src/http_server/limits.rs
+++ b/crates/bh-net/src/http_server/limits.rs
@@ -1,23 +1,23 @@
-//! What one caller may take.
+//! Limits of a connection.
 
-/// Bounds on one connection.
+/// Limits of one connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Largest request head in bytes.
+    /// Maximum size of a request head in bytes.
     pub max_head_bytes: usize,
-    /// Most headers.
+    /// Maximum number of headers.
     pub max_headers: usize,
-    /// Largest request body in bytes, whatever the request type allows.
+    /// Maximum size of a request body in bytes, also if the request type allows more.
     pub max_body_bytes: u64,
-    /// Longest wait for a whole head, in milliseconds: a caller that sends a byte now and then holds a connection
-    /// no longer than this.
+    /// Longest wait for a complete head, in milliseconds. It limits how long a caller that sends single bytes now and then can
+    /// hold a connection.
     pub idle_ms: u64,
-    /// Longest wait for a whole body, in milliseconds.
+    /// Longest wait for a complete body, in milliseconds.
     pub body_ms: u64,
 }
 
 impl Limits {
-    /// The defaults, with `idle_ms` for a whole head.
+    /// Creates the default limits with the given `idle_ms`.
     pub fn new(idle_ms: u64) -> Self {
         Self {
             max_head_bytes: 16 << 10,
--- a/crates/bh-net/src/http_server/mod.rs
+++ b/crates/bh-net/src/http_server/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 towards callers, targets and operators.
+//! HTTP/1.1 server for callers, targets and operators.
 
 pub mod answer;
 mod connection;
--- a/crates/bh-net/src/http_server/shared.rs
+++ b/crates/bh-net/src/http_server/shared.rs
@@ -1,4 +1,4 @@
-//! One half of a connection, shared by the library's codec and our own early answers.
+//! One half of a connection, shared by the codec of `monoio-http` and the code that refuses requests.
 
 use monoio::BufResult;
 use monoio::buf::IoBuf;
@@ -11,7 +11,7 @@
 use std::io;
 use std::rc::Rc;
 
-/// A handle to a half. One handle uses it at a time; the half is taken out while it does.
+/// A handle to one half of a connection. Only one handle can use the half at a time: it takes the half out and puts it back.
 pub(super) struct Shared<H> {
     half: Rc<Cell<Option<H>>>,
 }
--- a/crates/bh-net/src/lib.rs
+++ b/crates/bh-net/src/lib.rs
@@ -1,6 +1,6 @@
-//! The loop, the clock, HTTP/1.1 and the keyed link between entries.
+//! The event loop, the clock, HTTP/1.1, and the authenticated link between entries.
 //!
-//! Everything runs on one thread; only disk syncs go to a helper thread.
+//! Everything runs on one thread; only disk syncs run on helper threads.
 
 pub mod clock;
 pub mod http_client;
--- a/crates/bh-net/src/link/call_error.rs
+++ b/crates/bh-net/src/link/call_error.rs
@@ -1,19 +1,19 @@
-//! Why a call over a link has no answer.
+//! Errors of calls over a link.
 
 use bh_protocol::Code;
 use bh_protocol::Failure;
 
-/// A call without an answer.
+/// Why a call got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// There is no link: the call did not leave.
+    /// The link is not open, so the call was not sent.
     NotSent,
-    /// The link broke or the time ran out: the other end may have acted on it.
+    /// The link broke or the timeout expired; the other end may have executed the call.
     Lost,
 }
 
 impl CallError {
-    /// The failure for a call that changes something.
+    /// Converts the error of a call that changes state, where `what` names the other end.
     pub fn into_failure(self, what: &str) -> Failure {
         match self {
             CallError::NotSent => {
--- a/crates/bh-net/src/link/channel.rs
+++ b/crates/bh-net/src/link/channel.rs
@@ -1,4 +1,4 @@
-//! The end of a link that calls: what waits to be sent, and the calls that wait for an answer.
+//! The calling end of a link: queued frames, and calls without an answer yet.
 
 use super::CallError;
 use crate::runtime::within_ms;
@@ -13,15 +13,15 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
-/// Frames that wait to be sent at most; replication messages beyond that are dropped, and repeated by their sender.
-const MAX_WAITING: usize = 4_096;
+/// Maximum number of queued frames. Further replication messages are dropped; the replication repeats them.
+const MAX_QUEUED_FRAMES: usize = 4_096;
 
-/// A link that may be open, and may be opened again after it broke.
+/// A link that can be opened again after it broke.
 pub struct Channel {
     queue: RefCell<Option<unbounded::Tx<Frame>>>,
-    waiting: Cell<usize>,
-    calls: RefCell<BTreeMap<u64, oneshot::Sender<RpcReply>>>,
-    next_call: Cell<u64>,
+    queued_frames: Cell<usize>,
+    pending_calls: RefCell<BTreeMap<u64, oneshot::Sender<RpcReply>>>,
+    next_call_id: Cell<u64>,
 }
 
 impl Default for Channel {
@@ -31,28 +31,28 @@
 }
 
 impl Channel {
-    /// A link that is not open.
+    /// Creates a link that is not open.
     pub fn new() -> Self {
         Self {
             queue: RefCell::new(None),
-            waiting: Cell::new(0),
-            calls: RefCell::new(BTreeMap::new()),
-            next_call: Cell::new(1),
+            queued_frames: Cell::new(0),
+            pending_calls: RefCell::new(BTreeMap::new()),
+            next_call_id: Cell::new(1),
         }
     }
 
-    /// Opens the link; what is sent from now on comes out of the returned end.
+    /// Opens the link; the returned receiver gets the frames that are sent from now on.
     pub fn open(&self) -> unbounded::Rx<Frame> {
         let (sender, receiver) = unbounded::channel();
         *self.queue.borrow_mut() = Some(sender);
-        self.waiting.set(0);
+        self.queued_frames.set(0);
         receiver
     }
 
-    /// Ends the link: calls without an answer are lost.
+    /// Closes the link; calls without an answer fail with [`CallError::Lost`].
     pub fn close(&self) {
         self.queue.borrow_mut().take();
-        self.calls.borrow_mut().clear();
+        self.pending_calls.borrow_mut().clear();
     }
 
     /// Whether the link is open.
@@ -60,26 +60,27 @@
         self.queue.borrow().is_some()
     }
 
-    /// Notes that a frame that waited was sent.
+    /// Records that a queued frame was sent.
     pub fn note_sent(&self) {
-        self.waiting.set(self.waiting.get().saturating_sub(1));
+        self.queued_frames
+            .set(self.queued_frames.get().saturating_sub(1));
     }
 
-    /// Hands an answer to the call that waits for it.
+    /// Passes an answer to the call that waits for it.
     pub fn note_reply(&self, reply: RpcReply) {
-        if let Some(call) = self.calls.borrow_mut().remove(&reply.id) {
-            // Whoever waited may have given up.
+        if let Some(call) = self.pending_calls.borrow_mut().remove(&reply.id) {
+            // The call may have timed out.
             let _ = call.send(reply);
         }
     }
 
-    /// Sends a frame; `false` when the link is not open.
+    /// Queues a frame; returns `false` if the link is not open.
     pub fn send(&self, payload: Payload) -> bool {
         let queue = self.queue.borrow();
         let Some(queue) = queue.as_ref() else {
             return false;
         };
-        self.waiting.set(self.waiting.get() + 1);
+        self.queued_frames.set(self.queued_frames.get() + 1);
         queue
             .send(Frame {
                 payload: Some(payload),
@@ -87,34 +88,34 @@
             .is_ok()
     }
 
-    /// Sends a replication message, if the link is open and not clogged.
+    /// Queues a replication message, if the link is open and its queue is not full.
     pub fn send_raft(&self, message: RaftMessage) {
-        if self.waiting.get() < MAX_WAITING {
+        if self.queued_frames.get() < MAX_QUEUED_FRAMES {
             self.send(Payload::Raft(message));
         }
     }
 
-    /// Calls the other end; the number of the call is filled in.
+    /// Calls the other end and waits for the answer; sets the id of `request`.
     ///
     /// # Errors
     ///
-    /// [`CallError`].
+    /// [`CallError::NotSent`] if the link is not open, [`CallError::Lost`] if no answer came within `limit_ms`.
     pub async fn call(
         &self,
         mut request: RpcRequest,
         limit_ms: u64,
     ) -> Result<RpcReply, CallError> {
-        let id = self.next_call.get();
-        self.next_call.set(id + 1);
+        let id = self.next_call_id.get();
+        self.next_call_id.set(id + 1);
         request.id = id;
         let (sender, receiver) = oneshot::channel();
-        self.calls.borrow_mut().insert(id, sender);
+        self.pending_calls.borrow_mut().insert(id, sender);
         if !self.send(Payload::Request(request)) {
-            self.calls.borrow_mut().remove(&id);
+            self.pending_calls.borrow_mut().remove(&id);
             return Err(CallError::NotSent);
         }
         let answer = within_ms(limit_ms, receiver).await;
-        self.calls.borrow_mut().remove(&id);
+        self.pending_calls.borrow_mut().remove(&id);
         match answer {
             Some(Ok(reply)) => Ok(reply),
             _ => Err(CallError::Lost),
--- a/crates/bh-net/src/link/codec.rs
+++ b/crates/bh-net/src/link/codec.rs
@@ -1,4 +1,4 @@
-//! Length-delimited frames, by the library's codec under both of the traits that are asked for.
+//! Length-delimited frames: `LengthDelimitedCodec`, adapted to the encoder trait of `tokio-util` and the decoder trait of `monoio`.
 
 use bytes::Bytes;
 use bytes::BytesMut;
@@ -6,16 +6,16 @@
 use std::io;
 use tokio_util::codec::LengthDelimitedCodec;
 
-/// Largest frame in bytes; a snapshot travels in one.
+/// Maximum size of a frame in bytes; a snapshot is sent in one frame.
 pub const MAX_FRAME_BYTES: usize = 64 << 20;
 
-/// Frames of bytes, each with its length in front.
+/// Codec of byte frames, each with its length in front.
 pub struct RawCodec {
     inner: LengthDelimitedCodec,
 }
 
 impl RawCodec {
-    /// A codec that refuses frames over [`MAX_FRAME_BYTES`].
+    /// Creates a codec that refuses frames over [`MAX_FRAME_BYTES`].
     pub fn new() -> Self {
         let inner = LengthDelimitedCodec::builder()
             .max_frame_length(MAX_FRAME_BYTES)
--- a/crates/bh-net/src/link/handshake.rs
+++ b/crates/bh-net/src/link/handshake.rs
@@ -1,4 +1,4 @@
-//! Opens a link: each end proves that it holds the shared key.
+//! Opens a link; each end proves that it has the shared key.
 
 use super::key::LinkKey;
 use super::reader::Reader;
@@ -12,11 +12,12 @@
 use monoio::net::TcpStream;
 use std::io;
 
+/// Length of the random number of each end, 128 bits.
 const NONCE_BYTES: usize = 16;
 
-/// A link that both ends have opened.
+/// A link after the handshake.
 pub struct OpenedLink {
-    /// What the other end says of itself.
+    /// First message of the other end.
     pub hello: Hello,
     /// Receiving side.
     pub reader: Reader<OwnedReadHalf<TcpStream>>,
@@ -24,19 +25,19 @@
     pub writer: Writer<OwnedWriteHalf<TcpStream>>,
 }
 
-/// Exchanges hellos over `stream`. A stranger's first frame fails its code and ends the link.
+/// Exchanges [`Hello`] messages over `stream`. The first frame of an end without the shared key fails the MAC check.
 ///
-/// A recorded hello can be replayed, but its sender then lacks the keys derived from the fresh random number of this
-/// end, so that no frame after it is accepted.
+/// A recorded hello can be replayed, but its sender cannot derive the keys, which depend on the new random number of this end,
+/// so no frame after the hello is accepted.
 ///
 /// # Errors
 ///
-/// When the connection breaks, or the other end does not hold `shared`.
+/// When the connection breaks, or the other end does not have the key `shared`.
 pub async fn handshake(
     stream: TcpStream,
     mut own: Hello,
     shared: &LinkKey,
-    dials: bool,
+    is_dialer: bool,
 ) -> io::Result<OpenedLink> {
     let _ = stream.set_nodelay(true);
     let mut nonce = vec![0; NONCE_BYTES];
@@ -55,23 +56,23 @@
     let Some(Payload::Hello(hello)) = frame.and_then(|frame| frame.payload) else {
         return Err(io::Error::new(
             io::ErrorKind::InvalidData,
-            "the link did not open with a hello",
+            "the first frame of a link is not a hello",
         ));
     };
-    let (dialer, acceptor) = if dials {
+    let (dialer, acceptor) = if is_dialer {
         (&nonce, &hello.nonce)
     } else {
         (&hello.nonce, &nonce)
     };
-    let outward = shared.derive(dialer, acceptor, b"dialer to acceptor");
-    let inward = shared.derive(dialer, acceptor, b"acceptor to dialer");
-    let (sending, receiving) = if dials {
-        (outward, inward)
+    let dialer_key = shared.derive(dialer, acceptor, b"dialer to acceptor");
+    let acceptor_key = shared.derive(dialer, acceptor, b"acceptor to dialer");
+    let (sending_key, receiving_key) = if is_dialer {
+        (dialer_key, acceptor_key)
     } else {
-        (inward, outward)
+        (acceptor_key, dialer_key)
     };
-    writer.set_key(sending);
-    reader.set_key(receiving);
+    writer.set_key(sending_key);
+    reader.set_key(receiving_key);
     Ok(OpenedLink {
         hello,
         reader,
--- a/crates/bh-net/src/link/key.rs
+++ b/crates/bh-net/src/link/key.rs
@@ -1,45 +1,45 @@
-//! Message authentication of the link: HMAC-SHA-256 over a counter and the frame.
+//! Message authentication of the link: HMAC-SHA-256 over the sequence number and the frame.
 
 use hmac::Hmac;
 use hmac::Mac;
 use sha2::Sha256;
 use subtle::ConstantTimeEq;
 
-/// Bytes of the code in front of each frame: half of the HMAC, 128 bits.
+/// Length of the message authentication code (MAC) in front of each frame: half of the HMAC, 128 bits.
 pub const MAC_BYTES: usize = 16;
 
-/// A key for one direction of one connection, or the key shared by all entries.
+/// The key for one direction of one connection, or the key that all entries share.
 #[derive(Clone)]
 pub struct LinkKey {
     bytes: Vec<u8>,
 }
 
 impl LinkKey {
-    /// The key with these bytes.
+    /// Creates a key from its bytes.
     pub fn new(bytes: impl Into<Vec<u8>>) -> Self {
         Self {
             bytes: bytes.into(),
         }
     }
 
-    /// A key that only the holders of this key and of both random numbers of the connection can know.
+    /// Derives a key from this key and the two random numbers of a connection.
     ///
-    /// Each connection and direction has its own, so a recorded frame is valid nowhere else.
+    /// Each connection and direction has its own key, so a recorded frame is valid nowhere else.
     pub fn derive(&self, dialer_nonce: &[u8], acceptor_nonce: &[u8], label: &[u8]) -> LinkKey {
         LinkKey::new(self.hmac(&[label, dialer_nonce, acceptor_nonce]))
     }
 
-    /// The code of the frame with number `sequence`.
+    /// MAC of the frame with number `sequence`.
     pub fn mac(&self, sequence: u64, content: &[u8]) -> [u8; MAC_BYTES] {
         let full = self.hmac(&[&sequence.to_le_bytes(), content]);
-        let mut code = [0; MAC_BYTES];
-        code.copy_from_slice(&full[..MAC_BYTES]);
-        code
+        let mut mac = [0; MAC_BYTES];
+        mac.copy_from_slice(&full[..MAC_BYTES]);
+        mac
     }
 
-    /// Whether `code` belongs to the frame with number `sequence`.
-    pub fn verify(&self, sequence: u64, content: &[u8], code: &[u8]) -> bool {
-        self.mac(sequence, content).ct_eq(code).into()
+    /// Whether `mac` is the MAC of the frame with number `sequence`.
+    pub fn verify(&self, sequence: u64, content: &[u8], mac: &[u8]) -> bool {
+        self.mac(sequence, content).ct_eq(mac).into()
     }
 
     fn hmac(&self, parts: &[&[u8]]) -> Vec<u8> {
--- a/crates/bh-net/src/link/mod.rs
+++ b/crates/bh-net/src/link/mod.rs
@@ -1,4 +1,4 @@
-//! The keyed, framed link between two entries.
+//! The link between two entries: authenticated frames and calls.
 
 mod call_error;
 mod channel;
--- a/crates/bh-net/src/link/reader.rs
+++ b/crates/bh-net/src/link/reader.rs
@@ -10,7 +10,7 @@
 use prost::Message;
 use std::io;
 
-/// Reads frames and checks their codes. It has a task of its own: a half-read frame must not be dropped.
+/// Reads frames and checks their MACs. Run it in its own task: cancelling a read would lose a partly read frame.
 pub struct Reader<R> {
     framed: FramedRead<R, RawCodec>,
     key: LinkKey,
@@ -18,7 +18,7 @@
 }
 
 impl<R: AsyncReadRent> Reader<R> {
-    /// A reader that expects frames under `key`, numbered from 0.
+    /// Creates a reader of frames that are authenticated with `key` and numbered from 0.
     pub fn new(source: R, key: LinkKey) -> Self {
         Self {
             framed: FramedRead::new(source, RawCodec::new()),
@@ -27,17 +27,17 @@
         }
     }
 
-    /// Goes on with another key, after the handshake.
+    /// Switches to another key after the handshake and numbers frames from 0 again.
     pub fn set_key(&mut self, key: LinkKey) {
         self.key = key;
         self.sequence = 0;
     }
 
-    /// The next frame, or `None` at the end.
+    /// Reads the next frame, or `None` at the end of the connection.
     ///
     /// # Errors
     ///
-    /// `InvalidData` for a frame with a wrong code, a repeated or reordered one, or one that cannot be decoded.
+    /// `InvalidData` for a frame with a wrong MAC, also if it was repeated or reordered, or for one that cannot be decoded.
     pub async fn next(&mut self) -> io::Result<Option<Frame>> {
         let Some(frame) = self.framed.next().await else {
             return Ok(None);
@@ -45,15 +45,15 @@
         let bytes = frame?;
         let invalid = |what: &str| io::Error::new(io::ErrorKind::InvalidData, what);
         if bytes.len() < MAC_BYTES {
-            return Err(invalid("a frame without a code"));
+            return Err(invalid("a frame is too short for its authentication code"));
         }
-        let (code, content) = bytes.split_at(MAC_BYTES);
-        if !self.key.verify(self.sequence, content, code) {
-            return Err(invalid("a frame with a wrong code"));
+        let (mac, content) = bytes.split_at(MAC_BYTES);
+        if !self.key.verify(self.sequence, content, mac) {
+            return Err(invalid("the authentication code of a frame is wrong"));
         }
         self.sequence += 1;
         Frame::decode(content)
             .map(Some)
-            .map_err(|_| invalid("a frame that cannot be decoded"))
+            .map_err(|_| invalid("a frame cannot be decoded"))
     }
 }
--- a/crates/bh-net/src/link/writer.rs
+++ b/crates/bh-net/src/link/writer.rs
@@ -12,7 +12,7 @@
 use prost::Message;
 use std::io;
 
-/// Writes frames, each under its code.
+/// Writes frames, each with its MAC.
 pub struct Writer<W> {
     framed: FramedWrite<W, RawCodec>,
     key: LinkKey,
@@ -20,7 +20,7 @@
 }
 
 impl<W: AsyncWriteRent> Writer<W> {
-    /// A writer that sends frames under `key`, numbered from 0.
+    /// Creates a writer of frames that are authenticated with `key` and numbered from 0.
     pub fn new(sink: W, key: LinkKey) -> Self {
         Self {
             framed: FramedWrite::new(sink, RawCodec::new()),
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Goes on with another key, after the handshake.
+    /// Switches to another key after the handshake and numbers frames from 0 again.
     pub fn set_key(&mut self, key: LinkKey) {
         self.key = key;
         self.sequence = 0;
@@ -51,7 +51,7 @@
         Ok(size)
     }
 
-    /// Sends what was queued.
+    /// Sends the queued frames.
     ///
     /// # Errors
     ///
--- a/crates/bh-net/src/runtime.rs
+++ b/crates/bh-net/src/runtime.rs
@@ -1,4 +1,4 @@
-//! The one loop of a process.
+//! The event loop of a process, its timers and signals.
 
 use monoio::LegacyDriver;
 use monoio::RuntimeBuilder;
@@ -11,16 +11,16 @@
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
 
-/// How often the loop looks whether a signal has arrived.
+/// How often the event loop checks whether a signal has arrived.
 const SIGNAL_POLL: Duration = Duration::from_millis(20);
 
 /// Runs `main` to its end on this thread, with `disk_threads` helper threads for disk syncs.
 ///
-/// The driver is epoll by construction: the library's default would use io_uring, which these programs must not.
+/// The driver is always epoll. The default of `monoio` would use io_uring, which these programs must not use.
 ///
 /// # Errors
 ///
-/// When the system refuses an epoll descriptor.
+/// When the system provides no epoll descriptor.
 pub fn run<T>(disk_threads: usize, main: impl Future<Output = T>) -> io::Result<T> {
     let mut runtime = RuntimeBuilder::<LegacyDriver>::new()
         .enable_timer()
@@ -41,7 +41,8 @@
         .ok()
 }
 
-/// A flag that is set when SIGHUP arrives; whoever acts on it clears it. Without a handler the signal would end the process.
+/// A flag that is set when SIGHUP arrives; the code that handles it clears the flag. Without a handler the signal would end the
+/// process.
 ///
 /// # Errors
 ///
--- a/crates/bh-net/tests/framing.rs
+++ b/crates/bh-net/tests/framing.rs
@@ -1,4 +1,5 @@
-//! Heads of requests: what is accepted ends where everyone else would end it.
+//! Request heads: an accepted head must state the length of the body in one way only, so that every HTTP implementation finds the
+//! same end of the request.
 
 use bh_net::http_server::Framing;
 use bh_net::http_server::Limits;
@@ -39,7 +40,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(20_261_202), ..ProptestConfig::default() })]
 
-    /// Arbitrary bytes never end the process; what is accepted names at most one length.
+    /// Arbitrary heads never crash the check, and an accepted head has at most one Content-Length.
     #[test]
     fn fuzz_heads(lines in "[a-z:\\-0-9 \r\n\0]{0,80}") {
         if check_head(&head(&lines), &Limits::new(1_000)).is_ok() {
--- a/crates/bh-net/tests/idle_memory.rs
+++ b/crates/bh-net/tests/idle_memory.rs
@@ -1,4 +1,4 @@
-//! What connections cost while nothing is sent on them.
+//! Memory that idle client connections take.
 
 #![expect(
     clippy::unwrap_used,
@@ -16,13 +16,13 @@
 use std::net::TcpListener;
 use std::net::TcpStream;
 
-/// About what a leader keeps to 350 workers, two or three each.
+/// About the number of connections that a leader keeps to 350 workers, two or three each.
 const CONNECTIONS: u64 = 800;
-/// An epoll registration, a socket's own state and the pool's entry take about one KiB; the rest is room for the allocator.
-const MOST_BYTES_EACH: u64 = 4 << 10;
+/// The epoll registration, the state of the socket and the entry in the pool take about 1 KiB; the rest allows for the allocator.
+const MAX_BYTES_PER_CONNECTION: u64 = 4 << 10;
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}";
 
-/// Answers one request on each connection and keeps them all open, without buffers of its own.
+/// Answers one request on each connection and keeps all connections open, without buffers of its own for them.
 fn worker(listener: &TcpListener) -> Vec<TcpStream> {
     let mut request = [0; 1_024];
     (0..CONNECTIONS)
@@ -51,25 +51,28 @@
     connection
 }
 
-/// A leader talks to every worker now and then and keeps the connections. It runs on a small VM: when each idle connection held on to
-/// its buffers, those to 350 workers took 60 MB, and more workers would have ended the process for want of memory.
+/// Guards against idle connections that keep their buffers. A leader runs on a small VM and keeps connections to every worker. The
+/// buffers of the connections to 350 workers once took 60 MB; with more workers the process would have run out of memory.
 #[test]
 fn idle_connections_hold_no_buffers() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let worker = std::thread::spawn(move || worker(&listener));
-    let grown = runtime::run(1, async move {
+    let growth = runtime::run(1, async move {
         let pool = Pool::new().with_max_idle_ms(60_000);
         pool.give_back(address, exchange(address).await, 0);
         let before = resident_bytes();
-        let mut kept = Vec::new();
+        let mut connections = Vec::new();
         for _ in 1..CONNECTIONS {
-            kept.push(exchange(address).await);
+            connections.push(exchange(address).await);
         }
         resident_bytes().saturating_sub(before)
     })
     .unwrap();
     worker.join().unwrap();
-    let each = grown / CONNECTIONS;
-    assert!(each < MOST_BYTES_EACH, "{each} bytes for each connection");
+    let per_connection = growth / CONNECTIONS;
+    assert!(
+        per_connection < MAX_BYTES_PER_CONNECTION,
+        "{per_connection} bytes per connection"
+    );
 }
