--- a/crates/bh-net/src/http_server/framing.rs
+++ b/crates/bh-net/src/http_server/framing.rs
@@ -20,7 +20,7 @@
 ///
 /// # Errors
 ///
-/// The result code with which the request is refused.
+/// The result code with which the request is refused; no part of it has been executed.
 pub fn check_head(head: &[u8], limits: &Limits) -> Result<Framing, Code> {
     if has_bare_newline(head) || head.contains(&0) {
         return Err(Code::MalformedHead);
--- a/crates/bh-net/src/link/key.rs
+++ b/crates/bh-net/src/link/key.rs
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Derives a key from this key and the two random numbers of a connection.
+    /// Derives a key from this key and the two random numbers of a connection; nobody can compute it without all three.
     ///
     /// Each connection and direction has its own key, so a recorded frame is valid nowhere else.
     pub fn derive(&self, dialer_nonce: &[u8], acceptor_nonce: &[u8], label: &[u8]) -> LinkKey {
--- a/crates/bh-net/src/runtime.rs
+++ b/crates/bh-net/src/runtime.rs
@@ -29,7 +29,7 @@
     Ok(runtime.block_on(main))
 }
 
-/// Waits for `duration`.
+/// Waits for `duration_ms`.
 pub async fn sleep_ms(duration_ms: u64) {
     monoio::time::sleep(Duration::from_millis(duration_ms)).await;
 }
--- a/crates/bh-protocol/src/failure.rs
+++ b/crates/bh-protocol/src/failure.rs
@@ -66,7 +66,7 @@
     pub title: String,
     /// The faulty value or its location.
     pub label: String,
-    /// What the reader can do.
+    /// What the sender can do about it.
     pub help: String,
     /// Whether the work was executed: `no`, `yes` or `unknown`.
     pub ran: String,
--- a/crates/bh-protocol/src/job.rs
+++ b/crates/bh-protocol/src/job.rs
@@ -54,7 +54,7 @@
     Started,
     /// All tasks ended with success.
     Done,
-    /// Given up after failures.
+    /// Given up; the reason is recorded.
     Failed,
     /// Cancelled by the caller.
     Cancelled,
--- a/crates/bh-settings/src/diff.rs
+++ b/crates/bh-settings/src/diff.rs
@@ -21,7 +21,7 @@
 ///
 /// # Errors
 ///
-/// [`Code::Internal`] if a tree cannot be serialized, which happens with no valid tree.
+/// [`Code::Internal`] if a tree cannot be serialized; a valid tree always can.
 pub fn between(before: &Settings, after: &Settings) -> Result<Vec<Difference>, Failure> {
     let old = flatten(before)?;
     let new = flatten(after)?;
--- a/crates/bh-settings/src/tree/settings.rs
+++ b/crates/bh-settings/src/tree/settings.rs
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     ///
-    /// [`Code::Internal`] if the tree cannot be serialized, which happens with no valid tree.
+    /// [`Code::Internal`] if the tree cannot be serialized; a valid tree always can.
     pub fn to_yaml(&self) -> Result<String, Failure> {
         serde_yaml_ng::to_string(self)
             .map_err(|error| Failure::new(Code::Internal, error.to_string()))
--- a/crates/bh-settings/src/tree/team.rs
+++ b/crates/bh-settings/src/tree/team.rs
@@ -92,7 +92,7 @@
     shape
 }
 
-/// Reads a list of SHA-256 digests and reports the items that are none.
+/// Reads a list of SHA-256 digests and reports the items that are not digests.
 pub(super) fn read_digests(section: &mut Section<'_>, name: &'static str) -> Vec<Arc<str>> {
     let mut digests = Vec::new();
     for (text, _) in section.texts(name) {
