--- a/crates/bh-settings/src/document.rs
+++ b/crates/bh-settings/src/document.rs
@@ -11,7 +11,7 @@
 
 /// Maximum size of a YAML file in bytes.
 pub const MAX_BYTES: usize = 1 << 20;
-/// Maximum nesting depth. The deepest key of the schema is at level 7.
+/// Maximum nesting depth of brackets. The deepest key of the schema is at level 7.
 pub const MAX_DEPTH: usize = 32;
 
 /// A parsed file whose keys and values have not been checked yet.
@@ -97,10 +97,11 @@
     }
 }
 
-/// The first line nested deeper than [`MAX_DEPTH`].
+/// The first line whose estimated nesting exceeds the limit.
 ///
 /// The YAML parser recurses once per level, so a file with a million brackets would overflow the stack and crash
-/// the entry. The estimate is never below the real depth; brackets inside quotes only raise it.
+/// the entry. The estimate counts two spaces of indentation as one level, and also brackets inside quotes. Brackets
+/// may nest [`MAX_DEPTH`] levels, brackets and blocks together twice as many.
 fn first_too_deep_line(text: &str) -> Option<usize> {
     let mut brackets = 0usize;
     for (number, line) in text.lines().enumerate() {
