--- a/crates/bh-settings/src/entry.rs
+++ b/crates/bh-settings/src/entry.rs
@@ -280,7 +280,7 @@
         Ok(address) => Some(address),
         Err(_) => {
             section.report(
-                format!("`{name}` is `{text}`, not an IP address and a port"),
+                format!("`{name}` is `{text}`, not an IP number and a port"),
                 "write it like 10.0.0.7:8080 or [fd00::7]:8080",
             );
             None
