--- a/crates/bh-node/src/requests/final_answer.rs
+++ b/crates/bh-node/src/requests/final_answer.rs
@@ -1,8 +1,8 @@
 //! The one answer that the caller of a short request gets.
 
 use bh_protocol::Code;
+use bh_protocol::Executed;
 use bh_protocol::Failure;
-use bh_protocol::Ran;
 use bh_protocol::request::StoredAnswer;
 use bytes::Bytes;
 use serde::Deserialize;
@@ -44,7 +44,7 @@
 
     /// Whether nothing was sent to a target.
     pub fn has_not_run(&self) -> bool {
-        self.code().ran() == Ran::No
+        self.code().executed() == Executed::No
     }
 
     /// Converts the answer to the form that the ledger stores, from which a resend of the request is answered.
--- a/crates/bh-protocol/src/lib.rs
+++ b/crates/bh-protocol/src/lib.rs
@@ -1,6 +1,6 @@
 //! Names, shapes, messages and result codes shared by every part of beechhollow.
 //!
-//! This is the bottom crate: it depends on nothing else of the project.
+//! This crate depends on no other crate of the project.
 
 pub mod code;
 pub mod failure;
@@ -15,6 +15,6 @@
 pub mod wire;
 
 pub use code::Code;
-pub use code::Ran;
+pub use code::Executed;
 pub use failure::Failure;
 pub use incarnation::Incarnation;
--- a/crates/bh-protocol/tests/docs.rs
+++ b/crates/bh-protocol/tests/docs.rs
@@ -1,4 +1,4 @@
-//! The table of result codes in the documentation is the one in the code.
+//! Checks that the result codes are consistent, and that their table in the documentation matches the code.
 
 use bh_protocol::Code;
 use std::collections::BTreeSet;
@@ -15,7 +15,7 @@
             "| {code} | {} | {} | {} | {} | {} |\n",
             code.http_status(),
             code.exit_status(),
-            code.ran().as_str(),
+            code.executed().as_str(),
             code.title(),
             code.help()
         ));
@@ -35,7 +35,8 @@
     assert_eq!(after, table(), "run BLESS=1 cargo test -p bh-protocol");
 }
 
-/// Numbers are unique, and a code that says "not run" never comes with a status that means it may have run.
+/// Numbers are unique, only `Done` exits with 0, and just the codes from 400 to 499 and from 600 leave open whether the work was
+/// executed.
 #[test]
 fn codes_are_consistent() {
     let numbers: BTreeSet<u32> = Code::ALL.iter().map(|code| code.number()).collect();
@@ -43,7 +44,7 @@
     for code in Code::ALL {
         assert_eq!(Code::from_number(code.number()), Some(*code));
         assert_eq!(code.exit_status() == 0, *code == Code::Done);
-        let unknown = code.ran() == bh_protocol::Ran::Unknown;
+        let unknown = code.executed() == bh_protocol::Executed::Unknown;
         assert_eq!(
             unknown,
             (400..500).contains(&code.number()) || code.number() >= 600,
