--- a/crates/bh-workload/tests/delays/event.rs
+++ b/crates/bh-workload/tests/delays/event.rs
@@ -1,64 +1,68 @@
-//! What happens at a site.
+//! Events of the simulation.
 
-use super::log::Waiting;
-use super::network::Way;
+use super::log::PendingResult;
+use super::network::Delivery;
 use bh_workload::dispatch::Answer;
 use bh_workload::dispatch::Order;
 use bh_workload::dispatch::RecordOutcome;
 use bh_workload::state::WorkerInfo;
 
-/// What happens at a time.
+/// An event that the simulation handles at a given time.
 pub enum Event {
-    /// A job is handed in.
+    /// A job is submitted.
     Submit { job: u64 },
-    /// A fault begins.
+    /// A fault starts.
     Fault { index: usize },
-    /// A fault ends that does not end by itself.
+    /// A fault ends that has an explicit end.
     FaultEnds { index: usize },
-    /// A worker says that it is there.
-    Heartbeat { index: usize },
-    /// The leader reads that.
-    Hear {
+    /// A worker sends a heartbeat.
+    SendHeartbeat { index: usize },
+    /// The leader reads a heartbeat.
+    ReadHeartbeat {
         term: u64,
         info: Box<WorkerInfo>,
         clock_ms: u64,
     },
-    /// The leader takes a turn.
+    /// The leader runs one turn of its loop.
     Turn { term: u64 },
-    /// An order leaves the leader.
-    Send { order: Order },
-    /// An order comes to a worker.
-    Arrive { call: u64, order: Order, way: Way },
-    /// An answer comes back.
-    Answer {
+    /// The leader's core sends an order.
+    SendOrder { order: Order },
+    /// An order arrives at a worker's address.
+    OrderArrives {
+        call: u64,
+        order: Order,
+        delivery: Delivery,
+    },
+    /// An answer arrives at the leader's core.
+    AnswerArrives {
         call: u64,
         term: u64,
         answer: Answer,
     },
-    /// An answer that came in time is read late; `repeated` if it is that to a second send.
-    Read {
+    /// The leader reads an answer that arrived in time; `repeated` if the order had been sent twice.
+    ReadAnswer {
         order: Order,
         answer: Answer,
         repeated: bool,
     },
-    /// An answer has not come in time.
-    Timeout { call: u64 },
-    /// Something may be committed.
+    /// An order has had no answer in time.
+    CallTimeout { call: u64 },
+    /// Commits the proposals that are due.
     Commit,
-    /// A proposal was not committed in time.
-    RecordTimeout { id: u64 },
-    /// The proposer hears what became of a proposal.
-    Result {
+    /// A proposal has not been committed in time.
+    ProposalTimeout { id: u64 },
+    /// The proposer reads the outcome of a proposal.
+    ProposalResult {
         id: u64,
-        waiting: Waiting,
+        pending: PendingResult,
         outcome: RecordOutcome,
     },
-    /// The leader is replaced once ends wait to be committed, or at `by_ms`.
+    /// The leader is replaced as soon as ends wait to be committed, and by `by_ms` at the latest.
     Depose { index: usize, by_ms: u64 },
-    /// A deposed leader knows that it is one.
+    /// A deposed leader learns that it was deposed.
     StepDown { term: u64 },
-    /// Another leader takes over.
-    TakeOffice {
+    /// A new leader is elected.
+    Elect {
         core: usize,
         lost: usize,
         gap_ms: u64,
--- a/crates/bh-workload/tests/delays/fleet.rs
+++ b/crates/bh-workload/tests/delays/fleet.rs
@@ -1,43 +1,43 @@
-//! The size of a site, and what is handed in there.
+//! Size of a site, and the load on it.
 
 use super::faults::WORKERS;
 use super::load::Load;
 use bh_workload::dispatch::Timing;
 
-/// The workers of a site and their load.
+/// Workers of a site and their load.
 #[derive(Clone, Copy, Debug)]
 pub struct Fleet {
     pub workers: usize,
-    pub per_rack: usize,
-    pub jobs: u64,
-    /// Time within which the jobs come, in milliseconds.
+    pub workers_per_rack: usize,
+    pub job_count: u64,
+    /// Time within which the jobs are submitted, in milliseconds.
     pub submit_ms: u64,
     pub timing: Timing,
     pub load: Load,
 }
 
 impl Fleet {
-    /// Few workers with few jobs.
+    /// A small fleet with few jobs.
     pub const SMALL: Fleet = Fleet {
         workers: WORKERS,
-        per_rack: 2,
-        jobs: 8,
+        workers_per_rack: 2,
+        job_count: 8,
         submit_ms: 12_000,
         timing: Timing::DEFAULT,
-        load: Load::Plain,
+        load: Load::Uniform,
     };
 
-    /// Whether jobs are of all ranks and shapes.
+    /// Returns whether jobs have several priorities and shapes, and workers are smaller.
     pub fn is_mixed(&self) -> bool {
-        self.load != Load::Plain
+        self.load != Load::Uniform
     }
 
-    /// Such a load on `workers` workers, twelve in a rack, with short leases.
-    pub const fn with_load(load: Load, workers: usize, jobs: u64) -> Self {
+    /// A fleet of `workers` workers, twelve in a rack, with this load and short leases.
+    pub const fn with_load(load: Load, workers: usize, job_count: u64) -> Self {
         Self {
             workers,
-            per_rack: 12,
-            jobs,
+            workers_per_rack: 12,
+            job_count,
             submit_ms: 50_000,
             timing: Timing {
                 lease_ms: 3_000,
--- a/crates/bh-workload/tests/delays/gangs.rs
+++ b/crates/bh-workload/tests/delays/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs: tasks that work only together, and end together.
+//! Simulation of gangs, whose tasks work only together and end together.
 
 use super::site::Site;
 use bh_workload::job::RunId;
@@ -6,39 +6,39 @@
 use bh_workload::state::EndKind;
 use std::collections::BTreeMap;
 
-/// Time for which a member waits for the others, in milliseconds.
+/// Time that a member waits for the others, in milliseconds.
 const GANG_TIMEOUT_MS: u64 = 3_000;
 
-/// A gang at work.
+/// A gang whose members have all started.
 #[derive(Clone, Copy)]
-struct Whole {
-    over_ms: u64,
-    /// Whether one of its members fails then.
+struct CompleteGang {
+    end_ms: u64,
+    /// Whether one of its members fails at that time.
     fails: bool,
 }
 
-/// Gangs that have been whole, and members of broken ones that are being ended.
+/// Gangs that were complete, and members of broken gangs that are being ended.
 #[derive(Default)]
 pub struct Gangs {
-    whole: BTreeMap<(StepId, u32), Whole>,
+    complete: BTreeMap<(StepId, u32), CompleteGang>,
     breaking: BTreeMap<(usize, RunId), u64>,
 }
 
 impl Gangs {
-    /// Whether members of broken gangs are being ended.
+    /// Returns whether members of broken gangs are being ended.
     pub fn is_breaking(&self) -> bool {
         !self.breaking.is_empty()
     }
 }
 
 impl Site<'_> {
-    /// Whether a step is a gang.
+    /// Returns whether a step is a gang.
     pub fn is_gang(&self, step: StepId) -> bool {
         let spec = self.record.step_spec(step);
         spec.is_some_and(|spec| spec.gang)
     }
 
-    /// Members at work, by step and attempt: worker and run.
+    /// Returns the running members as worker and run, by step and attempt.
     fn members(&self) -> BTreeMap<(StepId, u32), Vec<(usize, RunId)>> {
         let mut gangs: BTreeMap<(StepId, u32), Vec<(usize, RunId)>> = BTreeMap::new();
         for (index, worker) in self.workers.iter().enumerate() {
@@ -50,38 +50,41 @@
         gangs
     }
 
-    /// A worker that runs a member of a gang.
-    pub fn worker_of_gang(&mut self) -> Option<usize> {
+    /// Returns a random worker that runs a member of a gang.
+    pub fn random_gang_worker(&mut self) -> Option<usize> {
         let members = self.members();
         let all: Vec<usize> = members
             .values()
             .flatten()
             .map(|(worker, _)| *worker)
             .collect();
-        let at = self.random.index(all.len());
-        all.get(at).copied()
+        let index = self.random.index(all.len());
+        all.get(index).copied()
     }
 
-    /// Gangs work once all members are there, end together, and break when one is gone; a member that waits for long ends alone.
-    pub fn pass_gangs(&mut self) {
+    /// Lets gangs work once all members have started, end together, and break when a member is gone. A member that waits too long for the
+    /// others ends alone.
+    pub fn advance_gangs(&mut self) {
         let now_ms = self.now_ms;
         for (gang, members) in self.members() {
             let spec = self.record.step_spec(gang.0);
             let count = spec.map_or(0, |spec| spec.count);
-            let is_whole = u32::try_from(members.len()).is_ok_and(|members| members == count);
-            if is_whole && !self.gangs.whole.contains_key(&gang) {
+            let is_complete = u32::try_from(members.len()).is_ok_and(|members| members == count);
+            if is_complete && !self.gangs.complete.contains_key(&gang) {
                 let fails = self.chance(self.case.failing_percent);
-                let over_ms = now_ms + self.run_ms(fails);
-                self.gangs.whole.insert(gang, Whole { over_ms, fails });
+                let end_ms = now_ms + self.run_ms(fails);
+                self.gangs
+                    .complete
+                    .insert(gang, CompleteGang { end_ms, fails });
             }
-            match self.gangs.whole.get(&gang).copied() {
-                Some(_) if !is_whole => {
+            match self.gangs.complete.get(&gang).copied() {
+                Some(_) if !is_complete => {
                     for (index, run) in members {
-                        self.break_off(index, run);
+                        self.end_broken_member(index, run);
                     }
                 }
-                Some(whole) if now_ms < whole.over_ms => {}
-                Some(whole) if whole.fails => {
+                Some(complete) if now_ms < complete.end_ms => {}
+                Some(complete) if complete.fails => {
                     let (index, run) = members[0];
                     self.workers[index].end(run, EndKind::Failed);
                 }
@@ -90,31 +93,31 @@
                         self.workers[index].end(run, EndKind::Done);
                     }
                 }
-                None => self.end_alone(members),
+                None => self.end_waiting_members(members),
             }
         }
-        let over: Vec<(usize, RunId)> = self
+        let ended: Vec<(usize, RunId)> = self
             .gangs
             .breaking
             .iter()
-            .filter(|(_, over_ms)| **over_ms <= now_ms)
+            .filter(|(_, end_ms)| **end_ms <= now_ms)
             .map(|(member, _)| *member)
             .collect();
-        for (index, run) in over {
+        for (index, run) in ended {
             self.gangs.breaking.remove(&(index, run));
             self.workers[index].end(run, EndKind::Broken);
         }
     }
 
-    /// A member of a broken gang ends within the time of a stop.
-    fn break_off(&mut self, index: usize, run: RunId) {
+    /// Ends a member of a broken gang within the longest time that a stop takes.
+    fn end_broken_member(&mut self, index: usize, run: RunId) {
         if !self.gangs.breaking.contains_key(&(index, run)) {
-            let over_ms = self.now_ms + self.random.below(self.fleet().timing.stop_timeout_ms);
-            self.gangs.breaking.insert((index, run), over_ms);
+            let end_ms = self.now_ms + self.random.below(self.fleet().timing.stop_timeout_ms);
+            self.gangs.breaking.insert((index, run), end_ms);
         }
     }
 
-    fn end_alone(&mut self, members: Vec<(usize, RunId)>) {
+    fn end_waiting_members(&mut self, members: Vec<(usize, RunId)>) {
         for (index, run) in members {
             let began_ms = self.workers[index].runs[&run].began_ms;
             if self.now_ms >= began_ms + GANG_TIMEOUT_MS {
--- a/crates/bh-workload/tests/delays/history.rs
+++ b/crates/bh-workload/tests/delays/history.rs
@@ -1,4 +1,4 @@
-//! What workers began and ended, and which rules that breaks.
+//! History of the runs that workers started and ended, and the rules that it breaks.
 
 use super::MAX_ATTEMPTS;
 use bh_workload::job::RunId;
@@ -8,30 +8,30 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// A rule that a run of the fuzz may break.
+/// A rule that a fuzz case may break.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// No task runs twice at once on workers that live.
+    /// No task runs twice at once on workers that are up.
     OneAtOnce,
-    /// Nothing begins after an end with success that was taken note of then or later.
-    NotAfterDone,
-    /// Nothing begins after as many failures as are allowed that were taken note of then or later.
-    NotAfterFailures,
-    /// No end is forgotten by its worker before the record holds it.
-    RecordedFirst,
+    /// No run of a task starts after an end with success that is acknowledged, even if only later.
+    NoStartAfterDone,
+    /// No run of a task starts after the maximum number of failures, all of them acknowledged, even if only later.
+    NoStartAfterMaxFailures,
+    /// No worker forgets an end before it is recorded.
+    RecordedBeforeForgotten,
     /// Every job ends.
     JobsEnd,
-    /// What may begin does so soon where there is room.
-    BeginsSoon,
-    /// The same for what would be slower there than in a rack of its own.
-    BeginsSoonElsewhere,
+    /// A job that may start does so promptly where there is free capacity.
+    StartsPromptly,
+    /// As `StartsPromptly`, for a job that is slower there than in one rack.
+    StartsPromptlyOutsideRack,
 }
 
-/// A rule that was broken.
+/// A broken rule.
 #[derive(Clone, Debug)]
 pub struct Finding {
     pub rule: Rule,
-    /// When it was broken, in milliseconds.
+    /// When the rule was broken, in milliseconds.
     pub at_ms: u64,
     pub task: Option<TaskId>,
     pub text: String,
@@ -43,71 +43,71 @@
     }
 }
 
-/// A run that a worker began.
-struct Begin {
-    /// Place among all begins and ends.
-    place: usize,
+/// A start of a run on a worker.
+struct RunStart {
+    /// Position among all starts and ends.
+    position: usize,
     at_ms: u64,
     run: RunId,
     worker: String,
 }
 
-/// A run that a worker ended.
-struct End {
-    /// Place among all begins and ends.
-    place: usize,
+/// An end of a run on a worker.
+struct RunEnd {
+    /// Position among all starts and ends.
+    position: usize,
     at_ms: u64,
     run: RunId,
-    /// Whether it is one of a gang, whose members have all ended as this one did.
+    /// Whether the run is a member of a gang, whose members have all ended in the same way.
     is_gang: bool,
     kind: EndKind,
-    /// Leases of the worker that had run out by then.
+    /// Number of leases of the worker that had run out by then.
     lapses: u64,
-    /// When it was taken note of, unless a lease ran out before.
-    noted_ms: Option<u64>,
+    /// When the end was acknowledged, unless a lease ran out before.
+    acknowledged_ms: Option<u64>,
 }
 
-impl End {
-    /// Whether it is an end of the task of `run`, or of a gang of which that is a member.
-    fn tells_of(&self, run: RunId) -> bool {
+impl RunEnd {
+    /// Returns whether this is an end of the task of `run`, or of a gang that `run` is a member of.
+    fn concerns(&self, run: RunId) -> bool {
         self.run.task == run.task || self.is_gang && self.run.task.step == run.task.step
     }
 }
 
-/// Begins and ends as the workers know them, over all their lives.
+/// Starts and ends as the workers know them, over all their incarnations.
 #[derive(Default)]
 pub struct History {
-    begins: Vec<Begin>,
-    ends: BTreeMap<(String, u64), End>,
+    starts: Vec<RunStart>,
+    ends: BTreeMap<(String, u64), RunEnd>,
     pub findings: Vec<Finding>,
 }
 
 impl History {
-    /// Notes that a worker began a run.
-    pub fn note_begin(&mut self, at_ms: u64, run: RunId, worker: &str) {
-        self.begins.push(Begin {
-            place: self.begins.len() + self.ends.len(),
+    /// Records that a worker started a run.
+    pub fn record_start(&mut self, at_ms: u64, run: RunId, worker: &str) {
+        self.starts.push(RunStart {
+            position: self.starts.len() + self.ends.len(),
             at_ms,
             run,
             worker: worker.to_owned(),
         });
     }
 
-    /// Begins, and those of them that are not the first of their task.
-    pub fn begins(&self) -> (usize, usize) {
-        let tasks: BTreeSet<TaskId> = self.begins.iter().map(|begin| begin.run.task).collect();
-        (self.begins.len(), self.begins.len() - tasks.len())
+    /// Returns the number of starts, and of those that are not the first of their task.
+    pub fn count_starts(&self) -> (usize, usize) {
+        let tasks: BTreeSet<TaskId> = self.starts.iter().map(|start| start.run.task).collect();
+        (self.starts.len(), self.starts.len() - tasks.len())
     }
 
-    /// Ends that were taken note of, of a kind.
-    pub fn noted(&self, kind: EndKind) -> usize {
+    /// Returns the number of acknowledged ends of a kind.
+    pub fn count_acknowledged(&self, kind: EndKind) -> usize {
         let ends = self.ends.values();
-        ends.filter(|end| end.kind == kind && end.noted_ms.is_some())
+        ends.filter(|end| end.kind == kind && end.acknowledged_ms.is_some())
             .count()
     }
 
-    /// Notes that a worker ended a run; returns whether that is new.
-    pub fn note_end(
+    /// Records that a worker ended a run; returns whether the end is new.
+    pub fn record_end(
         &mut self,
         at_ms: u64,
         worker: &str,
@@ -116,57 +116,58 @@
     ) -> bool {
         let key = (worker.to_owned(), number);
         let is_new = !self.ends.contains_key(&key);
-        let place = self.begins.len() + self.ends.len();
-        self.ends.entry(key).or_insert(End {
-            place,
+        let position = self.starts.len() + self.ends.len();
+        self.ends.entry(key).or_insert(RunEnd {
+            position,
             at_ms,
             run,
             is_gang,
             kind,
             lapses,
-            noted_ms: None,
+            acknowledged_ms: None,
         });
         is_new
     }
 
-    /// Notes that a cursor reached an end when `lapses` leases of the worker had run out.
-    pub fn note_cursor(&mut self, at_ms: u64, worker: &str, number: u64, lapses: u64) {
+    /// Acknowledges an end that a probe's cursor has reached, unless a lease of the worker has run out since the end: `lapses` have run out
+    /// by now.
+    pub fn acknowledge(&mut self, at_ms: u64, worker: &str, number: u64, lapses: u64) {
         if let Some(end) = self.ends.get_mut(&(worker.to_owned(), number))
             && end.lapses == lapses
         {
-            end.noted_ms.get_or_insert(at_ms);
+            end.acknowledged_ms.get_or_insert(at_ms);
         }
     }
 
-    /// Starts that the ends before them forbid, over the whole history.
-    pub fn check_begins(&mut self) {
-        for begin in &self.begins {
+    /// Finds the starts in the whole history that earlier ends forbid.
+    pub fn check_starts(&mut self) {
+        for start in &self.starts {
             let before = || {
                 let ends = self.ends.values();
-                ends.filter(|end| end.tells_of(begin.run) && end.place < begin.place)
-                    .filter(|end| end.noted_ms.is_some())
+                ends.filter(|end| end.concerns(start.run) && end.position < start.position)
+                    .filter(|end| end.acknowledged_ms.is_some())
             };
-            let told = |kind| {
+            let describe = |kind| {
                 let ends = before().filter(|end| end.kind == kind);
                 let ends = ends.map(|end| {
                     format!(
-                        "{} at {} ms, noted at {:?}",
-                        end.run, end.at_ms, end.noted_ms
+                        "{} at {} ms, acknowledged at {:?}",
+                        end.run, end.at_ms, end.acknowledged_ms
                     )
                 });
                 ends.collect::<Vec<String>>()
             };
-            let (done, failed) = (told(EndKind::Done), told(EndKind::Failed));
-            let start = format!(
-                "{} begins on {} at {} ms",
-                begin.run, begin.worker, begin.at_ms
+            let (done, failed) = (describe(EndKind::Done), describe(EndKind::Failed));
+            let description = format!(
+                "{} starts on {} at {} ms",
+                start.run, start.worker, start.at_ms
             );
             if !done.is_empty() {
                 self.findings.push(Finding {
-                    rule: Rule::NotAfterDone,
-                    at_ms: begin.at_ms,
-                    task: Some(begin.run.task),
-                    text: format!("{start} after it was done: {done:?}"),
+                    rule: Rule::NoStartAfterDone,
+                    at_ms: start.at_ms,
+                    task: Some(start.run.task),
+                    text: format!("{description} after it was done: {done:?}"),
                 });
             }
             let attempts: BTreeSet<u32> = before()
@@ -175,10 +176,10 @@
                 .collect();
             if attempts.len() >= MAX_ATTEMPTS {
                 self.findings.push(Finding {
-                    rule: Rule::NotAfterFailures,
-                    at_ms: begin.at_ms,
-                    task: Some(begin.run.task),
-                    text: format!("{start} after it had failed: {failed:?}"),
+                    rule: Rule::NoStartAfterMaxFailures,
+                    at_ms: start.at_ms,
+                    task: Some(start.run.task),
+                    text: format!("{description} after it had failed: {failed:?}"),
                 });
             }
         }
--- a/crates/bh-workload/tests/delays/leader.rs
+++ b/crates/bh-workload/tests/delays/leader.rs
@@ -1,11 +1,11 @@
-//! A core that leads, driven like the real process drives it.
+//! A core that leads, driven in the same way as in the real process.
 
 use super::event::Event;
 use super::faults::Fault;
-use super::log::Waiting;
+use super::log::PendingResult;
 use super::site::Site;
-use super::telling::of_answer;
-use super::telling::of_command;
+use super::summary::summarize_answer;
+use super::summary::summarize_command;
 use crate::support::START_WALL_MS;
 use bh_group::Machine;
 use bh_protocol::Incarnation;
@@ -27,62 +27,62 @@
 use std::collections::BTreeSet;
 
 /// Longest time between two turns of the leader, in milliseconds.
-const TURN_MS: u64 = 50;
+const TURN_INTERVAL_MS: u64 = 50;
 /// Time between passes over all workers, in milliseconds.
-const SWEEP_MS: u64 = 100;
+const SWEEP_INTERVAL_MS: u64 = 100;
 /// Longest time between plans, in milliseconds.
-const PLAN_MS: u64 = 200;
+const PLAN_INTERVAL_MS: u64 = 200;
 /// Shortest time between plans, in milliseconds.
-const GAP_MS: u64 = 10;
-/// Wait for a record to be committed, in milliseconds.
-const RECORD_MS: u64 = 3_000;
-/// Time without a leader after which workers must be heard before they get work, in milliseconds.
-const SHORT_GAP_MS: u64 = 2_500;
+const MIN_PLAN_INTERVAL_MS: u64 = 10;
+/// Longest wait for a proposal to be committed, in milliseconds.
+const PROPOSAL_TIMEOUT_MS: u64 = 3_000;
+/// Time without a leader, in milliseconds, after which workers get work only once they have sent a heartbeat.
+const OUTDATED_INFO_GAP_MS: u64 = 2_500;
 
-/// What a core holds while it leads.
+/// State of a core that leads.
 pub struct Leader {
     pub core: usize,
     pub term: u64,
     pub dispatcher: Dispatcher,
     planner: Planner,
-    planning: bool,
+    plan_pending: bool,
     plan_due: bool,
     planned_ms: u64,
-    plan_from_ms: u64,
+    next_plan_ms: u64,
     swept_ms: u64,
-    /// When its next turn is due.
-    turn_ms: u64,
-    /// Until when it has no processor.
+    /// When the next turn is due.
+    next_turn_ms: u64,
+    /// Until when the leader has no processor time.
     pub stalled_until_ms: u64,
-    /// The record as it was when another was elected, and until when it gives orders.
+    /// The record as of the election of the next leader, and until when this one keeps sending orders.
     pub deposed: Option<(Workload, u64)>,
 }
 
 impl Site<'_> {
-    /// The leader of a term, as long as it takes itself for one.
+    /// Returns the leader of a term, as long as that core believes that it leads.
     fn leader_of(&mut self, term: u64) -> Option<&mut Leader> {
         let all = self.leader.iter_mut().chain(self.deposed.iter_mut());
         all.into_iter().find(|leader| leader.term == term)
     }
 
-    /// Until when the leader of a term can do nothing, if it has no processor now.
+    /// Returns until when the leader of a term is stalled, if it is stalled now.
     pub fn stalled_until_ms(&mut self, term: u64) -> Option<u64> {
         let now_ms = self.now_ms;
         let until_ms = self.leader_of(term)?.stalled_until_ms;
         (now_ms < until_ms).then_some(until_ms)
     }
 
-    /// Has the leader of a term take a turn soon.
+    /// Schedules a turn of the leader of a term now.
     pub fn wake(&mut self, term: u64) {
         let at_ms = self.now_ms + 1;
-        let earlier = |leader: &&mut Leader| leader.turn_ms > at_ms;
+        let earlier = |leader: &&mut Leader| leader.next_turn_ms > at_ms;
         if let Some(leader) = self.leader_of(term).filter(earlier) {
-            leader.turn_ms = at_ms;
+            leader.next_turn_ms = at_ms;
             self.push(at_ms, Event::Turn { term });
         }
     }
 
-    /// Takes a leader out, to have it act on the rest of the site.
+    /// Takes a leader out of the site, so that it can act on the rest of the site.
     fn take_leader(&mut self, term: u64) -> Option<Leader> {
         let of_term = |leader: &mut Leader| leader.term == term;
         let current = self.leader.take_if(of_term);
@@ -96,18 +96,18 @@
         }
     }
 
-    /// One turn of the leader's loop: orders, then a plan.
+    /// Runs one turn of the leader's loop: orders, then a plan.
     pub fn turn(&mut self, term: u64) {
         let now_ms = self.now_ms;
         let Some(mut leader) = self.take_leader(term) else {
             return;
         };
-        if leader.turn_ms > now_ms {
+        if leader.next_turn_ms > now_ms {
             self.put_back(leader);
             return;
         }
-        leader.turn_ms = now_ms + TURN_MS;
-        self.push(leader.turn_ms, Event::Turn { term });
+        leader.next_turn_ms = now_ms + TURN_INTERVAL_MS;
+        self.push(leader.next_turn_ms, Event::Turn { term });
         if leader.deposed.is_none() {
             let record_events = self.record.take_events();
             leader.plan_due |= record_events.plan;
@@ -115,22 +115,25 @@
                 .dispatcher
                 .note_events(now_ms, &record_events, &self.record);
         }
-        let all = now_ms >= leader.swept_ms + SWEEP_MS;
-        if all {
+        let is_sweep = now_ms >= leader.swept_ms + SWEEP_INTERVAL_MS;
+        if is_sweep {
             leader.swept_ms = now_ms;
         }
-        let record = leader.deposed.as_ref().map_or(&self.record, |held| &held.0);
-        let (orders, ends) = leader.dispatcher.orders(now_ms, record, all);
+        let record = leader
+            .deposed
+            .as_ref()
+            .map_or(&self.record, |deposed| &deposed.0);
+        let (orders, ends) = leader.dispatcher.orders(now_ms, record, is_sweep);
         let stall_ms = if orders.is_empty() {
             0
         } else {
             self.stall_in_turn_ms()
         };
         if stall_ms > 0 {
-            self.reached.stalls_in_turn += 1;
+            self.coverage.stalls_in_turn += 1;
             leader.stalled_until_ms = now_ms + stall_ms;
             self.disturb(now_ms + stall_ms);
-            self.note(|| {
+            self.trace_event(|| {
                 format!(
                     "core{} stalls for {stall_ms} ms with {} orders to send",
                     leader.core,
@@ -139,13 +142,13 @@
             });
         }
         for order in orders {
-            self.note(|| {
+            self.trace_event(|| {
                 format!(
                     "core{} decides for {}: {}",
                     leader.core, order.to.worker, order.body
                 )
             });
-            self.push(now_ms + stall_ms, Event::Send { order });
+            self.push(now_ms + stall_ms, Event::SendOrder { order });
         }
         if !ends.is_empty() {
             self.propose(&leader, Command::ends(ends), None);
@@ -156,13 +159,13 @@
 
     fn plan(&mut self, leader: &mut Leader) {
         let now_ms = self.now_ms;
-        let due = leader.plan_due || now_ms >= leader.planned_ms + PLAN_MS;
-        if leader.planning || !due || now_ms < leader.plan_from_ms || leader.deposed.is_some() {
+        let due = leader.plan_due || now_ms >= leader.planned_ms + PLAN_INTERVAL_MS;
+        if leader.plan_pending || !due || now_ms < leader.next_plan_ms || leader.deposed.is_some() {
             return;
         }
         leader.plan_due = false;
         leader.planned_ms = now_ms;
-        leader.plan_from_ms = now_ms + GAP_MS;
+        leader.next_plan_ms = now_ms + MIN_PLAN_INTERVAL_MS;
         let wall_ms = START_WALL_MS + now_ms;
         let plan = leader
             .planner
@@ -171,12 +174,12 @@
             leader.dispatcher.request_stop(worker, *run);
         }
         if !plan.starts.is_empty() {
-            leader.planning = true;
+            leader.plan_pending = true;
             self.propose(leader, Command::Starts(plan.starts), None);
         }
     }
 
-    /// Replicates a command. What a deposed leader proposes is never committed.
+    /// Proposes a command. What a deposed leader proposes is never committed.
     fn propose(&mut self, leader: &Leader, command: Command, listed_to: Option<u64>) {
         let now_ms = self.now_ms;
         let command = command.at(START_WALL_MS + now_ms);
@@ -184,115 +187,121 @@
             Command::Ends { ends, .. } => ends.iter().map(|end| end.worker.clone()).collect(),
             _ => BTreeSet::new(),
         };
-        let waiting = Waiting {
+        let pending = PendingResult {
             core: leader.core,
             term: leader.term,
             workers,
             listed_to,
-            starts: matches!(command, Command::Starts(_)),
+            has_starts: matches!(command, Command::Starts(_)),
         };
-        let id = self.log.wait(waiting);
-        self.note(|| {
+        let id = self.log.register(pending);
+        self.trace_event(|| {
             format!(
                 "core{} proposes {id}: {}",
                 leader.core,
-                of_command(&command)
+                summarize_command(&command)
             )
         });
         let refused = self.percent(|fault| match fault {
-            Fault::RefusedRecords { percent, for_ms } => Some((*percent, *for_ms)),
+            Fault::RefusedRecords {
+                percent,
+                duration_ms,
+            } => Some((*percent, *duration_ms)),
             _ => None,
         });
         if self.chance(refused) {
-            self.settle(id, RecordOutcome::NotRecorded, 1);
+            self.resolve(id, RecordOutcome::NotRecorded, 1);
             return;
         }
-        self.push(now_ms + RECORD_MS, Event::RecordTimeout { id });
+        self.push(now_ms + PROPOSAL_TIMEOUT_MS, Event::ProposalTimeout { id });
         if leader.deposed.is_none() {
-            let took_ms = 1 + self.random.below(self.case.record_ms);
-            let at_ms = self.log.append(id, now_ms + took_ms, command);
+            let commit_delay_ms = 1 + self.random.below(self.case.record_ms);
+            let at_ms = self.log.append(id, now_ms + commit_delay_ms, command);
             self.push(at_ms, Event::Commit);
         }
     }
 
-    /// Tells whoever proposed a command what became of it, `after_ms` from now, unless it has given up waiting.
-    pub fn settle(&mut self, id: u64, outcome: RecordOutcome, after_ms: u64) {
-        if let Some(waiting) = self.log.waiting.remove(&id) {
+    /// Sends the outcome of a proposal to its proposer, `after_ms` from now, unless the proposer has given up waiting.
+    pub fn resolve(&mut self, id: u64, outcome: RecordOutcome, after_ms: u64) {
+        if let Some(pending) = self.log.unresolved.remove(&id) {
             let at_ms = self.now_ms + after_ms;
-            let result = Event::Result {
+            let result = Event::ProposalResult {
                 id,
-                waiting,
+                pending,
                 outcome,
             };
             self.push(at_ms, result);
         }
     }
 
-    /// The result of a proposal reaches the core that made it. It counts if that still leads in the same term.
-    pub fn take_result(&mut self, id: u64, waiting: &Waiting, outcome: RecordOutcome) {
+    /// The core that made a proposal reads its outcome. The outcome counts if the core still leads in the same term.
+    pub fn read_outcome(&mut self, id: u64, pending: &PendingResult, outcome: RecordOutcome) {
         let all = self.leader.iter_mut().chain(self.deposed.iter_mut());
-        let Some(leader) = all.into_iter().find(|leader| leader.core == waiting.core) else {
+        let Some(leader) = all.into_iter().find(|leader| leader.core == pending.core) else {
             return;
         };
         let term = leader.term;
-        if term != waiting.term {
-            self.reached.older_results += usize::from(!waiting.workers.is_empty());
+        if term != pending.term {
+            self.coverage.results_of_earlier_terms += usize::from(!pending.workers.is_empty());
             return;
         }
-        for worker in &waiting.workers {
+        for worker in &pending.workers {
             leader
                 .dispatcher
-                .note_recorded(worker, waiting.listed_to, outcome);
+                .note_recorded(worker, pending.listed_to, outcome);
         }
-        if waiting.starts {
-            leader.planning = false;
+        if pending.has_starts {
+            leader.plan_pending = false;
             leader.plan_due = true;
         }
-        let core = waiting.core;
-        self.note(|| {
+        let core = pending.core;
+        self.trace_event(|| {
             format!(
-                "core{core} of term {term} hears of {id}: {outcome:?}, {:?}",
-                waiting.workers
+                "core{core} of term {term} reads the outcome of {id}: {outcome:?}, {:?}",
+                pending.workers
             )
         });
         self.wake(term);
     }
 
-    /// Applies what is committed by now.
+    /// Applies the proposals that are committed by now.
     pub fn commit(&mut self, now_ms: u64, result_ms: u64) {
         while let Some(proposal) = self.log.take_committed(now_ms) {
             let id = proposal.id;
-            self.note(|| format!("commits {id}"));
+            self.trace_event(|| format!("commits {id}"));
             if let Command::Ends { ends, .. } = &proposal.command {
                 let ends = ends.iter();
                 let ends = ends.map(|end| (end.worker.to_string(), end.run, end.kind));
-                self.recorded.extend(ends);
+                self.recorded_ends.extend(ends);
             }
             self.record.apply(proposal.command);
             let after_ms = self.random.below(result_ms + 1);
-            self.settle(id, RecordOutcome::Recorded, after_ms);
+            self.resolve(id, RecordOutcome::Recorded, after_ms);
         }
     }
 
-    /// The leader's core reads an answer.
+    /// The leader reads an answer.
     pub fn read_answer(&mut self, order: &Order, answer: &Answer, repeated: bool) {
         let now_ms = self.now_ms;
         let Some(mut leader) = self.take_leader(order.token) else {
             return;
         };
-        self.note(|| {
+        self.trace_event(|| {
             format!(
                 "core{} reads from {} for {}: {}",
                 leader.core,
                 order.to.worker,
                 order.body,
-                of_answer(answer)
+                summarize_answer(answer)
             )
         });
         if repeated {
             leader.dispatcher.note_repeated(order);
         }
-        let record = leader.deposed.as_ref().map_or(&self.record, |held| &held.0);
+        let record = leader
+            .deposed
+            .as_ref()
+            .map_or(&self.record, |deposed| &deposed.0);
         let command = leader.dispatcher.note_answer(now_ms, order, answer, record);
         if let Some(Command::Ends { ends, .. }) = &command {
             leader
@@ -300,9 +309,9 @@
                 .note_ends(now_ms, ends, record, &leader.dispatcher);
         }
         if let Some(command) = command {
-            let is_look = matches!(order.body, OrderBody::Probe { .. });
+            let is_probe = matches!(order.body, OrderBody::Probe { .. });
             let listed_to = leader.dispatcher.recording_to(&order.to.worker);
-            let listed_to = listed_to.filter(|_| is_look);
+            let listed_to = listed_to.filter(|_| is_probe);
             self.propose(&leader, command, listed_to);
         }
         self.put_back(leader);
@@ -310,7 +319,7 @@
     }
 
     /// The leader reads a heartbeat.
-    pub fn hear(&mut self, term: u64, info: &WorkerInfo, clock_ms: u64) {
+    pub fn read_heartbeat(&mut self, term: u64, info: &WorkerInfo, clock_ms: u64) {
         let now_ms = self.now_ms;
         let Some(mut leader) = self.take_leader(term) else {
             return;
@@ -325,7 +334,7 @@
         self.put_back(leader);
     }
 
-    /// The leader is replaced: nothing is committed until another has taken office.
+    /// Deposes the leader. Nothing is committed until another is elected.
     pub fn depose(&mut self, same_core: bool, lost: usize, gap_ms: u64, deposed_ms: u64) {
         let now_ms = self.now_ms;
         let Some(mut leader) = self.leader.take() else {
@@ -336,25 +345,25 @@
         } else {
             1 - leader.core
         };
-        self.note(|| {
+        self.trace_event(|| {
             format!(
                 "core{} is deposed, core{core} leads in {gap_ms} ms",
                 leader.core
             )
         });
-        self.reached.changes += 1;
-        self.reached.changes_with_broken_gangs += usize::from(self.has_broken_gangs());
+        self.coverage.leader_changes += 1;
+        self.coverage.leader_changes_with_broken_gangs += usize::from(self.has_broken_gangs());
         self.deposed = None;
         if !same_core && deposed_ms > 0 {
             leader.deposed = Some((self.record.clone(), now_ms + deposed_ms));
             self.push(now_ms + deposed_ms, Event::StepDown { term: leader.term });
             self.deposed = Some(leader);
         }
-        self.push(now_ms + gap_ms, Event::TakeOffice { core, lost, gap_ms });
+        self.push(now_ms + gap_ms, Event::Elect { core, lost, gap_ms });
     }
 
-    /// Another leader has the newest record: the end of the log is lost, the rest committed, before it gives any order.
-    pub fn take_office(&mut self, core: usize, lost: usize, gap_ms: u64) {
+    /// Elects a leader, which has the newest record: the end of the log is lost and the rest committed before it gives any order.
+    pub fn elect(&mut self, core: usize, lost: usize, gap_ms: u64) {
         let most = u64::try_from(lost).unwrap() + 1;
         let lost = usize::try_from(self.random.below(most)).unwrap();
         for _ in 0..lost {
@@ -362,10 +371,10 @@
                 break;
             };
             let id = proposal.id;
-            self.reached.lost_proposals += 1;
-            self.note(|| format!("loses {id}"));
-            let after_ms = self.random.below(RECORD_MS);
-            self.settle(id, RecordOutcome::NotRecorded, after_ms);
+            self.coverage.lost_proposals += 1;
+            self.trace_event(|| format!("loses {id}"));
+            let after_ms = self.random.below(PROPOSAL_TIMEOUT_MS);
+            self.resolve(id, RecordOutcome::NotRecorded, after_ms);
         }
         const LATE_RESULT_MS: u64 = 300;
         self.commit(u64::MAX, LATE_RESULT_MS);
@@ -377,28 +386,28 @@
         self.record.take_events();
         let (term, now_ms) = (self.term, self.now_ms);
         let mut dispatcher = Dispatcher::new(self.fleet().timing, term, now_ms, &self.record);
-        if gap_ms > SHORT_GAP_MS {
+        if gap_ms > OUTDATED_INFO_GAP_MS {
             dispatcher = dispatcher.with_outdated_worker_info();
         }
-        self.note(|| format!("core{core} leads in term {term}"));
+        self.trace_event(|| format!("core{core} leads in term {term}"));
         self.leader = Some(Leader {
             core,
             term,
             dispatcher,
             planner: Planner::new(),
-            planning: false,
+            plan_pending: false,
             plan_due: true,
             planned_ms: 0,
-            plan_from_ms: 0,
+            next_plan_ms: 0,
             swept_ms: 0,
-            turn_ms: now_ms,
+            next_turn_ms: now_ms,
             stalled_until_ms: 0,
             deposed: None,
         });
         self.push(now_ms, Event::Turn { term });
     }
 
-    /// What the leader knows of a job, and of the workers that the record has runs of it on.
+    /// Describes what the leader knows of a job and of the workers on which runs of it are recorded.
     pub fn explain(&self, job: JobId) -> String {
         let Some(leader) = &self.leader else {
             return "no leader".to_owned();
@@ -408,8 +417,8 @@
         let dispatcher = &leader.dispatcher;
         let report = leader.planner.explain(times, &self.record, dispatcher, job);
         let mut lines = vec![format!(
-            "term {}, planning {}, plan due {}, planned at {}",
-            leader.term, leader.planning, leader.plan_due, leader.planned_ms
+            "term {}, plan pending {}, plan due {}, planned at {}",
+            leader.term, leader.plan_pending, leader.plan_due, leader.planned_ms
         )];
         if let Some(job) = self.record.job(job) {
             let specs = job.spec.steps.iter().cycle();
@@ -426,21 +435,21 @@
         for worker in self.record.workers() {
             let target = dispatcher.view(&worker.info.id);
             let runs = worker.runs.keys();
-            let own: Vec<String> = runs
+            let job_runs: Vec<String> = runs
                 .filter(|run| run.task.step.job == job)
                 .map(|run| {
                     let run_state = target.and_then(|target| target.runs.get(run));
                     format!("{run}: {run_state:?}")
                 })
                 .collect();
-            if own.is_empty() {
+            if job_runs.is_empty() {
                 continue;
             }
             let target = target.map(|target| Target {
                 runs: BTreeMap::new(),
                 ..target.clone()
             });
-            lines.push(format!("{}: {own:?}, {target:?}", worker.info.id));
+            lines.push(format!("{}: {job_runs:?}, {target:?}", worker.info.id));
         }
         let usable = |worker: &&Worker| {
             let target = dispatcher.view(&worker.info.id);
@@ -454,7 +463,7 @@
         };
         let unusable = self.record.workers().filter(|worker| !usable(worker));
         let unusable: Vec<String> = unusable.map(|worker| worker.info.id.to_string()).collect();
-        lines.push(format!("not usable: {unusable:?}"));
+        lines.push(format!("unusable workers: {unusable:?}"));
         for (other, _) in self.record.active_jobs() {
             let report = leader
                 .planner
@@ -465,7 +474,7 @@
                 };
                 if !matches!(wait, WaitReason::EarlierSteps { .. }) {
                     lines.push(format!(
-                        "waits too: {}, {} tasks, {wait:?}",
+                        "also waits: {}, {} tasks, {wait:?}",
                         step.step, step.tasks
                     ));
                 }
@@ -474,7 +483,7 @@
         lines.join("\n")
     }
 
-    /// Whether a gang has ended in part, as its workers or the record know it.
+    /// Returns whether a gang has ended in part, according to its workers or to the record.
     fn has_broken_gangs(&self) -> bool {
         let mut jobs = self.record.active_jobs();
         self.gangs.is_breaking()
@@ -488,8 +497,8 @@
             })
     }
 
-    /// The leader wants all runs of a job to end.
-    pub fn give_up(&mut self, job: usize) {
+    /// The leader stops all runs of a job.
+    pub fn stop_job_runs(&mut self, job: usize) {
         let Some(id) = self.jobs.get(job) else {
             return;
         };
--- a/crates/bh-workload/tests/delays/load.rs
+++ b/crates/bh-workload/tests/delays/load.rs
@@ -1,14 +1,14 @@
-//! What is handed in at a site.
+//! Kinds of load on a site.
 
-/// What is handed in.
+/// Which jobs are submitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Load {
-    /// Jobs of one rank and two steps.
-    Plain,
-    /// Jobs of all ranks, in two data centres, on workers that are smaller: few tasks each, for which there is room at once.
-    Narrow,
-    /// The same and wide gangs, which wait for room.
-    Mixed,
-    /// The same, and some are slower outside a rack of their own.
-    Racks,
+    /// Jobs of one priority with two steps each.
+    Uniform,
+    /// Jobs of all priorities, in two data centres, on smaller workers. Steps have few tasks, for which there is free capacity at once.
+    SmallJobs,
+    /// As `SmallJobs`, and large gangs, which wait for free capacity.
+    LargeGangs,
+    /// As `LargeGangs`, and some jobs are slower outside one rack.
+    RackAffinity,
 }
--- a/crates/bh-workload/tests/delays/log.rs
+++ b/crates/bh-workload/tests/delays/log.rs
@@ -1,4 +1,4 @@
-//! The record's log: proposals that wait to be committed.
+//! Log of the record: proposals that wait to be committed.
 
 use bh_protocol::Incarnation;
 use bh_workload::state::Command;
@@ -6,19 +6,19 @@
 use std::collections::BTreeSet;
 use std::collections::VecDeque;
 
-/// What whoever proposed a command is waiting for.
+/// A proposal whose proposer does not know the outcome yet.
 #[derive(Clone, Debug)]
-pub struct Waiting {
-    /// Core that proposed it.
+pub struct PendingResult {
+    /// Core that made the proposal.
     pub core: usize,
-    /// Term in which it did.
+    /// Term in which the core made the proposal.
     pub term: u64,
-    /// Workers of which it holds ends.
+    /// Workers whose runs' ends the proposal holds.
     pub workers: BTreeSet<Incarnation>,
-    /// Up to which end a worker's report led to it, if one did.
+    /// Number of the last end in the worker's report that led to the proposal, if a report did.
     pub listed_to: Option<u64>,
-    /// Whether it holds starts.
-    pub starts: bool,
+    /// Whether the proposal holds starts.
+    pub has_starts: bool,
 }
 
 /// A proposal that is not committed yet.
@@ -28,24 +28,25 @@
     pub command: Command,
 }
 
-/// Proposals in their order, and who waits for them.
+/// Proposals in their order, and the proposers that wait for their outcomes.
 #[derive(Default)]
 pub struct Log {
     pub pending: VecDeque<Proposal>,
-    /// Those whose proposers have no result yet. One that has waited for too long has one though its command is still pending.
-    pub waiting: BTreeMap<u64, Waiting>,
+    /// Proposals whose proposers have no outcome yet. After a timeout the proposer has one, though the command may still be pending.
+    pub unresolved: BTreeMap<u64, PendingResult>,
     next_id: u64,
 }
 
 impl Log {
-    /// Notes who waits for a new proposal; returns its number.
-    pub fn wait(&mut self, waiting: Waiting) -> u64 {
+    /// Registers the proposer of a new proposal; returns the proposal's number.
+    pub fn register(&mut self, pending: PendingResult) -> u64 {
         self.next_id += 1;
-        self.waiting.insert(self.next_id, waiting);
+        self.unresolved.insert(self.next_id, pending);
         self.next_id
     }
 
-    /// Appends a command that is committed at `commit_ms` at the earliest, and not before those ahead of it; returns when that is.
+    /// Appends a command that is committed at `commit_ms` at the earliest, and not before those ahead of it; returns the time of the
+    /// commit.
     pub fn append(&mut self, id: u64, commit_ms: u64, command: Command) -> u64 {
         let ahead_ms = self.pending.back().map_or(0, |last| last.commit_ms);
         let commit_ms = commit_ms.max(ahead_ms);
@@ -57,7 +58,7 @@
         commit_ms
     }
 
-    /// Whether ends wait to be committed.
+    /// Returns whether ends wait to be committed.
     pub fn holds_ends(&self) -> bool {
         let mut pending = self.pending.iter();
         pending.any(|proposal| matches!(proposal.command, Command::Ends { .. }))
--- a/crates/bh-workload/tests/delays/site.rs
+++ b/crates/bh-workload/tests/delays/site.rs
@@ -1,21 +1,21 @@
-//! The site: its clock, its workers, and what is on its way.
+//! The simulated site: its clock, its workers, and the events to come.
 
+use super::coverage::Coverage;
 use super::event::Event;
 use super::faults::Case;
 use super::faults::Fault;
-use super::faults::MOST_HELD_MS;
+use super::faults::MAX_DELAY_MS;
 use super::fleet::Fleet;
 use super::gangs::Gangs;
 use super::history::Finding;
 use super::history::History;
 use super::history::Rule;
+use super::job_draft;
 use super::leader::Leader;
 use super::log::Log;
-use super::network::WaitingLook;
-use super::reached::Reached;
-use super::stands::Stands;
-use super::stands::Stretch;
-use super::work;
+use super::network::WaitingProbe;
+use super::stalls::StallDuration;
+use super::stalls::Stalls;
 use crate::support;
 use crate::support::FAR;
 use crate::support::START_WALL_MS;
@@ -44,96 +44,96 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Time between looks at the workers' own doings, in milliseconds.
+/// Time between steps in which the workers' own work advances, in milliseconds.
 const TICK_MS: u64 = 10;
 /// Time between a worker's heartbeats, in milliseconds.
 const HEARTBEAT_MS: u64 = 1_500;
-/// Time for which the site goes on after the last fault at least, in milliseconds: what was held up arrives.
-const CALM_MS: u64 = 4_000;
-/// By then everything must have ended: the last fault, the longest lease and several attempts after it.
-const END_MS: u64 = 140_000;
+/// Shortest time that the site runs after the last fault or submission, in milliseconds: long enough for delayed messages to arrive.
+const SETTLE_MS: u64 = 4_000;
+/// Time by which every job must have ended, in milliseconds: after the last fault there is time for the longest lease and several attempts.
+const MAX_DURATION_MS: u64 = 140_000;
 
-/// A site.
+/// A simulated site.
 pub struct Site<'a> {
     pub case: &'a Case,
     pub random: Random,
     pub now_ms: u64,
     pub workers: Vec<ModelWorker>,
-    lives: Vec<usize>,
+    restart_counts: Vec<usize>,
     addresses: Vec<SocketAddr>,
-    /// Ends that each worker has not forgotten, as they were.
-    pub listed: Vec<Vec<(u64, RunId, EndKind)>>,
-    /// What is committed.
+    /// Ends that each worker has not forgotten, with their true kinds.
+    pub listed_ends: Vec<Vec<(u64, RunId, EndKind)>>,
+    /// The record, with everything that is committed.
     pub record: Workload,
-    /// Ends that are committed: worker, run, how it ended.
-    pub recorded: BTreeSet<(String, RunId, EndKind)>,
+    /// Committed ends: worker, run, and how it ended.
+    pub recorded_ends: BTreeSet<(String, RunId, EndKind)>,
     pub log: Log,
     pub leader: Option<Leader>,
-    /// One that gives orders though another was elected.
+    /// A deposed leader that still gives orders.
     pub deposed: Option<Leader>,
     pub term: u64,
     events: BTreeMap<(u64, u64, u64), Event>,
     next_event: u64,
-    /// Orders without an answer so far.
+    /// Orders without an answer so far, by call.
     pub calls: BTreeMap<u64, Order>,
     pub next_call: u64,
     /// Calls whose order was sent twice.
-    pub repeated: BTreeSet<u64>,
-    pub looks: Vec<WaitingLook>,
+    pub resent_calls: BTreeSet<u64>,
+    pub waiting_probes: Vec<WaitingProbe>,
     pub jobs: Vec<JobId>,
     pub history: History,
     pub gangs: Gangs,
-    pub stands: Stands,
-    /// Runs that a later incarnation began by an order for an earlier one.
-    pub misdelivered: BTreeSet<RunId>,
+    pub stalls: Stalls,
+    /// Runs that a later incarnation started by an order for an earlier one.
+    pub misdelivered_runs: BTreeSet<RunId>,
     rules_version: u64,
-    pub reached: Reached,
-    /// Faults whose stall in a turn has been used up.
-    used: BTreeSet<usize>,
+    pub coverage: Coverage,
+    /// Indices of the faults whose stall within a turn has occurred.
+    used_stalls: BTreeSet<usize>,
     trace: Option<Vec<(u64, String)>>,
 }
 
-/// Runs a case; returns how often it came to what it is for.
-pub fn reached(case: &Case) -> Reached {
+/// Runs a case; returns its coverage.
+pub fn coverage(case: &Case) -> Coverage {
     let mut site = Site::new(case, false);
     site.run();
-    site.all_reached()
+    site.total_coverage()
 }
 
-/// Runs a case; returns how often it came to what it is for, and for how long jobs stood still in it.
-pub fn stretches(case: &Case) -> (Reached, Vec<Stretch>) {
+/// Runs a case; returns its coverage and the durations of its stalls.
+pub fn stall_durations(case: &Case) -> (Coverage, Vec<StallDuration>) {
     let mut site = Site::new(case, false);
     site.run();
-    (site.all_reached(), site.stands.over)
+    (site.total_coverage(), site.stalls.ended)
 }
 
-/// Runs a case; returns what it broke.
+/// Runs a case; returns the rules that it broke.
 pub fn findings(case: &Case) -> Vec<Finding> {
     let mut site = Site::new(case, false);
     site.run();
     site.history.findings
 }
 
-/// Runs a case once more; returns what happened around the task of a finding, and to the record and the leader shortly before.
+/// Runs a case again; returns the events of the task of a finding, and those of the record and the leader shortly before the finding.
 pub fn trace(case: &Case, finding: &Finding) -> String {
-    const BEFORE_MS: u64 = 600;
+    const TRACED_BEFORE_MS: u64 = 600;
     let mut site = Site::new(case, true);
     site.run();
     let name = finding.task.map(|task| match case.gangs {
         true => format!("{}.", task.step),
         false => task.to_string(),
     });
-    let is_near = |at_ms: u64| (at_ms..at_ms + BEFORE_MS).contains(&finding.at_ms);
-    let is_told = |(at_ms, text): &(u64, String)| {
+    let is_shortly_before = |at_ms: u64| (at_ms..at_ms + TRACED_BEFORE_MS).contains(&finding.at_ms);
+    let is_relevant = |(at_ms, text): &(u64, String)| {
         if *at_ms > finding.at_ms {
             return false;
         }
-        let general = ["core", "fault", "commits", "loses"];
-        is_near(*at_ms) && general.iter().any(|word| text.starts_with(word))
+        let prefixes = ["core", "fault", "commits", "loses"];
+        is_shortly_before(*at_ms) && prefixes.iter().any(|prefix| text.starts_with(prefix))
             || name.as_ref().is_some_and(|name| text.contains(name))
     };
     let lines = site.trace.unwrap_or_default();
-    let lines = lines.iter().filter(|line| is_told(line));
+    let lines = lines.iter().filter(|line| is_relevant(line));
     let lines: Vec<String> = lines
         .map(|(at_ms, text)| format!("{at_ms:>6} {text}"))
         .collect();
@@ -142,20 +142,20 @@
 
 impl<'a> Site<'a> {
     fn new(case: &'a Case, traced: bool) -> Self {
-        let slots = case.fleet.workers;
-        let workers = (0..slots).map(|index| worker(case, index, 0, 0));
+        let vm_count = case.fleet.workers;
+        let workers = (0..vm_count).map(|index| worker(case, index, 0, 0));
         let workers = workers.collect();
-        let addresses = (0..slots).map(|index| worker_info(index, 1).address);
+        let addresses = (0..vm_count).map(|index| worker_info(index, 1).address);
         let mut site = Self {
             case,
             random: Random::new(case.seed),
             now_ms: 0,
             workers,
-            lives: vec![0; slots],
+            restart_counts: vec![0; vm_count],
             addresses: addresses.collect(),
-            listed: vec![Vec::new(); slots],
+            listed_ends: vec![Vec::new(); vm_count],
             record: Workload::default(),
-            recorded: BTreeSet::new(),
+            recorded_ends: BTreeSet::new(),
             log: Log::default(),
             leader: None,
             deposed: None,
@@ -164,107 +164,110 @@
             next_event: 0,
             calls: BTreeMap::new(),
             next_call: 0,
-            repeated: BTreeSet::new(),
-            looks: Vec::new(),
+            resent_calls: BTreeSet::new(),
+            waiting_probes: Vec::new(),
             jobs: Vec::new(),
             history: History::default(),
             gangs: Gangs::default(),
-            stands: Stands::default(),
-            misdelivered: BTreeSet::new(),
+            stalls: Stalls::default(),
+            misdelivered_runs: BTreeSet::new(),
             rules_version: 1,
-            reached: Reached::default(),
-            used: BTreeSet::new(),
+            coverage: Coverage::default(),
+            used_stalls: BTreeSet::new(),
             trace: traced.then(Vec::new),
         };
         site.record
             .apply(Command::SetRules(Box::new(support::rules(1))));
-        for index in 0..slots {
+        for index in 0..vm_count {
             let known = WorkerChange::Known(site.info(index));
             site.record.apply(Command::Workers(vec![known]));
             let at_ms = site.random.below(HEARTBEAT_MS);
-            site.push(at_ms, Event::Heartbeat { index });
+            site.push(at_ms, Event::SendHeartbeat { index });
         }
-        for job in 1..=case.fleet.jobs {
+        for job in 1..=case.fleet.job_count {
             let at_ms = site.random.below(case.fleet.submit_ms);
             site.push(at_ms, Event::Submit { job });
         }
         for (index, (at_ms, _)) in case.faults.iter().enumerate() {
             site.push(*at_ms, Event::Fault { index });
         }
-        site.take_office(0, 0, 0);
+        site.elect(0, 0, 0);
         site
     }
 
-    fn all_reached(&self) -> Reached {
-        let (begins, begun_again) = self.history.begins();
+    fn total_coverage(&self) -> Coverage {
+        let (starts, restarts) = self.history.count_starts();
         let lapses: u64 = self.workers.iter().map(|worker| worker.lapses).sum();
-        Reached {
-            begins,
-            begun_again,
+        Coverage {
+            starts,
+            restarts,
             lapses: usize::try_from(lapses).unwrap(),
-            noted_done: self.history.noted(EndKind::Done),
-            noted_failed: self.history.noted(EndKind::Failed),
-            ..self.reached
+            acknowledged_done: self.history.count_acknowledged(EndKind::Done),
+            acknowledged_failed: self.history.count_acknowledged(EndKind::Failed),
+            ..self.coverage
         }
     }
 
-    /// Notes what happened, for a run that is traced.
-    pub fn note(&mut self, text: impl FnOnce() -> String) {
+    /// Adds an event to the trace, if the run is traced.
+    pub fn trace_event(&mut self, text: impl FnOnce() -> String) {
         if let Some(trace) = &mut self.trace {
             trace.push((self.now_ms, text()));
         }
     }
 
-    /// Has something happen at a time.
+    /// Schedules an event.
     pub fn push(&mut self, at_ms: u64, event: Event) {
         self.next_event += 1;
         self.events.insert((at_ms, 0, self.next_event), event);
     }
 
-    /// Puts off something until the leader has its processor back: what has waited is then found in any order.
-    fn put_off(&mut self, at_ms: u64, event: Event) {
-        const ORDERS: u64 = 1_000;
+    /// Postpones an event to `at_ms`, when the leader has its processor back. The postponed events then happen in random order.
+    fn postpone(&mut self, at_ms: u64, event: Event) {
+        const ORDER_VALUES: u64 = 1_000;
         self.next_event += 1;
-        let order = self.random.below(ORDERS);
+        let order = self.random.below(ORDER_VALUES);
         self.events.insert((at_ms, order, self.next_event), event);
     }
 
-    /// Whether something with this chance happens, in percent.
+    /// Returns whether something with this chance, in percent, happens.
     pub fn chance(&mut self, percent: u64) -> bool {
         percent > 0 && self.random.below(100) < percent
     }
 
-    /// The largest share in percent among the faults of a kind that go on now.
+    /// Returns the largest share, in percent, among the active faults that `of` selects by share and duration.
     pub fn percent(&self, of: impl Fn(&Fault) -> Option<(u64, u64)>) -> u64 {
         let now_ms = self.now_ms;
         let shares = self.case.faults.iter().filter_map(|(at_ms, fault)| {
-            let (percent, for_ms) = of(fault)?;
-            (now_ms >= *at_ms && now_ms < at_ms + for_ms).then_some(percent)
+            let (percent, duration_ms) = of(fault)?;
+            (now_ms >= *at_ms && now_ms < at_ms + duration_ms).then_some(percent)
         });
         shares.max().unwrap_or(0)
     }
 
-    /// Whether a worker is cut off.
-    pub fn is_cut(&self, index: usize) -> bool {
+    /// Returns whether a worker is cut off.
+    pub fn is_disconnected(&self, index: usize) -> bool {
         let percent = self.percent(|fault| match fault {
-            Fault::Cut { worker, for_ms } if *worker == index => Some((100, *for_ms)),
+            Fault::Disconnect {
+                worker,
+                duration_ms,
+            } if *worker == index => Some((100, *duration_ms)),
             _ => None,
         });
         percent > 0
     }
 
-    /// Where a worker that lives is.
+    /// Returns the index of a worker that is up.
     pub fn index_of(&self, id: &Incarnation) -> Option<usize> {
         self.workers.iter().position(|worker| worker.id == *id)
     }
 
-    /// Where a later incarnation of a worker is.
-    pub fn later_of(&self, id: &Incarnation) -> Option<usize> {
+    /// Returns the index of another incarnation of a worker.
+    pub fn later_incarnation_of(&self, id: &Incarnation) -> Option<usize> {
         let mut workers = self.workers.iter();
         workers.position(|worker| worker.id.is_other_incarnation(id))
     }
 
-    /// The machine that an order goes to, whoever lives there.
+    /// Returns the index of the VM that an order goes to, whichever incarnation is there.
     pub fn slot_of(&self, order: &Order) -> usize {
         let mut addresses = self.addresses.iter();
         addresses
@@ -272,17 +275,17 @@
             .unwrap()
     }
 
-    /// How long the leader loses its processor within this turn, in milliseconds.
+    /// Returns how long the leader stalls within this turn, in milliseconds.
     pub fn stall_in_turn_ms(&mut self) -> u64 {
         for (index, (at_ms, fault)) in self.case.faults.iter().enumerate() {
             if let Fault::Stall {
-                for_ms,
+                duration_ms,
                 in_turn: true,
             } = fault
                 && self.now_ms >= *at_ms
-                && self.used.insert(index)
+                && self.used_stalls.insert(index)
             {
-                return *for_ms;
+                return *duration_ms;
             }
         }
         0
@@ -292,10 +295,10 @@
         &self.case.fleet
     }
 
-    /// What a worker says of itself.
+    /// Returns what a worker reports about itself.
     pub fn info(&self, index: usize) -> WorkerInfo {
         let fleet = self.fleet();
-        let mut info = worker_info(index, fleet.per_rack);
+        let mut info = worker_info(index, fleet.workers_per_rack);
         info.id = self.workers[index].id.clone();
         if fleet.is_mixed() {
             info.capacity = Resources {
@@ -312,7 +315,7 @@
 
     fn run(&mut self) {
         let mut tick_ms = 0;
-        while self.now_ms < END_MS && !self.is_over() {
+        while self.now_ms < MAX_DURATION_MS && !self.is_finished() {
             let next_ms = self
                 .events
                 .first_key_value()
@@ -321,21 +324,21 @@
             if self.now_ms == tick_ms {
                 tick_ms += TICK_MS;
             }
-            self.pass();
+            self.advance_workers();
             if self.case.gangs {
-                self.pass_gangs();
-                self.pass();
+                self.advance_gangs();
+                self.advance_workers();
             }
-            self.answer_looks();
+            self.answer_due_probes();
             if self.fleet().is_mixed() {
-                self.look_at_stands();
+                self.check_stalls();
             }
             while let Some(entry) = self.events.first_entry() {
                 if entry.key().0 > self.now_ms {
                     break;
                 }
                 let event = entry.remove();
-                self.pass();
+                self.advance_workers();
                 self.handle(event);
             }
         }
@@ -351,110 +354,123 @@
                 });
             }
         }
-        self.history.check_begins();
+        self.history.check_starts();
     }
 
-    fn is_over(&self) -> bool {
+    fn is_finished(&self) -> bool {
         let last_ms = self.case.faults.iter().map(|(at_ms, _)| *at_ms).max();
-        self.now_ms > last_ms.unwrap_or(0).max(self.fleet().submit_ms) + CALM_MS
+        self.now_ms > last_ms.unwrap_or(0).max(self.fleet().submit_ms) + SETTLE_MS
             && self.record.active_jobs().next().is_none()
     }
 
-    /// Lets time pass for the workers.
-    fn pass(&mut self) {
+    /// Lets leases run out, stops take effect and runs finish on the workers; records the new ends.
+    fn advance_workers(&mut self) {
         let now_ms = self.now_ms;
         for index in 0..self.workers.len() {
             let worker = &mut self.workers[index];
             worker.pass(now_ms);
-            let known = self.listed[index].last().map_or(0, |end| end.0);
+            let known = self.listed_ends[index].last().map_or(0, |end| end.0);
             let newer = worker.ended.iter().filter(|end| end.number > known);
             let newer: Vec<_> = newer.map(|end| (end.number, end.run, end.kind)).collect();
             let (id, lapses) = (worker.id.clone(), worker.lapses);
             for end in newer {
                 let is_gang = self.is_gang(end.1.task.step);
                 let context = (lapses, is_gang);
-                if self.history.note_end(now_ms, &id.to_string(), end, context) {
-                    self.listed[index].push(end);
-                    self.note(|| format!("{id} ends {} as {:?}, number {}", end.1, end.2, end.0));
+                if self
+                    .history
+                    .record_end(now_ms, &id.to_string(), end, context)
+                {
+                    self.listed_ends[index].push(end);
+                    self.trace_event(|| {
+                        format!("{id} ends {} as {:?}, number {}", end.1, end.2, end.0)
+                    });
                 }
             }
         }
     }
 
     fn handle(&mut self, event: Event) {
-        if let Some(at_ms) = self.put_off_until_ms(&event) {
-            self.put_off(at_ms, event);
+        if let Some(at_ms) = self.postponed_until_ms(&event) {
+            self.postpone(at_ms, event);
             return;
         }
         match event {
             Event::Submit { job } => self.submit(job),
-            Event::Fault { index } => self.begin_fault(index),
+            Event::Fault { index } => self.start_fault(index),
             Event::FaultEnds { index } => self.end_fault(index),
-            Event::Heartbeat { index } => self.heartbeat(index),
-            Event::Hear {
+            Event::SendHeartbeat { index } => self.send_heartbeat(index),
+            Event::ReadHeartbeat {
                 term,
                 info,
                 clock_ms,
-            } => self.hear(term, &info, clock_ms),
+            } => self.read_heartbeat(term, &info, clock_ms),
             Event::Turn { term } => self.turn(term),
-            Event::Send { order } => self.send(order),
-            Event::Arrive { call, order, way } => self.arrive(call, order, way),
-            Event::Answer { call, answer, .. } => self.answer(call, answer),
-            Event::Read {
+            Event::SendOrder { order } => self.send(order),
+            Event::OrderArrives {
+                call,
+                order,
+                delivery,
+            } => self.deliver(call, order, delivery),
+            Event::AnswerArrives { call, answer, .. } => self.receive_answer(call, answer),
+            Event::ReadAnswer {
                 order,
                 answer,
                 repeated,
             } => self.read_answer(&order, &answer, repeated),
-            Event::Timeout { call } => self.give_up_call(call),
+            Event::CallTimeout { call } => self.time_out_call(call),
             Event::Commit if self.leader.is_some() => self.commit(self.now_ms, 2),
             Event::Commit => {}
-            Event::RecordTimeout { id } => self.settle(id, RecordOutcome::Unknown, 0),
-            Event::Result {
+            Event::ProposalTimeout { id } => self.resolve(id, RecordOutcome::Unknown, 0),
+            Event::ProposalResult {
                 id,
-                waiting,
+                pending,
                 outcome,
-            } => self.take_result(id, &waiting, outcome),
-            Event::Depose { index, by_ms } => self.depose_in_time(index, by_ms),
+            } => self.read_outcome(id, &pending, outcome),
+            Event::Depose { index, by_ms } => self.depose_when_due(index, by_ms),
             Event::StepDown { term } => {
                 self.deposed.take_if(|leader| leader.term == term);
             }
-            Event::TakeOffice { core, lost, gap_ms } => self.take_office(core, lost, gap_ms),
+            Event::Elect { core, lost, gap_ms } => self.elect(core, lost, gap_ms),
         }
     }
 
-    /// Until when something has to wait, for want of a processor or of a disk.
-    fn put_off_until_ms(&mut self, event: &Event) -> Option<u64> {
+    /// Returns until when an event has to wait because its core is stalled or no proposal can be committed.
+    fn postponed_until_ms(&mut self, event: &Event) -> Option<u64> {
         let term = match event {
-            Event::Hear { term, .. } | Event::Turn { term } | Event::Answer { term, .. } => *term,
-            Event::Read { order, .. } => order.token,
-            Event::Timeout { call } => self.calls.get(call)?.token,
-            Event::Result { waiting, .. } => {
+            Event::ReadHeartbeat { term, .. }
+            | Event::Turn { term }
+            | Event::AnswerArrives { term, .. } => *term,
+            Event::ReadAnswer { order, .. } => order.token,
+            Event::CallTimeout { call } => self.calls.get(call)?.token,
+            Event::ProposalResult { pending, .. } => {
                 let leaders = self.leader.iter().chain(&self.deposed);
-                let mut own = leaders.filter(|leader| leader.core == waiting.core);
-                own.next()?.term
+                let mut proposers = leaders.filter(|leader| leader.core == pending.core);
+                proposers.next()?.term
             }
-            Event::RecordTimeout { id } => self.log.waiting.get(id)?.term,
-            Event::Commit => return self.stuck_until_ms(),
+            Event::ProposalTimeout { id } => self.log.unresolved.get(id)?.term,
+            Event::Commit => return self.commits_stuck_until_ms(),
             _ => return None,
         };
         self.stalled_until_ms(term)
     }
 
-    /// Until when nothing is committed.
-    fn stuck_until_ms(&self) -> Option<u64> {
+    /// Returns until when nothing is committed.
+    fn commits_stuck_until_ms(&self) -> Option<u64> {
         let now_ms = self.now_ms;
         let stuck = self
             .case
             .faults
             .iter()
             .filter_map(|(at_ms, fault)| match fault {
-                Fault::StuckRecords { for_ms } if now_ms >= *at_ms => Some(at_ms + for_ms),
+                Fault::StuckRecords { duration_ms } if now_ms >= *at_ms => {
+                    Some(at_ms + duration_ms)
+                }
                 _ => None,
             });
         stuck.max().filter(|until_ms| now_ms < *until_ms)
     }
 
-    /// A job of a step of tasks and another one after it.
+    /// Submits a job of a step with several tasks and a second step after it.
     fn submit(&mut self, job: u64) {
         let id = JobId(job);
         if self.fleet().is_mixed() {
@@ -484,35 +500,38 @@
     }
 
     fn submit_mixed(&mut self, id: JobId) {
-        let work = work::draw(&mut self.random, &self.case.fleet);
+        let draft = job_draft::draw_job(&mut self.random, &self.case.fleet);
         let reply = self.record.apply(Command::Accept {
-            place: place(work.priority, work.customer, id),
+            place: place(draft.priority, draft.customer, id),
             spec: JobSpec {
                 text: Arc::from("text"),
-                steps: work.steps,
+                steps: draft.steps,
                 schedule: None,
             },
             now_ms: START_WALL_MS + self.now_ms,
         });
-        // Its queue may not be in the rules now.
+        // The job is refused while its queue is not in the rules.
         if reply == Reply::Done {
             self.jobs.push(id);
             self.wake(self.term);
         }
     }
 
-    /// Puts rules in force as the faults that go on now have them.
+    /// Sets the rules that the active faults call for.
     fn change_rules(&mut self) {
         self.rules_version += 1;
         let mut rules = support::rules(self.rules_version);
         let now_ms = self.now_ms;
         for (at_ms, fault) in &self.case.faults {
-            let goes_on = |for_ms: &u64| now_ms >= *at_ms && now_ms < at_ms + for_ms;
+            let is_active = |duration_ms: &u64| now_ms >= *at_ms && now_ms < at_ms + duration_ms;
             match fault {
-                Fault::NoQueue { priority, for_ms } if goes_on(for_ms) => {
+                Fault::MissingQueue {
+                    priority,
+                    duration_ms,
+                } if is_active(duration_ms) => {
                     rules.queues.retain(|queue| queue.priority != *priority);
                 }
-                Fault::FewerAttempts { for_ms } if goes_on(for_ms) => {
+                Fault::FewerAttempts { duration_ms } if is_active(duration_ms) => {
                     for queue in &mut rules.queues {
                         Arc::make_mut(queue).max_attempts = 1;
                     }
@@ -528,47 +547,47 @@
     fn end_fault(&mut self, index: usize) {
         self.disturb(self.now_ms);
         let (_, fault) = &self.case.faults[index];
-        self.note(|| format!("fault ends: {fault:?}"));
+        self.trace_event(|| format!("fault ends: {fault:?}"));
         match fault {
             Fault::Evacuation { far, .. } => {
                 let data_centre = Arc::from(data_centre(*far));
                 self.record.apply(Command::EndEvacuation { data_centre });
                 self.wake(self.term);
             }
-            Fault::NoQueue { .. } | Fault::FewerAttempts { .. } => self.change_rules(),
+            Fault::MissingQueue { .. } | Fault::FewerAttempts { .. } => self.change_rules(),
             _ => {}
         }
     }
 
-    fn begin_fault(&mut self, index: usize) {
+    fn start_fault(&mut self, index: usize) {
         let fault = self.case.faults[index].1.clone();
-        self.note(|| format!("fault {fault:?}"));
-        self.disturb(self.now_ms + fault.disturbs_ms());
-        if let Some(for_ms) = fault.lasts_ms() {
-            self.push(self.now_ms + for_ms, Event::FaultEnds { index });
+        self.trace_event(|| format!("fault starts: {fault:?}"));
+        self.disturb(self.now_ms + fault.disturbance_ms());
+        if let Some(duration_ms) = fault.timed_duration_ms() {
+            self.push(self.now_ms + duration_ms, Event::FaultEnds { index });
         }
         match fault {
-            Fault::Reborn { worker } => self.reborn(worker),
-            Fault::CrashInGang => {
-                if let Some(worker) = self.worker_of_gang() {
-                    self.reborn(worker);
+            Fault::Restart { worker } => self.restart_worker(worker),
+            Fault::CrashGangMember => {
+                if let Some(worker) = self.random_gang_worker() {
+                    self.restart_worker(worker);
                 }
             }
-            Fault::Leader { .. } => {
+            Fault::ReplaceLeader { .. } => {
                 let by_ms = self.now_ms + 1_000;
                 self.push(self.now_ms, Event::Depose { index, by_ms });
             }
             Fault::Stall {
-                for_ms,
+                duration_ms,
                 in_turn: false,
             } => {
-                let until_ms = self.now_ms + for_ms;
+                let until_ms = self.now_ms + duration_ms;
                 if let Some(leader) = &mut self.leader {
                     leader.stalled_until_ms = leader.stalled_until_ms.max(until_ms);
                 }
-                self.note(|| format!("leader stalls for {for_ms} ms"));
+                self.trace_event(|| format!("leader stalls for {duration_ms} ms"));
             }
-            Fault::GiveUp { job } => self.give_up(job),
+            Fault::StopRuns { job } => self.stop_job_runs(job),
             Fault::Evacuation { far, .. } => {
                 self.record.apply(Command::Evacuate {
                     data_centre: Arc::from(data_centre(far)),
@@ -576,15 +595,15 @@
                 });
                 self.wake(self.term);
             }
-            Fault::NoQueue { .. } | Fault::FewerAttempts { .. } => self.change_rules(),
+            Fault::MissingQueue { .. } | Fault::FewerAttempts { .. } => self.change_rules(),
             _ => {}
         }
     }
 
-    fn depose_in_time(&mut self, index: usize, by_ms: u64) {
+    fn depose_when_due(&mut self, index: usize, by_ms: u64) {
         if self.now_ms < by_ms && !self.log.holds_ends() {
             self.push(self.now_ms + 1, Event::Depose { index, by_ms });
-        } else if let Fault::Leader {
+        } else if let Fault::ReplaceLeader {
             same_core,
             lost,
             gap_ms,
@@ -595,37 +614,40 @@
         }
     }
 
-    fn reborn(&mut self, index: usize) {
-        self.lives[index] += 1;
-        self.workers[index] = worker(self.case, index, self.lives[index], self.now_ms);
-        self.listed[index].clear();
+    fn restart_worker(&mut self, index: usize) {
+        self.restart_counts[index] += 1;
+        self.workers[index] = worker(self.case, index, self.restart_counts[index], self.now_ms);
+        self.listed_ends[index].clear();
     }
 
-    fn heartbeat(&mut self, index: usize) {
+    fn send_heartbeat(&mut self, index: usize) {
         let now_ms = self.now_ms;
-        self.push(now_ms + HEARTBEAT_MS, Event::Heartbeat { index });
-        if self.is_cut(index) {
+        self.push(now_ms + HEARTBEAT_MS, Event::SendHeartbeat { index });
+        if self.is_disconnected(index) {
             return;
         }
         let info = Box::new(self.info(index));
         let clock_ms = self.workers[index].clock_ms(now_ms);
         let late = self.percent(|fault| match fault {
-            Fault::LateHeartbeats { percent, for_ms } => Some((*percent, *for_ms)),
+            Fault::LateHeartbeats {
+                percent,
+                duration_ms,
+            } => Some((*percent, *duration_ms)),
             _ => None,
         });
         if self.chance(late) {
             return;
         }
-        let held_ms = if self.chance(late) {
-            self.random.below(MOST_HELD_MS)
+        let delay_ms = if self.chance(late) {
+            self.random.below(MAX_DELAY_MS)
         } else {
             0
         };
         let terms = self.leader.iter().chain(&self.deposed);
         if let Some(term) = terms.map(|leader| leader.term).next() {
             self.push(
-                now_ms + 1 + held_ms,
-                Event::Hear {
+                now_ms + 1 + delay_ms,
+                Event::ReadHeartbeat {
                     term,
                     info,
                     clock_ms,
@@ -635,21 +657,21 @@
     }
 }
 
-/// The name of one of two data centres.
+/// Returns the name of one of the two data centres.
 fn data_centre(far: bool) -> &'static str {
     if far { FAR } else { "dc" }
 }
 
-/// One life of a worker, which starts at `now_ms`. The clocks of half of them are as slow as is allowed.
-fn worker(case: &Case, index: usize, life: usize, now_ms: u64) -> ModelWorker {
+/// Creates an incarnation of a worker that starts at `now_ms`. The clocks of half of the workers are as slow as the protocol allows.
+fn worker(case: &Case, index: usize, restart_count: usize, now_ms: u64) -> ModelWorker {
     let rate = if index.is_multiple_of(2) { 980 } else { 1_000 };
     let id = if case.fleet.is_mixed() {
         format!("w{index:02}@{}", START_WALL_MS + now_ms)
-    } else if life == 0 {
+    } else if restart_count == 0 {
         format!("w{index:02}")
     } else {
-        format!("w{index:02}-{life}")
+        format!("w{index:02}-{restart_count}")
     };
-    let offset_ms = u64::try_from(700 * index + 5_000 * life).unwrap();
+    let offset_ms = u64::try_from(700 * index + 5_000 * restart_count).unwrap();
     ModelWorker::new(worker_id(&id), rate, offset_ms, case.planted)
 }
--- a/crates/bh-workload/tests/delays/telling.rs
+++ b/crates/bh-workload/tests/delays/summary.rs
@@ -1,10 +1,10 @@
-//! Short words for what happens, for the trace of a case that broke a rule.
+//! Short texts of answers and commands, for the trace of a case that broke a rule.
 
 use bh_workload::dispatch::Answer;
 use bh_workload::state::Command;
 
-/// An answer in a few words.
-pub fn of_answer(answer: &Answer) -> String {
+/// Summarizes an answer.
+pub fn summarize_answer(answer: &Answer) -> String {
     let Answer::Done {
         report: Some(report),
         clock_ms,
@@ -22,8 +22,8 @@
     )
 }
 
-/// A command in a few words.
-pub fn of_command(command: &Command) -> String {
+/// Summarizes a command.
+pub fn summarize_command(command: &Command) -> String {
     match command {
         Command::Starts(starts) => {
             let starts = starts.iter();
--- a/crates/bh-workload/tests/fuzz_delays.rs
+++ b/crates/bh-workload/tests/fuzz_delays.rs
@@ -1,5 +1,6 @@
-//! Orders to workers where everything takes time: records that commit late or are lost with their leader, orders and answers that are held up
-//! or read late, orders that are sent twice unseen, leaders that lose the processor. Judged by what the workers began and ended, not by the record.
+//! Fuzz tests of orders to workers where everything takes time: records that commit late or are lost with their leader, orders and answers
+//! that are delayed or read late, orders that are resent without the leader's knowledge, and leaders that stall. The checks use what the
+//! workers started and ended, not the record.
 #![expect(
     clippy::unwrap_used,
     reason = "a test that meets the unexpected shall end"
@@ -9,21 +10,21 @@
 mod support;
 
 use bh_testkit::model_worker::Planted;
-use delays::Reached;
-use delays::Stretch;
+use delays::Coverage;
+use delays::StallDuration;
+use delays::coverage;
 use delays::faults::Case;
 use delays::faults::Fault;
 use delays::faults::case;
 use delays::faults::fault;
-use delays::faults::repeating_fault;
-use delays::faults::series;
-use delays::faults::slow_record;
+use delays::faults::fault_or_resent_order;
+use delays::faults::leader_losses;
+use delays::faults::long_disconnect_or_stuck_record;
 use delays::findings;
 use delays::fleet::Fleet;
 use delays::history::Finding;
 use delays::history::Rule;
 use delays::load::Load;
-use delays::reached;
 use delays::trace;
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
@@ -37,10 +38,10 @@
 
 const SEED: u64 = 20_261_203;
 const CASES: u32 = 300;
-/// Cases of the others for one of a series, which takes as much longer.
-const SERIES_SHARE: u32 = 20;
+/// Number of other cases for each case with a series of leader losses, which takes this much longer.
+const CASES_PER_SERIES: u32 = 20;
 
-/// The configuration of CI, unless `PROPTEST_CASES` or `PROPTEST_RNG_SEED` say otherwise.
+/// Configuration for CI, unless `PROPTEST_CASES` or `PROPTEST_RNG_SEED` override it.
 fn config() -> ProptestConfig {
     let mut config = ProptestConfig {
         failure_persistence: None,
@@ -55,101 +56,107 @@
     config
 }
 
-/// Which cases are run.
+/// Groups of cases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Group {
-    /// Everything takes time.
+    /// All faults of [`fault`].
     Delays,
-    /// Nothing but workers that are cut off and records that take longer than their proposers wait.
-    SlowRecords,
-    /// Orders are sent twice, and the leader hears the second answer.
-    SentTwice,
-    /// Gangs.
+    /// Only workers that are cut off and records that take longer than their proposers wait.
+    DisconnectsAndStuckRecords,
+    /// Also orders that are sent twice, where the leader gets the second answer.
+    ResentOrders,
+    /// The same faults with gangs.
     Gangs,
-    /// Narrow jobs of all ranks, leaders lost in series.
-    Series,
+    /// Small jobs of all priorities, leaders lost one after another.
+    LeaderLosses,
     /// The same in a larger fleet.
-    LargeSeries,
-    /// With wide gangs.
-    WideSeries,
-    /// And with jobs that are slower outside a rack of their own.
-    RackSeries,
+    LeaderLossesLargeFleet,
+    /// Series of leader losses with large gangs.
+    LeaderLossesLargeGangs,
+    /// The same, and jobs that are slower outside one rack.
+    LeaderLossesRackAffinity,
 }
 
 impl Group {
     fn cases(self) -> BoxedStrategy<Case> {
         match self {
             Group::Delays => case(fault()).boxed(),
-            Group::SlowRecords => case(slow_record()).boxed(),
-            Group::SentTwice => case(repeating_fault()).boxed(),
+            Group::DisconnectsAndStuckRecords => case(long_disconnect_or_stuck_record()).boxed(),
+            Group::ResentOrders => case(fault_or_resent_order()).boxed(),
             Group::Gangs => {
                 let gangs = true;
-                let cases = case(repeating_fault());
+                let cases = case(fault_or_resent_order());
                 cases.prop_map(move |case| Case { gangs, ..case }).boxed()
             }
-            Group::Series => series(Fleet::with_load(Load::Narrow, 24, 40)).boxed(),
-            Group::LargeSeries => series(Fleet::with_load(Load::Narrow, 48, 80)).boxed(),
-            Group::WideSeries => series(Fleet::with_load(Load::Mixed, 24, 25)).boxed(),
-            Group::RackSeries => series(Fleet::with_load(Load::Racks, 24, 25)).boxed(),
+            Group::LeaderLosses => leader_losses(Fleet::with_load(Load::SmallJobs, 24, 40)).boxed(),
+            Group::LeaderLossesLargeFleet => {
+                leader_losses(Fleet::with_load(Load::SmallJobs, 48, 80)).boxed()
+            }
+            Group::LeaderLossesLargeGangs => {
+                leader_losses(Fleet::with_load(Load::LargeGangs, 24, 25)).boxed()
+            }
+            Group::LeaderLossesRackAffinity => {
+                leader_losses(Fleet::with_load(Load::RackAffinity, 24, 25)).boxed()
+            }
         }
     }
 
-    /// How many are run.
+    /// Returns the number of cases to run.
     fn count(self, config: &ProptestConfig) -> u32 {
         match self {
-            Group::Series | Group::WideSeries | Group::RackSeries => {
-                config.cases.div_ceil(SERIES_SHARE)
-            }
-            Group::LargeSeries => config.cases.div_ceil(SERIES_SHARE * 2),
+            Group::LeaderLosses
+            | Group::LeaderLossesLargeGangs
+            | Group::LeaderLossesRackAffinity => config.cases.div_ceil(CASES_PER_SERIES),
+            Group::LeaderLossesLargeFleet => config.cases.div_ceil(CASES_PER_SERIES * 2),
             _ => config.cases,
         }
     }
 
-    /// Runs all cases once, whichever test asks first.
-    fn broken(self) -> &'static BTreeMap<Rule, Broken> {
-        static ALL: [OnceLock<BTreeMap<Rule, Broken>>; 8] = [const { OnceLock::new() }; 8];
+    /// Returns the violations of each rule. The first test that asks for a group runs its cases.
+    fn violations(self) -> &'static BTreeMap<Rule, Violations> {
+        static ALL: [OnceLock<BTreeMap<Rule, Violations>>; 8] = [const { OnceLock::new() }; 8];
         ALL[self as usize].get_or_init(|| {
             let config = config();
             let count = self.count(&config);
             let (mut runner, cases) = (TestRunner::new(config), self.cases());
-            let mut broken: BTreeMap<Rule, Broken> = BTreeMap::new();
+            let mut violations: BTreeMap<Rule, Violations> = BTreeMap::new();
             for _ in 0..count {
                 let tree = cases.new_tree(&mut runner).unwrap();
                 let found = findings(&tree.current());
                 let rules: BTreeSet<Rule> = found.iter().map(|finding| finding.rule).collect();
                 for rule in rules {
-                    let of_rule = broken.entry(rule).or_default();
+                    let of_rule = violations.entry(rule).or_default();
                     of_rule.cases += 1;
                     of_rule.first.get_or_insert_with(|| tree.current());
                 }
             }
-            broken
+            violations
         })
     }
 }
 
 /// Cases that broke a rule.
 #[derive(Default)]
-struct Broken {
+struct Violations {
     cases: u32,
     first: Option<Case>,
 }
 
-/// The first of what a case breaks of a rule.
-fn first(case: &Case, rule: Rule) -> Option<Finding> {
+/// Returns a case's first finding for a rule.
+fn first_finding(case: &Case, rule: Rule) -> Option<Finding> {
     let found = findings(case);
     found.into_iter().find(|finding| finding.rule == rule)
 }
 
-/// Leaves out faults, and whatever else can be left out, as long as the case breaks the rule.
+/// Removes faults and other complications as long as the case still breaks the rule.
 fn shrink(mut case: Case, rule: Rule) -> Case {
-    let breaks = |case: &Case| first(case, rule).is_some();
+    let breaks = |case: &Case| first_finding(case, rule).is_some();
     let mut index = 0;
     while index < case.faults.len() {
-        let mut less = case.clone();
-        less.faults.remove(index);
-        if breaks(&less) {
-            case = less;
+        let mut simpler_case = case.clone();
+        simpler_case.faults.remove(index);
+        if breaks(&simpler_case) {
+            case = simpler_case;
             index = 0;
         } else {
             index += 1;
@@ -161,110 +168,125 @@
         |case| case.record_ms = 1,
     ];
     for simplify in simpler {
-        let mut less = case.clone();
-        simplify(&mut less);
-        if breaks(&less) {
-            case = less;
+        let mut simpler_case = case.clone();
+        simplify(&mut simpler_case);
+        if breaks(&simpler_case) {
+            case = simpler_case;
         }
     }
     case
 }
 
-/// Fails with the shrunk case that breaks a rule, and what happened there.
-fn keeps(group: Group, rule: Rule) {
-    let Some(broken) = group.broken().get(&rule) else {
+/// Panics with the shrunk case and its trace if a case of the group breaks the rule.
+fn assert_group_keeps(group: Group, rule: Rule) {
+    let Some(violations) = group.violations().get(&rule) else {
         return;
     };
-    let case = shrink(broken.first.clone().unwrap(), rule);
-    let finding = first(&case, rule).unwrap();
+    let case = shrink(violations.first.clone().unwrap(), rule);
+    let finding = first_finding(&case, rule).unwrap();
     let trace = trace(&case, &finding);
-    let cases = broken.cases;
-    panic!("{cases} cases break a rule; the first:\n{finding}\n{case:?}\n{trace}");
+    let cases = violations.cases;
+    panic!("{cases} cases break a rule; the first, shrunk:\n{finding}\n{case:?}\n{trace}");
 }
 
-/// Callers are promised that a task runs once at a time, not again after it was done, and no more often than it may fail; and that every job ends.
+/// A task runs once at a time, not again after it was done, and no more often than it may fail, and every job ends.
 #[rstest]
-fn fuzz_delays_keep_the_promises(
+fn fuzz_delays_break_no_guarantee(
     #[values(
         Rule::OneAtOnce,
-        Rule::NotAfterDone,
-        Rule::NotAfterFailures,
-        Rule::RecordedFirst,
+        Rule::NoStartAfterDone,
+        Rule::NoStartAfterMaxFailures,
+        Rule::RecordedBeforeForgotten,
         Rule::JobsEnd
     )]
     rule: Rule,
-    // Behind the rule, so that tests that run side by side begin with different groups.
-    #[values(Group::Delays, Group::SlowRecords, Group::SentTwice, Group::Gangs)] group: Group,
+    // After the rule, so that tests that run in parallel start with different groups.
+    #[values(
+        Group::Delays,
+        Group::DisconnectsAndStuckRecords,
+        Group::ResentOrders,
+        Group::Gangs
+    )]
+    group: Group,
 ) {
-    keeps(group, rule);
+    assert_group_keeps(group, rule);
 }
 
-/// A job of which nothing runs, though its turn has come and there is room for it twice over, begins soon once nothing is disturbed, whoever leads: the
-/// workers decide, not what their leader knows.
+/// A job of which nothing runs, though its turn has come and there is free capacity for it twice over, starts promptly once nothing
+/// disturbs the site, whichever core leads. The check uses the state of the workers, not what the leader knows.
 #[rstest]
-fn fuzz_delays_begin_what_may_begin(
-    #[values(Group::Series, Group::LargeSeries)] group: Group,
+fn fuzz_delays_stall_no_job(
+    #[values(Group::LeaderLosses, Group::LeaderLossesLargeFleet)] group: Group,
     #[values(
-        Rule::BeginsSoon,
+        Rule::StartsPromptly,
         Rule::OneAtOnce,
-        Rule::NotAfterDone,
-        Rule::NotAfterFailures,
-        Rule::RecordedFirst,
+        Rule::NoStartAfterDone,
+        Rule::NoStartAfterMaxFailures,
+        Rule::RecordedBeforeForgotten,
         Rule::JobsEnd
     )]
     rule: Rule,
 ) {
-    keeps(group, rule);
+    assert_group_keeps(group, rule);
 }
 
-/// The same beside wide gangs that wait, and with work that is faster in a rack of its own.
+/// Jobs also start promptly beside large gangs that wait, and if they are faster in one rack.
 #[rstest]
-fn fuzz_delays_begin_beside_wide_gangs(
-    #[values(Group::WideSeries, Group::RackSeries)] group: Group,
-    #[values(Rule::BeginsSoon, Rule::BeginsSoonElsewhere)] rule: Rule,
+fn fuzz_delays_stall_no_job_beside_large_gangs(
+    #[values(Group::LeaderLossesLargeGangs, Group::LeaderLossesRackAffinity)] group: Group,
+    #[values(Rule::StartsPromptly, Rule::StartsPromptlyOutsideRack)] rule: Rule,
 ) {
-    keeps(group, rule);
+    assert_group_keeps(group, rule);
 }
 
-/// The series come to what they are for: leaders that are lost while gangs are broken, and jobs that stand though there is room.
+/// Checks that the series cover their conditions: leaders that are lost while gangs are broken, and jobs that are stalled beside free
+/// capacity.
 #[rstest]
-fn the_series_reach_what_they_are_for(#[values(Group::Series, Group::LargeSeries)] group: Group) {
+fn leader_losses_cover_broken_gangs_and_stalls(
+    #[values(Group::LeaderLosses, Group::LeaderLossesLargeFleet)] group: Group,
+) {
     let cases = group.cases();
     let config = config();
     let count = group.count(&config);
     let mut runner = TestRunner::new(config);
-    let (mut all, mut stretches) = (Vec::new(), Vec::new());
+    let (mut all, mut stall_durations) = (Vec::new(), Vec::new());
     for _ in 0..count {
         let case = cases.new_tree(&mut runner).unwrap().current();
-        let (reached, stood) = delays::stretches(&case);
-        all.push(reached);
-        stretches.extend(stood);
+        let (coverage, durations) = delays::stall_durations(&case);
+        all.push(coverage);
+        stall_durations.extend(durations);
     }
     for (what, of) in [
-        ("whole", Stretch::whole_ms as fn(&Stretch) -> u64),
-        ("calm", Stretch::calm_ms),
+        (
+            "total",
+            StallDuration::total_ms as fn(&StallDuration) -> u64,
+        ),
+        ("undisturbed", StallDuration::undisturbed_ms),
     ] {
-        let mut times_ms: Vec<u64> = stretches.iter().map(of).collect();
+        let mut times_ms: Vec<u64> = stall_durations.iter().map(of).collect();
         times_ms.sort_unstable();
         let longer = [1, 500, 1_000, 2_000, 3_000].map(|ms| {
             let longer = times_ms.iter().filter(|time_ms| **time_ms >= ms).count();
-            format!("{longer} of {ms} ms")
+            format!("{longer} of at least {ms} ms")
         });
         println!("{what}: {longer:?}, longest {:?}", times_ms.last());
     }
-    let sum = |of: fn(&Reached) -> usize| all.iter().map(of).sum::<usize>();
+    let sum = |of: fn(&Coverage) -> usize| all.iter().map(of).sum::<usize>();
     let counts = [
         ("cases", all.len()),
-        ("begins", sum(|reached| reached.begins)),
-        ("begun again", sum(|reached| reached.begun_again)),
-        ("lapses", sum(|reached| reached.lapses)),
-        ("changes of the leader", sum(|reached| reached.changes)),
+        ("starts", sum(|coverage| coverage.starts)),
+        ("restarts", sum(|coverage| coverage.restarts)),
+        ("lapses", sum(|coverage| coverage.lapses)),
+        ("leader changes", sum(|coverage| coverage.leader_changes)),
         (
-            "those with broken gangs",
-            sum(|reached| reached.changes_with_broken_gangs),
+            "leader changes with broken gangs",
+            sum(|coverage| coverage.leader_changes_with_broken_gangs),
         ),
-        ("misdelivered orders", sum(|reached| reached.misdelivered)),
-        ("jobs that stood", stretches.len()),
+        (
+            "misdelivered orders",
+            sum(|coverage| coverage.misdelivered_orders),
+        ),
+        ("stalls", stall_durations.len()),
     ];
     println!("{counts:?}");
     for (what, number) in counts {
@@ -272,8 +294,12 @@
     }
 }
 
-/// A case that was found by hand, with these faults.
-fn found(seed: u64, (record_ms, failing_percent): (u64, u64), faults: Vec<(u64, Fault)>) -> Case {
+/// A case found by earlier runs, with these faults.
+fn regression_case(
+    seed: u64,
+    (record_ms, failing_percent): (u64, u64),
+    faults: Vec<(u64, Fault)>,
+) -> Case {
     Case {
         seed,
         record_ms,
@@ -286,64 +312,65 @@
     }
 }
 
-/// Fails with what happened if a case breaks a rule.
-fn assert_keeps(case: &Case, rule: Rule) {
-    if let Some(finding) = first(case, rule) {
+/// Panics with a trace if a case breaks a rule.
+fn assert_case_keeps(case: &Case, rule: Rule) {
+    if let Some(finding) = first_finding(case, rule) {
         panic!("{finding}\n{case:?}\n{}", trace(case, &finding));
     }
 }
 
-/// A worker's lease has run out unseen, and that takes over three seconds to be recorded. The leader took it for not recorded, sent the start again to
-/// the worker, which answered by then, and began the task elsewhere once the record came through.
+/// A worker's lease has run out while nothing was received from it, and recording that takes over three seconds. The leader must not take
+/// it as not recorded: it would send the start again to the worker, which answers by then, and start the task elsewhere once the record is
+/// committed.
 #[test]
-fn a_run_that_was_given_up_is_not_begun_again_while_that_is_recorded() {
-    let for_ms = 4_356;
+fn a_run_given_up_is_not_restarted_while_that_is_recorded() {
+    let duration_ms = 4_356;
     let faults = vec![
-        (14_577, Fault::StuckRecords { for_ms }),
+        (14_577, Fault::StuckRecords { duration_ms }),
         (
             5_466,
             Fault::BrokenConnections {
                 percent: 45,
-                for_ms: 1_059,
+                duration_ms: 1_059,
             },
         ),
         (
             5_463,
             Fault::LateReads {
                 percent: 7,
-                for_ms: 1_653,
+                duration_ms: 1_653,
             },
         ),
         (
             6_200,
-            Fault::Cut {
+            Fault::Disconnect {
                 worker: 0,
-                for_ms: 9_665,
+                duration_ms: 9_665,
             },
         ),
         (
             4_428,
             Fault::LateOrders {
                 percent: 25,
-                for_ms: 5_288,
+                duration_ms: 5_288,
             },
         ),
     ];
     let case = Case {
         gangs: true,
-        ..found(17_841_802_254_305_342_593, (1, 0), faults)
+        ..regression_case(17_841_802_254_305_342_593, (1, 0), faults)
     };
-    assert_keeps(&case, Rule::OneAtOnce);
+    assert_case_keeps(&case, Rule::OneAtOnce);
 }
 
-/// A gang fails twice, and both failures are taken note of; it began a third time. The first was taken to be over before its worker said how, and
-/// the leader that knew so was replaced before that.
+/// A gang fails twice, and both failures are acknowledged. The leader presumed the first run to have ended before its worker said how, and
+/// was replaced before the worker did; the gang must not start a third time.
 #[test]
-fn a_gang_that_fails_unheard_by_its_leader_is_counted_by_the_next() {
+fn a_gang_failure_unknown_to_its_leader_counts_under_the_next() {
     let faults = vec![
         (
             6_982,
-            Fault::Leader {
+            Fault::ReplaceLeader {
                 same_core: true,
                 lost: 0,
                 gap_ms: 119,
@@ -353,7 +380,7 @@
         (
             2_258,
             Fault::Stall {
-                for_ms: 1_301,
+                duration_ms: 1_301,
                 in_turn: true,
             },
         ),
@@ -361,74 +388,77 @@
             1_864,
             Fault::LateOrders {
                 percent: 38,
-                for_ms: 7_440,
+                duration_ms: 7_440,
             },
         ),
     ];
     let case = Case {
         gangs: true,
-        ..found(10_578_456_042_968_728_707, (354, 40), faults)
+        ..regression_case(10_578_456_042_968_728_707, (354, 40), faults)
     };
-    assert_keeps(&case, Rule::NotAfterFailures);
+    assert_case_keeps(&case, Rule::NoStartAfterMaxFailures);
 }
 
-/// The same with one leader: the second run fails, and the third begins, before the first one's worker says that it had failed.
+/// A gang's first run was presumed to have ended. Its second run fails, and a third must not start before the first one's worker reports
+/// that it had failed too. All under one leader.
 #[test]
-fn a_gang_that_may_have_failed_is_not_begun_once_too_often() {
+fn a_gang_that_may_have_failed_twice_does_not_start_again() {
     let faults = vec![
         (
             10_805,
             Fault::BrokenConnections {
                 percent: 40,
-                for_ms: 7_032,
+                duration_ms: 7_032,
             },
         ),
         (
             2_700,
-            Fault::FailsAll {
+            Fault::FailingWorker {
                 worker: 2,
-                for_ms: 6_792,
+                duration_ms: 6_792,
             },
         ),
         (
             6_419,
             Fault::LateAnswers {
                 percent: 18,
-                for_ms: 5_804,
+                duration_ms: 5_804,
             },
         ),
-        (4_734, Fault::Reborn { worker: 3 }),
+        (4_734, Fault::Restart { worker: 3 }),
     ];
     let case = Case {
         gangs: true,
-        ..found(8_704_983_681_574_955_260, (95, 38), faults)
+        ..regression_case(8_704_983_681_574_955_260, (95, 38), faults)
     };
-    assert_keeps(&case, Rule::NotAfterFailures);
+    assert_case_keeps(&case, Rule::NoStartAfterMaxFailures);
 }
 
-/// A task that is no gang: given up, begun again while that is being recorded, and begun beside it once that is.
+/// A task that is not a gang is given up. It must not be sent again while that is being recorded, and then run beside the start that
+/// follows the commit.
 #[test]
-fn a_task_that_was_given_up_is_not_begun_again_while_that_is_recorded() {
-    let cut = Fault::Cut {
+fn a_task_given_up_is_not_restarted_while_that_is_recorded() {
+    let disconnect = Fault::Disconnect {
         worker: 1,
-        for_ms: 11_988,
+        duration_ms: 11_988,
     };
     let faults = vec![
-        (11_937, Fault::StuckRecords { for_ms: 2_872 }),
-        (266, cut),
-        (9_892, Fault::StuckRecords { for_ms: 2_859 }),
+        (11_937, Fault::StuckRecords { duration_ms: 2_872 }),
+        (266, disconnect),
+        (9_892, Fault::StuckRecords { duration_ms: 2_859 }),
     ];
-    let case = found(7_338_814_041_010_260_219, (1, 0), faults);
-    assert_keeps(&case, Rule::OneAtOnce);
+    let case = regression_case(7_338_814_041_010_260_219, (1, 0), faults);
+    assert_case_keeps(&case, Rule::OneAtOnce);
 }
 
-/// The record of an end is released by the commit of another one, and lost with the leader: the worker has forgotten it, and the task runs again.
+/// The commit of another proposal must not acknowledge an end whose own proposal may be lost with the leader: the worker would forget the
+/// end, and the task would run again after it was done.
 #[test]
 fn an_end_is_not_forgotten_while_its_record_may_be_lost() {
     let faults = vec![
         (
             3_515,
-            Fault::Leader {
+            Fault::ReplaceLeader {
                 same_core: false,
                 lost: 3,
                 gap_ms: 326,
@@ -437,45 +467,54 @@
         ),
         (
             1_130,
-            Fault::Leader {
+            Fault::ReplaceLeader {
                 same_core: true,
                 lost: 3,
                 gap_ms: 2_214,
                 deposed_ms: 1_056,
             },
         ),
-        (548, Fault::StuckRecords { for_ms: 4_159 }),
+        (548, Fault::StuckRecords { duration_ms: 4_159 }),
     ];
     let case = Case {
         busy_percent: 11,
-        ..found(15_995_428_796_853_810_333, (1, 12), faults)
+        ..regression_case(15_995_428_796_853_810_333, (1, 12), faults)
     };
-    assert_keeps(&case, Rule::NotAfterDone);
+    assert_case_keeps(&case, Rule::NoStartAfterDone);
 }
 
-/// The cases come to what they are for: runs begun anew, leases that run out, proposals that are lost, results that reach another leader, answers
-/// that are read late, busy workers, and stalls between decision and sending.
+/// Checks that the cases cover their conditions: restarts, leases that run out, lost proposals, outcomes that reach a later leader, answers
+/// read late, busy workers, and stalls between a decision and its sending.
 #[test]
-fn the_cases_reach_what_they_are_for() {
-    let mut all: Vec<Reached> = Vec::new();
+fn delays_cover_their_conditions() {
+    let mut all: Vec<Coverage> = Vec::new();
     let cases = case(fault());
     let mut runner = TestRunner::new(config());
     for _ in 0..CASES {
         let case = cases.new_tree(&mut runner).unwrap().current();
-        all.push(reached(&case));
+        all.push(coverage(&case));
     }
-    let sum = |of: fn(&Reached) -> usize| all.iter().map(of).sum::<usize>();
+    let sum = |of: fn(&Coverage) -> usize| all.iter().map(of).sum::<usize>();
     let counts = [
-        ("begins", sum(|reached| reached.begins)),
-        ("begun again", sum(|reached| reached.begun_again)),
-        ("lapses", sum(|reached| reached.lapses)),
-        ("noted as done", sum(|reached| reached.noted_done)),
-        ("noted as failed", sum(|reached| reached.noted_failed)),
-        ("lost proposals", sum(|reached| reached.lost_proposals)),
-        ("older results", sum(|reached| reached.older_results)),
-        ("late reads", sum(|reached| reached.late_reads)),
-        ("denied orders", sum(|reached| reached.denied)),
-        ("stalls in a turn", sum(|reached| reached.stalls_in_turn)),
+        ("starts", sum(|coverage| coverage.starts)),
+        ("restarts", sum(|coverage| coverage.restarts)),
+        ("lapses", sum(|coverage| coverage.lapses)),
+        (
+            "acknowledged as done",
+            sum(|coverage| coverage.acknowledged_done),
+        ),
+        (
+            "acknowledged as failed",
+            sum(|coverage| coverage.acknowledged_failed),
+        ),
+        ("lost proposals", sum(|coverage| coverage.lost_proposals)),
+        (
+            "results of earlier terms",
+            sum(|coverage| coverage.results_of_earlier_terms),
+        ),
+        ("late reads", sum(|coverage| coverage.late_reads)),
+        ("denied orders", sum(|coverage| coverage.denied_orders)),
+        ("stalls in a turn", sum(|coverage| coverage.stalls_in_turn)),
     ];
     println!("{counts:?}");
     for (what, count) in counts {
@@ -483,14 +522,14 @@
     }
 }
 
-/// Each fault is planted in the workers in turn, and must show as the rule that it breaks. A check that lets all of them pass would prove nothing.
+/// Each protocol fault of the workers must show as a broken rule. Checks that let all of them pass would prove nothing.
 #[rstest]
 #[case(Planted::HalfClock, Rule::OneAtOnce)]
 #[case(Planted::IgnoresLease, Rule::OneAtOnce)]
 #[case(Planted::ForgetsStops, Rule::OneAtOnce)]
-#[case(Planted::HidesSuccess, Rule::NotAfterDone)]
-#[case(Planted::HidesFailures, Rule::NotAfterFailures)]
-#[case(Planted::SkipsEnds, Rule::RecordedFirst)]
+#[case(Planted::HidesSuccess, Rule::NoStartAfterDone)]
+#[case(Planted::HidesFailures, Rule::NoStartAfterMaxFailures)]
+#[case(Planted::SkipsEnds, Rule::RecordedBeforeForgotten)]
 #[case(Planted::NeverEnds, Rule::JobsEnd)]
 fn a_worker_that_breaks_the_protocol_is_noticed(#[case] planted: Planted, #[case] rule: Rule) {
     let config = ProptestConfig {
