--- a/crates/bh-workload/tests/acknowledged_ends.rs
+++ b/crates/bh-workload/tests/acknowledged_ends.rs
@@ -1,4 +1,4 @@
-//! Which ends a worker is told to be recorded, and may forget.
+//! Tests of which ends a probe acknowledges as recorded, so that the worker may forget them.
 mod support;
 
 use bh_workload::dispatch::Answer;
@@ -13,31 +13,31 @@
 use support::Site;
 use support::step;
 
-/// Number of the listed end.
-const NUMBER: u64 = 1;
+/// Number of the end that the worker lists.
+const END_NUMBER: u64 = 1;
 
-fn is_look(order: &Order) -> bool {
+fn is_probe(order: &Order) -> bool {
     matches!(order.body, OrderBody::Probe { .. })
 }
 
-fn take(orders: &mut Vec<Order>, wanted: impl Fn(&Order) -> bool) -> Order {
-    let index = orders.iter().position(wanted).expect("it is ordered");
+fn take_order(orders: &mut Vec<Order>, is_wanted: impl Fn(&Order) -> bool) -> Order {
+    let index = orders.iter().position(is_wanted).expect("it is ordered");
     orders.remove(index)
 }
 
-/// Up to which end the worker is told that all are recorded, if it is told now.
-fn told(site: &mut Site) -> Option<u64> {
+/// Returns the number of the last end that a probe acknowledges now, if a probe is sent.
+fn acknowledged_to(site: &mut Site) -> Option<u64> {
     site.orders().iter().find_map(|order| match order.body {
         OrderBody::Probe { recorded_to, .. } => Some(recorded_to),
         _ => None,
     })
 }
 
-/// A worker lists an end while another record about it is on its way, of a start that it refused. The first record's commit says nothing of
-/// the second: told that its end is recorded, the worker forgets it, and if the leader is lost before the second record is committed, the
-/// end is lost with it: a failure that nobody counts, a task that is done and begins again.
+/// Guards against acknowledging an end before its own record is committed. A worker lists an end while another record about the worker, of
+/// a start that it refused, is in transit. If the commit of the first record acknowledged the end, the worker would forget it, and the loss
+/// of the leader before the second commit would lose the end: a failure would not count, or a finished task would start again.
 #[test]
-fn a_worker_forgets_no_end_whose_own_record_is_on_its_way() {
+fn an_end_is_not_acknowledged_before_its_own_record_is_committed() {
     let mut site = Site::new(1, 1);
     site.submit(0, "other", vec![step(1, 1)]);
     site.plan_and_start();
@@ -48,21 +48,21 @@
     site.advance(100);
     site.plan_and_start();
     let mut orders = site.orders();
-    let look = take(&mut orders, is_look);
-    let start = take(&mut orders, |order| !is_look(order));
+    let probe = take_order(&mut orders, is_probe);
+    let start = take_order(&mut orders, |order| !is_probe(order));
 
     let refused = Answer::Denied {
         clock_ms: Some(site.now_ms),
         denial: Denial::Unhealthy,
     };
-    let first = site
+    let refusal_record = site
         .dispatcher
         .note_answer(site.now_ms, &start, &refused, &site.workload);
     let failed = Answer::Done {
         clock_ms: Some(site.now_ms),
         report: Some(Report {
             ended: vec![Ended {
-                number: NUMBER,
+                number: END_NUMBER,
                 run,
                 kind: EndKind::Failed,
                 checkpoint: None,
@@ -70,23 +70,30 @@
             ..Report::default()
         }),
     };
-    let second = site
+    let end_record = site
         .dispatcher
-        .note_answer(site.now_ms, &look, &failed, &site.workload);
+        .note_answer(site.now_ms, &probe, &failed, &site.workload);
     let listed_to = site.dispatcher.recording_to(&worker);
-    let (first, second) = (first.expect("a record"), second.expect("a record"));
+    let (refusal_record, end_record) = (
+        refusal_record.expect("a record"),
+        end_record.expect("a record"),
+    );
 
-    site.workload.apply(first);
+    site.workload.apply(refusal_record);
     site.dispatcher
         .note_recorded(&worker, None, RecordOutcome::Recorded);
     site.take_events();
     site.advance(100);
-    assert_eq!(told(&mut site), None, "its end is not recorded yet");
+    assert_eq!(
+        acknowledged_to(&mut site),
+        None,
+        "its end is not recorded yet"
+    );
 
-    site.workload.apply(second);
+    site.workload.apply(end_record);
     site.dispatcher
         .note_recorded(&worker, listed_to, RecordOutcome::Recorded);
     site.take_events();
     site.advance(100);
-    assert_eq!(told(&mut site), Some(NUMBER));
+    assert_eq!(acknowledged_to(&mut site), Some(END_NUMBER));
 }
--- a/crates/bh-workload/tests/advice.rs
+++ b/crates/bh-workload/tests/advice.rs
@@ -1,4 +1,4 @@
-//! Queues whose steps only some workers may run, as an outside adviser says.
+//! Tests of queues whose steps may run only on the workers that an external adviser allows.
 
 mod support;
 
@@ -20,7 +20,7 @@
 
 const VALID_MS: u64 = 5_000;
 
-/// A site whose queues all need advice.
+/// Creates a site whose queues all need the adviser's permission.
 fn advised_site(workers: usize) -> Site {
     let mut site = Site::new(workers, 4);
     let mut rules = rules(2);
@@ -38,7 +38,7 @@
     site
 }
 
-/// Answers a question: of the workers asked about only those in `allowed` may run the step.
+/// Answers a question: of the workers asked about, only those in `allowed` may run the step.
 fn advise(site: &mut Site, question: &Question, allowed: &[&str]) {
     let permissions: Vec<Permission> = question
         .workers
@@ -49,9 +49,9 @@
             proof: Arc::from(format!("proof of {worker}")),
         })
         .collect();
-    let asked = &mut site.dispatcher.permissions;
-    asked.note_asked();
-    asked.note_answer(site.now_ms, question, Some(&permissions));
+    let permission_table = &mut site.dispatcher.permissions;
+    permission_table.note_asked();
+    permission_table.note_answer(site.now_ms, question, Some(&permissions));
 }
 
 fn starts(site: &mut Site) -> Vec<Order> {
@@ -62,10 +62,10 @@
         .collect()
 }
 
-/// Only one worker may run the step. Sent to any other, its tasks would be refused again and again; sent without the proof, by that one
-/// too.
+/// Only one worker may run the step. Its tasks must go to no other worker, which would refuse them again and again, and carry the proof,
+/// without which the allowed worker would refuse them too.
 #[test]
-fn tasks_go_only_where_the_adviser_allows_with_its_proof() {
+fn tasks_start_only_where_the_adviser_allows_with_its_proof() {
     let mut site = advised_site(4);
     site.submit(1, "other", vec![step(2, 4)]);
     let plan = site.plan_and_start();
@@ -82,17 +82,17 @@
     }
 }
 
-/// The permission has run out before room became free. Whoever may run the step does not change, so the worker that may is asked about
-/// again, and those that may not never are.
+/// The permission runs out before capacity becomes free. The adviser is asked again about the allowed worker, and never again about the
+/// others, since which workers are allowed does not change.
 #[test]
-fn a_permission_that_ran_out_is_asked_for_again() {
+fn an_expired_permission_is_requested_again() {
     let mut site = advised_site(4);
     site.submit(1, "other", vec![step(3, 8)]);
     let plan = site.plan();
     advise(&mut site, &plan.questions[0], &["w01"]);
     let plan = site.plan_and_start();
     assert_eq!(plan.starts.len(), 1);
-    assert!(plan.questions.is_empty(), "everybody was asked about");
+    assert!(plan.questions.is_empty(), "all workers were asked about");
     site.end(plan.starts[0].run, bh_workload::state::EndKind::Done);
     site.advance(VALID_MS);
     let plan = site.plan_and_start();
@@ -101,10 +101,10 @@
     assert_eq!(asked, vec!["w01"]);
 }
 
-/// A worker does not take the proof, for instance because it runs out on the way. The run counts as never begun, and the next try has a new
+/// A worker refuses the proof, for example because it expired in transit. The run counts as never started, and the next attempt gets a new
 /// proof.
 #[test]
-fn a_proof_that_is_not_taken_is_replaced() {
+fn a_refused_proof_is_replaced() {
     let mut site = advised_site(1);
     site.submit(1, "other", vec![step(1, 8)]);
     let plan = site.plan();
@@ -125,8 +125,8 @@
     assert_eq!(plan.questions[0].workers, vec![worker_id("w00")]);
 }
 
-/// The adviser takes time for each worker. A question about all of a large pool would hold up every other step for seconds, so it is
-/// asked in parts, and no further than needed.
+/// The adviser takes time for each worker. A question about all workers of a large pool would hold up every other step for seconds, so the
+/// pool is asked about in parts, and only as far as needed.
 #[test]
 fn a_large_pool_is_asked_about_in_parts() {
     let mut site = advised_site(64);
--- a/crates/bh-workload/tests/avoided_workers.rs
+++ b/crates/bh-workload/tests/avoided_workers.rs
@@ -1,4 +1,4 @@
-//! Workers on which tasks have failed, and which these tasks avoid.
+//! Tests of workers that tasks avoid because they have failed there.
 
 mod support;
 
@@ -8,10 +8,10 @@
 use support::Site;
 use support::step;
 
-/// Guards against a free worker standing idle for a gang that avoids it: the room kept for the gang is on the worker where it failed, so that neither the
-/// gang nor any other work begins there.
+/// Guards against a free worker staying idle for a gang that avoids it: if the capacity reserved for the gang is on the worker where the
+/// gang failed, neither the gang nor any other work starts there.
 #[test]
-fn no_room_is_kept_where_a_gang_does_not_begin() {
+fn no_capacity_is_reserved_on_a_worker_that_the_gang_avoids() {
     let mut site = Site::new(2, 2);
     site.advance(60_000);
     let gang = StepSpec {
@@ -34,9 +34,9 @@
     site.end(run, EndKind::Failed);
     let small = site.submit(2, "other", vec![step(1, 1)]);
     let starts = site.plan().starts;
-    let begun: Vec<_> = starts
+    let started: Vec<_> = starts
         .iter()
         .map(|start| (start.run.task.step.job, start.worker.clone()))
         .collect();
-    assert_eq!(begun, vec![(small, failed_on)]);
+    assert_eq!(started, vec![(small, failed_on)]);
 }
--- a/crates/bh-workload/tests/broken_gangs.rs
+++ b/crates/bh-workload/tests/broken_gangs.rs
@@ -1,9 +1,9 @@
-//! Gangs of which a worker is lost: the others say that the gang is broken, and nothing is heard of the lost one.
+//! Tests of gangs that lose a worker: the other members report that the gang is broken, and the lost worker does not answer.
 
 mod support;
 
-use Says::Nothing;
-use Says::Runs;
+use ProbeAnswer::NoAnswer;
+use ProbeAnswer::Running;
 use bh_protocol::Incarnation;
 use bh_workload::dispatch::Answer;
 use bh_workload::dispatch::Ended;
@@ -27,13 +27,13 @@
 
 /// Longest time that a worker takes to end a run, in milliseconds.
 const STOP_MS: u64 = Timing::DEFAULT.stop_timeout_ms;
-/// Beyond the lease of a worker, a slow clock included, in milliseconds.
-const LAPSED_MS: u64 = 12_000;
+/// Time after which a worker's lease has run out, even with a slow clock, in milliseconds.
+const LEASE_EXPIRY_MS: u64 = 12_000;
 /// Time after which workers that were set aside get work again, in milliseconds.
-const QUIET_MS: u64 = 60_000;
+const SET_ASIDE_MS: u64 = 60_000;
 
-/// A gang of three members at work on three workers of six.
-fn gang_at_work() -> (Site, JobId, Vec<(Incarnation, RunId)>) {
+/// Creates a site where a gang of three members runs on three of six workers.
+fn running_gang() -> (Site, JobId, Vec<(Incarnation, RunId)>) {
     let mut site = Site::new(6, 3);
     site.advance(60_000);
     let spec = StepSpec {
@@ -49,31 +49,31 @@
     (site, job, runs)
 }
 
-/// What a worker says of its run when it is asked.
+/// How a worker answers a probe about its run.
 #[derive(Clone, Copy)]
-enum Says {
-    Nothing,
+enum ProbeAnswer {
+    NoAnswer,
     Ended(EndKind),
-    Runs,
+    Running,
 }
 
-const BROKEN: Says = Says::Ended(EndKind::Broken);
-const FAILED: Says = Says::Ended(EndKind::Failed);
+const BROKEN: ProbeAnswer = ProbeAnswer::Ended(EndKind::Broken);
+const FAILED: ProbeAnswer = ProbeAnswer::Ended(EndKind::Failed);
 
-/// All workers are asked, and those of `runs` answer so, in their order.
-fn asked(site: &mut Site, runs: &[(Incarnation, RunId)], says: &[Says]) {
-    /// Time after which every worker is asked again, in milliseconds.
-    const AGAIN_MS: u64 = 400;
-    site.advance(AGAIN_MS);
+/// Sends the orders that are due. The workers of `runs` answer as `answers` say, in their order; all others report what is recorded.
+fn answer_probes(site: &mut Site, runs: &[(Incarnation, RunId)], answers: &[ProbeAnswer]) {
+    /// Time after which every worker is probed again, in milliseconds.
+    const PROBE_INTERVAL_MS: u64 = 400;
+    site.advance(PROBE_INTERVAL_MS);
     let mut commands = Vec::new();
     for order in site.orders() {
-        let known = runs.iter().zip(says);
+        let known = runs.iter().zip(answers);
         let own = known.filter(|((worker, _), _)| *worker == order.to.worker);
-        let said = own.map(|((_, run), says)| (*run, *says)).next();
-        let answer = match said {
-            Some((_, Nothing)) => Answer::Lost,
-            Some((run, Says::Ended(kind))) => ended(site, run, kind),
-            Some((_, Runs)) | None => site.looked(&order.to.worker, &[]),
+        let own_answer = own.map(|((_, run), answer)| (*run, *answer)).next();
+        let answer = match own_answer {
+            Some((_, NoAnswer)) => Answer::Lost,
+            Some((run, ProbeAnswer::Ended(kind))) => ended(site, run, kind),
+            Some((_, Running)) | None => site.looked(&order.to.worker, &[]),
         };
         let command = site
             .dispatcher
@@ -91,7 +91,7 @@
 }
 
 fn ended(site: &Site, run: RunId, kind: EndKind) -> Answer {
-    let ended = Ended {
+    let end = Ended {
         number: run.attempt.into(),
         run,
         kind,
@@ -100,83 +100,86 @@
     Answer::Done {
         clock_ms: Some(site.now_ms),
         report: Some(Report {
-            ended: vec![ended],
+            ended: vec![end],
             ..Report::default()
         }),
     }
 }
 
-/// Whether the gang begins anew after the longest time that a worker takes to end a run, and far below a lease.
-fn begins_anew(site: &mut Site, runs: &[(Incarnation, RunId)], says: &[Says]) -> bool {
+/// Returns whether the gang restarts after the longest time that a worker takes to end a run, which is far below a lease.
+fn gang_restarts(site: &mut Site, runs: &[(Incarnation, RunId)], answers: &[ProbeAnswer]) -> bool {
     let until_ms = site.now_ms + STOP_MS + 1_000;
     while site.now_ms < until_ms {
-        asked(site, runs, says);
+        answer_probes(site, runs, answers);
     }
     site.plan_and_start().starts.len() == 3
 }
 
-/// One worker is lost without a word, and the two others say at once that the gang is broken. So a member on the lost one has ended, and all that it had of the
-/// gang; the gang begins anew at once, not when the lease of the lost worker is over five seconds later.
+/// One worker is lost without an answer, and the two others report at once that the gang is broken. So the member on the lost worker, which
+/// had no other member of the gang, has ended. The gang must restart at once, not when the lease of the lost worker ends over five seconds
+/// later.
 #[test]
-fn a_gang_that_lost_one_worker_begins_anew_at_once() {
-    let (mut site, _, runs) = gang_at_work();
-    let says = [Nothing, BROKEN, BROKEN];
-    assert!(begins_anew(&mut site, &runs, &says));
+fn a_gang_that_lost_one_worker_restarts_at_once() {
+    let (mut site, _, runs) = running_gang();
+    let answers = [NoAnswer, BROKEN, BROKEN];
+    assert!(gang_restarts(&mut site, &runs, &answers));
 }
 
-/// A member on the lost worker fails, and another one there is ended for that, which takes the worker up to the longest stop. Begun anew sooner, the gang would run beside
-/// it.
+/// A member on the lost worker fails, and another member there is ended for that, which takes up to the longest stop time. If the gang
+/// restarted sooner, it would run beside that member.
 #[test]
-fn members_that_are_being_ended_are_waited_for() {
-    let (mut site, _, runs) = gang_at_work();
-    asked(&mut site, &runs, &[Nothing, BROKEN, BROKEN]);
-    let heard_ms = site.now_ms;
-    while site.now_ms + 400 < heard_ms + STOP_MS {
-        asked(&mut site, &runs, &[Nothing, BROKEN, BROKEN]);
+fn a_gang_waits_for_members_that_are_being_ended() {
+    let (mut site, _, runs) = running_gang();
+    answer_probes(&mut site, &runs, &[NoAnswer, BROKEN, BROKEN]);
+    let broken_ms = site.now_ms;
+    while site.now_ms + 400 < broken_ms + STOP_MS {
+        answer_probes(&mut site, &runs, &[NoAnswer, BROKEN, BROKEN]);
         assert!(
             site.plan().starts.is_empty(),
             "after {} ms",
-            site.now_ms - heard_ms
+            site.now_ms - broken_ms
         );
     }
-    assert!(begins_anew(&mut site, &runs, &[Nothing, BROKEN, BROKEN]));
+    assert!(gang_restarts(&mut site, &runs, &[NoAnswer, BROKEN, BROKEN]));
 }
 
-/// A worker that answers is not lost: it lists its own end a moment later, and if that is the failure that broke the gang, it counts.
+/// A worker that answers is not lost: it lists its own end a moment later, and if that is the failure that broke the gang, the failure
+/// counts.
 #[test]
-fn a_worker_that_answers_is_waited_for() {
-    let (mut site, job, runs) = gang_at_work();
-    let says = [Runs, BROKEN, BROKEN];
-    assert!(!begins_anew(&mut site, &runs, &says));
-    asked(&mut site, &runs, &[FAILED, BROKEN, BROKEN]);
+fn a_gang_waits_for_a_worker_that_answers() {
+    let (mut site, job, runs) = running_gang();
+    let answers = [Running, BROKEN, BROKEN];
+    assert!(!gang_restarts(&mut site, &runs, &answers));
+    answer_probes(&mut site, &runs, &[FAILED, BROKEN, BROKEN]);
     assert_eq!(site.workload.job(job).unwrap().steps[0].failures, 1);
 }
 
-/// Two workers are lost, and one says that the gang is broken: a member on one of the two has ended, but nobody knows on which. The other may run on behind a
-/// cut, so the gang waits until the leases of both are over.
+/// Two workers are lost, and one reports that the gang is broken. A member on one of the two has ended, but it is unknown on which. The
+/// other may still run while it is cut off, so the gang waits until both leases have run out.
 #[test]
 fn with_two_workers_lost_the_gang_waits_for_their_leases() {
-    let (mut site, _, runs) = gang_at_work();
-    let says = [Nothing, Nothing, BROKEN];
-    assert!(!begins_anew(&mut site, &runs, &says));
-    site.now_ms += LAPSED_MS;
-    assert!(begins_anew(&mut site, &runs, &says));
+    let (mut site, _, runs) = running_gang();
+    let answers = [NoAnswer, NoAnswer, BROKEN];
+    assert!(!gang_restarts(&mut site, &runs, &answers));
+    site.now_ms += LEASE_EXPIRY_MS;
+    assert!(gang_restarts(&mut site, &runs, &answers));
 }
 
-/// A member leaves with its worker, which breaks the gang; another worker is cut off and runs on. Its member has not ended for all anyone knows.
+/// A member leaves with its worker, which breaks the gang, while another worker is cut off and keeps running. The member there may not have
+/// ended.
 #[test]
-fn a_member_that_left_may_be_what_broke_the_gang() {
-    let (mut site, _, runs) = gang_at_work();
+fn a_member_that_left_does_not_prove_that_another_has_ended() {
+    let (mut site, _, runs) = running_gang();
     let gone = WorkerChange::Gone(runs[0].0.clone());
     site.workload.apply(Command::Workers(vec![gone]));
     site.take_events();
-    let says = [Nothing, Nothing, BROKEN];
-    assert!(!begins_anew(&mut site, &runs, &says));
+    let answers = [NoAnswer, NoAnswer, BROKEN];
+    assert!(!gang_restarts(&mut site, &runs, &answers));
 }
 
-/// A gang of three members of this size is recorded, and the starts on the first of its workers have no answer but for the first; returns the site and the runs,
-/// those on that worker first.
-fn gang_with_a_start_unanswered(
+/// Records the starts of a gang of three members of this size. Of the starts on the first of its workers the last one has no answer; all
+/// others are confirmed. Returns the site and the runs, those on that worker first.
+fn gang_with_an_unanswered_start(
     mut site: Site,
     accelerators: u64,
 ) -> (Site, Vec<(Incarnation, RunId)>) {
@@ -210,39 +213,40 @@
     (site, runs)
 }
 
-/// Two members are on the silent worker, and the start of one had no answer, so that it may still be on its way: what broke the gang may be the other one, and it
-/// would begin beside the new run of its task.
+/// Two members are on the silent worker, and the start of one has had no answer, so it may still be in transit. The other member may be the
+/// one that broke the gang, and the member in transit would start beside the new run of its task.
 #[rstest]
 #[case::under_the_same_leader(false)]
 #[case::under_the_next_leader(true)]
-fn a_member_that_may_still_begin_is_waited_for(#[case] take_over: bool) {
+fn a_gang_waits_for_a_member_that_may_still_start(#[case] take_over: bool) {
     let mut site = Site::new(6, 3);
-    site.advance(QUIET_MS);
-    let (mut site, runs) = gang_with_a_start_unanswered(site, 4);
+    site.advance(SET_ASIDE_MS);
+    let (mut site, runs) = gang_with_an_unanswered_start(site, 4);
     assert_eq!(runs[0].0, runs[1].0);
     if take_over {
         site.take_over(2);
     }
-    let says = [Nothing, Nothing, BROKEN];
-    assert!(!begins_anew(&mut site, &runs, &says));
+    let answers = [NoAnswer, NoAnswer, BROKEN];
+    assert!(!gang_restarts(&mut site, &runs, &answers));
 }
 
-/// A gang is broken, and the start of the only member left had no answer: it has begun, since nothing else can have broken the gang.
+/// A gang is broken, and the start of the only remaining member has had no answer. The member must have started and ended, since nothing
+/// else can have broken the gang.
 #[test]
-fn the_only_member_left_has_ended_though_its_start_had_no_answer() {
+fn the_only_remaining_member_has_ended_though_its_start_had_no_answer() {
     let mut site = Site::new(6, 3);
-    site.advance(QUIET_MS);
-    let (mut site, runs) = gang_with_a_start_unanswered(site, 8);
-    let says = [Nothing, BROKEN, BROKEN];
-    assert!(begins_anew(&mut site, &runs, &says));
+    site.advance(SET_ASIDE_MS);
+    let (mut site, runs) = gang_with_an_unanswered_start(site, 8);
+    let answers = [NoAnswer, BROKEN, BROKEN];
+    assert!(gang_restarts(&mut site, &runs, &answers));
 }
 
-/// The same on workers that restart under their ids. A start of the member left may still be on its way to a later incarnation, or the others may have ended there a
-/// second time: it would begin beside the new run of its task.
+/// On workers that restart under their ids, the start of the remaining member may still be in transit to a later incarnation, or the other
+/// members may have ended there a second time. The remaining member would then start beside the new run of its task.
 #[rstest]
 #[case::the_silent_worker(true)]
 #[case::the_others(false)]
-fn a_member_that_may_begin_after_a_restart_is_waited_for(#[case] silent_restarts: bool) {
+fn a_gang_waits_for_a_member_that_may_start_after_a_restart(#[case] silent_restarts: bool) {
     let mut site = Site::new(6, 3);
     let first = worker_info(0, 3).id;
     let infos = (0..6).map(|index| worker_info(index, 3));
@@ -253,57 +257,57 @@
         site.workload.apply(Command::Workers(vec![gone, known]));
     }
     site.take_events();
-    site.advance(QUIET_MS);
+    site.advance(SET_ASIDE_MS);
     site.report();
-    let (mut site, runs) = gang_with_a_start_unanswered(site, 8);
+    let (mut site, runs) = gang_with_an_unanswered_start(site, 8);
     assert_eq!(runs[0].0.id, first.id);
-    let says = [Nothing, BROKEN, BROKEN];
-    assert!(!begins_anew(&mut site, &runs, &says));
+    let answers = [NoAnswer, BROKEN, BROKEN];
+    assert!(!gang_restarts(&mut site, &runs, &answers));
 }
 
-/// The lost worker was only cut off, and what broke the gang was a failure there. It is heard while the gang runs anew, and counts: a gang that fails whenever it
-/// runs would be begun once more than its queue allows.
+/// The lost worker was only cut off, and a failure there broke the gang. The failure is reported while the restarted gang runs, and counts:
+/// otherwise a gang that always fails would be started once more than its queue allows.
 #[test]
-fn a_failure_that_is_heard_late_counts() {
-    let (mut site, job, runs) = gang_at_work();
-    let says = [Nothing, BROKEN, BROKEN];
-    assert!(begins_anew(&mut site, &runs, &says));
+fn a_failure_reported_late_counts() {
+    let (mut site, job, runs) = running_gang();
+    let answers = [NoAnswer, BROKEN, BROKEN];
+    assert!(gang_restarts(&mut site, &runs, &answers));
     site.send_starts();
-    asked(&mut site, &runs[..1], &[FAILED]);
+    answer_probes(&mut site, &runs[..1], &[FAILED]);
     assert_eq!(site.workload.job(job).unwrap().steps[0].failures, 1);
 
-    let again = site.open_runs();
-    asked(&mut site, &again[..1], &[FAILED]);
+    let restarted_runs = site.open_runs();
+    answer_probes(&mut site, &restarted_runs[..1], &[FAILED]);
     let job = site.workload.job(job).unwrap();
     assert_eq!(job.outcome, Some(Outcome::Failed));
 }
 
-/// The same, but the lease of the worker had run out before it was heard: then its ends stand for nothing, as everywhere.
+/// If the lease of the lost worker ran out before it answers again, its ends do not count, as everywhere.
 #[test]
-fn a_failure_that_is_heard_after_the_lease_does_not_count() {
-    let (mut site, job, runs) = gang_at_work();
-    let says = [Nothing, BROKEN, BROKEN];
-    assert!(begins_anew(&mut site, &runs, &says));
+fn a_failure_reported_after_the_lease_does_not_count() {
+    let (mut site, job, runs) = running_gang();
+    let answers = [NoAnswer, BROKEN, BROKEN];
+    assert!(gang_restarts(&mut site, &runs, &answers));
     site.send_starts();
-    site.now_ms += LAPSED_MS;
+    site.now_ms += LEASE_EXPIRY_MS;
     site.heartbeats();
-    asked(&mut site, &runs[..1], &[FAILED]);
+    answer_probes(&mut site, &runs[..1], &[FAILED]);
     assert_eq!(site.workload.job(job).unwrap().steps[0].failures, 0);
 }
 
-/// A gang was given up since its other members broke, and another core leads before the silent worker answers: it fails there after all. Were that not
-/// counted, a gang that fails whenever it runs would be begun once more for each such change of leader.
+/// A gang was given up because its other members broke, and another core leads before the silent worker reports that it failed there. If
+/// the failure did not count, a gang that always fails would be started once more for each such change of leader.
 #[test]
-fn the_next_leader_counts_a_failure_that_comes_late() {
-    let (mut site, job, runs) = gang_at_work();
-    asked(&mut site, &runs, &[BROKEN, BROKEN, Nothing]);
+fn the_next_leader_counts_a_failure_reported_late() {
+    let (mut site, job, runs) = running_gang();
+    answer_probes(&mut site, &runs, &[BROKEN, BROKEN, NoAnswer]);
     site.advance(STOP_MS + 200);
-    asked(&mut site, &runs, &[Runs, Runs, Nothing]);
+    answer_probes(&mut site, &runs, &[Running, Running, NoAnswer]);
     let lost = runs[2].1;
-    let still_open = site.open_runs().into_iter().any(|(_, run)| run == lost);
-    assert!(!still_open, "the silent worker's member is given up");
+    let is_still_open = site.open_runs().into_iter().any(|(_, run)| run == lost);
+    assert!(!is_still_open, "the silent worker's member is given up");
     site.take_over(2);
-    asked(&mut site, &runs, &[Runs, Runs, FAILED]);
+    answer_probes(&mut site, &runs, &[Running, Running, FAILED]);
     let step = site
         .workload
         .job(job)
@@ -311,28 +315,30 @@
     assert_eq!(step.map(|step| step.failures), Some(1));
 }
 
-/// A gang has failed once of two allowed failures, and was given up once more since its members broke. The silent worker says that it failed there; until that
-/// is recorded the gang waits, or it would begin after its last allowed failure.
+/// A gang has failed once of two allowed failures, and was given up a second time because its members broke. The silent worker reports that
+/// it failed there. The gang must wait until that is recorded, or it would start after its last allowed failure.
 #[test]
-fn a_failure_on_its_way_into_the_record_holds_the_gang() {
-    let (mut site, job, runs) = gang_at_work();
-    asked(&mut site, &runs, &[FAILED, BROKEN, BROKEN]);
-    site.advance(QUIET_MS);
+fn a_gang_waits_for_a_failure_that_is_being_recorded() {
+    let (mut site, job, runs) = running_gang();
+    answer_probes(&mut site, &runs, &[FAILED, BROKEN, BROKEN]);
+    site.advance(SET_ASIDE_MS);
     site.plan_and_start();
     site.send_starts();
     site.advance(100);
-    let again = site.open_runs();
-    assert_eq!(again.len(), 3);
-    asked(&mut site, &again, &[BROKEN, BROKEN, Nothing]);
+    let restarted_runs = site.open_runs();
+    assert_eq!(restarted_runs.len(), 3);
+    answer_probes(&mut site, &restarted_runs, &[BROKEN, BROKEN, NoAnswer]);
     site.advance(STOP_MS + 200);
-    asked(&mut site, &again, &[Runs, Runs, Nothing]);
-    let lost = again[2].1;
+    answer_probes(&mut site, &restarted_runs, &[Running, Running, NoAnswer]);
+    let lost = restarted_runs[2].1;
     let open = site.open_runs();
     assert!(!open.iter().any(|(_, run)| *run == lost), "it is given up");
     let failed = ended(&site, lost, EndKind::Failed);
     site.advance(400);
-    let looks: Vec<_> = site.orders();
-    let own = looks.iter().filter(|order| order.to.worker == again[2].0);
+    let probes: Vec<_> = site.orders();
+    let own = probes
+        .iter()
+        .filter(|order| order.to.worker == restarted_runs[2].0);
     let pending: Vec<Command> = own
         .filter_map(|order| {
             site.dispatcher
--- a/crates/bh-workload/tests/change_of_leader.rs
+++ b/crates/bh-workload/tests/change_of_leader.rs
@@ -1,4 +1,4 @@
-//! Work goes on when another core leads.
+//! Tests of work that continues under another leader.
 
 mod support;
 
@@ -11,9 +11,8 @@
 use support::Site;
 use support::step;
 
-/// The leader ends, and urgent jobs are handed in to its successor. It knows all workers from the record, but gives no work to one whose
-/// clock it has not read. Idle workers would be heard with their next heartbeats, up to 1.5 s later, and the jobs be late; so they are looked
-/// at right away, once each.
+/// A new leader knows all workers from the record, but gives no work to one whose clock it has not read. Idle workers would send their next
+/// heartbeats up to 1.5 s later, and urgent jobs would be late; so the leader probes each of them once at once.
 #[test]
 fn a_new_leader_uses_idle_workers_before_their_next_heartbeat() {
     const WORKERS: usize = 4;
@@ -22,14 +21,17 @@
     site.dispatcher = Dispatcher::new(Timing::DEFAULT, 2, site.now_ms, &site.workload);
     site.planner = Planner::new();
     site.submit(0, "guaranteed", vec![step(2, 8)]);
-    assert!(site.plan().starts.is_empty(), "no worker was heard yet");
+    assert!(
+        site.plan().starts.is_empty(),
+        "no worker has sent a heartbeat yet"
+    );
 
     let (orders, ends) = site.dispatcher.orders(site.now_ms, &site.workload, true);
     assert!(ends.is_empty());
-    let looked_at: BTreeSet<_> = orders.iter().map(|order| order.to.worker.clone()).collect();
-    assert_eq!((orders.len(), looked_at.len()), (WORKERS, WORKERS));
-    let again = site.dispatcher.orders(site.now_ms, &site.workload, true);
-    assert!(again.0.is_empty(), "one look at a time");
+    let probed: BTreeSet<_> = orders.iter().map(|order| order.to.worker.clone()).collect();
+    assert_eq!((orders.len(), probed.len()), (WORKERS, WORKERS));
+    let repeated = site.dispatcher.orders(site.now_ms, &site.workload, true);
+    assert!(repeated.0.is_empty(), "one probe at a time");
     site.now_ms += 5;
     for order in &orders {
         assert!(matches!(
@@ -51,13 +53,13 @@
     let later = site.dispatcher.orders(site.now_ms, &site.workload, true);
     assert!(
         later.0.is_empty(),
-        "an idle worker that was heard needs no look"
+        "an idle worker that has answered needs no probe"
     );
 }
 
-/// The same, and one worker does not answer its first look: it gets no work and no more looks until it is heard.
+/// An idle worker does not answer the first probe of a new leader: it gets no work and no more probes until its next heartbeat.
 #[test]
-fn a_new_leader_leaves_a_silent_worker_alone() {
+fn a_new_leader_does_not_probe_a_silent_worker_again_before_its_heartbeat() {
     let mut site = Site::new(1, 1);
     site.now_ms += 10_000;
     site.dispatcher = Dispatcher::new(Timing::DEFAULT, 2, site.now_ms, &site.workload);
--- a/crates/bh-workload/tests/cold_workers.rs
+++ b/crates/bh-workload/tests/cold_workers.rs
@@ -1,4 +1,4 @@
-//! Workers that have just started and are slow for a while.
+//! Tests of cold workers: workers that have just started and are slow for a while.
 
 mod support;
 
@@ -11,14 +11,14 @@
 
 const COLD_MS: u64 = 5_000;
 
-/// Its workers are cold; those of `far` are not.
-const GIVEN_BACK: &str = "dc";
+/// The data centre whose evacuation has ended. Its workers are cold, and those of `far` are not.
+const REOPENED: &str = "dc";
 
-/// A site of which one data centre has just been given back.
-fn given_back(workers: usize) -> Site {
+/// Creates a site where the evacuation of one data centre has just ended.
+fn reopened_site(workers: usize) -> Site {
     let mut site = Site::in_two_data_centres(workers, workers);
-    site.evacuate(GIVEN_BACK);
-    site.end_evacuation(GIVEN_BACK);
+    site.evacuate(REOPENED);
+    site.end_evacuation(REOPENED);
     let workers = site.workload.workers();
     let ids: Vec<Incarnation> = workers.map(|worker| worker.info.id.clone()).collect();
     for id in ids {
@@ -29,8 +29,8 @@
     site
 }
 
-/// Whether each of the workers that are used now is cold.
-fn used(site: &mut Site) -> Vec<bool> {
+/// Plans and records; returns for each start whether its worker is cold.
+fn started_on_cold(site: &mut Site) -> Vec<bool> {
     let plan = site.plan_and_start();
     plan.starts
         .iter()
@@ -38,57 +38,58 @@
         .collect()
 }
 
-/// A gang is as slow as its slowest member. It is not given one cold worker where enough warm ones are free, in one rack or over several.
+/// A gang is as slow as its slowest member. No member gets a cold worker if enough warm ones are free, in one rack or across several.
 #[rstest]
 #[case(true)]
 #[case(false)]
 fn a_gang_takes_warm_workers(#[case] rack_local: bool) {
-    let mut site = given_back(4);
+    let mut site = reopened_site(4);
     let spec = StepSpec {
         gang: true,
         rack_local,
         ..step(3, 8)
     };
     site.submit(1, "other", vec![spec]);
-    assert_eq!(used(&mut site), [false; 3]);
+    assert_eq!(started_on_cold(&mut site), [false; 3]);
 }
 
-/// Where the warm workers are full, a gang begins on cold ones: by the time a warm one is free it may be half done.
+/// If the warm workers are full, a gang starts on cold ones: it may be half done by the time a warm one is free.
 #[test]
-fn a_gang_that_finds_no_warm_workers_begins_on_cold_ones() {
-    let mut site = given_back(2);
+fn a_gang_that_finds_no_warm_workers_starts_on_cold_ones() {
+    let mut site = reopened_site(2);
     let spec = StepSpec {
         gang: true,
         ..step(4, 8)
     };
     site.submit(1, "other", vec![spec]);
-    assert_eq!(used(&mut site), [false, false, true, true]);
+    assert_eq!(started_on_cold(&mut site), [false, false, true, true]);
 }
 
-/// A data centre is given back while many small tasks wait. A cold worker that is filled at once is slow for all of them; it gets the next one when the
-/// one before was seen at work, and as many as it holds once it is warm.
+/// The evacuation of a data centre ends while many small tasks wait. A cold worker that is filled at once is slow for all of them. It gets
+/// the next task once the one before was seen running, and as many as fit once it is warm.
 #[test]
-fn a_cold_worker_is_not_filled_at_once() {
-    let mut site = given_back(1);
+fn a_cold_worker_is_filled_gradually() {
+    let mut site = reopened_site(1);
     site.submit(1, "other", vec![step(16, 1)]);
-    let cold = |used: &[bool]| used.iter().filter(|cold| **cold).count();
-    assert_eq!(cold(&used(&mut site)), 1);
+    let cold_count =
+        |started_on_cold: &[bool]| started_on_cold.iter().filter(|is_cold| **is_cold).count();
+    assert_eq!(cold_count(&started_on_cold(&mut site)), 1);
     site.send_starts();
-    assert_eq!(cold(&used(&mut site)), 0);
+    assert_eq!(cold_count(&started_on_cold(&mut site)), 0);
     site.advance(100);
     site.report();
     site.advance(1_100);
     site.report();
-    assert_eq!(cold(&used(&mut site)), 1);
+    assert_eq!(cold_count(&started_on_cold(&mut site)), 1);
     site.advance(COLD_MS);
-    assert_eq!(cold(&used(&mut site)), 6);
+    assert_eq!(cold_count(&started_on_cold(&mut site)), 6);
 }
 
-/// Work that a guarantee covers must begin within a bound, on cold workers too if there are no others.
+/// Guaranteed work must start within a time limit, on cold workers too if there are no others.
 #[test]
-fn guaranteed_work_begins_on_cold_workers() {
-    let mut site = given_back(2);
+fn guaranteed_work_starts_on_cold_workers() {
+    let mut site = reopened_site(2);
     site.evacuate(FAR);
     site.submit(0, "guaranteed", vec![step(16, 1)]);
-    assert_eq!(used(&mut site), [true; 16]);
+    assert_eq!(started_on_cold(&mut site), [true; 16]);
 }
--- a/crates/bh-workload/tests/crashing_tasks.rs
+++ b/crates/bh-workload/tests/crashing_tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks that crash the worker that starts them.
+//! Tests of tasks that crash the workers that start them.
 #![expect(
     clippy::unwrap_used,
     reason = "a test that meets the unexpected shall end"
@@ -30,15 +30,15 @@
 use support::task;
 use support::worker_id;
 
-/// Workers that may crash under one task at most.
-const MOST_CRASHES: usize = 3;
-/// Time at work after which a run cannot have crashed its worker by its start, in milliseconds.
-const OUTLASTED_MS: u64 = 30_000;
+/// Maximum number of workers that may crash under one task.
+const MAX_CRASHES: usize = 3;
+/// Running time after which the start of a run cannot be the cause of a crash of its worker, in milliseconds.
+const NOT_SUSPECT_MS: u64 = 30_000;
 
-/// A caller hands in a job whose task crashes each worker that starts it, 10 ms later. The worker is back after 3 s under another identity,
-/// the lost run counts as nobody's fault, and the task begins anew on the next worker: the caller waits for ever, and the fleet loses a
-/// worker every few seconds with all that ran there. Seen in two minutes: 33 starts of one task. What proved it: the rate is the same from
-/// the first run on, within one leader's term, and nothing in the record grows with the crashes.
+/// Guards against a job whose task crashes each worker that starts it, 10 ms later. The worker is back after 3 s under another identity,
+/// and the lost run counts as nobody's fault. Without a limit the task starts on worker after worker: the caller waits for ever, and the
+/// fleet loses a worker, with all its runs, every few seconds. In two minutes there were 33 starts of one task, at the same rate from the
+/// first run on, within one leader's term and with nothing in the record that grew with the crashes.
 #[test]
 fn a_task_that_crashes_its_workers_is_given_up() {
     const DOWN_MS: u64 = 3_000;
@@ -50,26 +50,26 @@
         site.plan_and_start();
         site.send_starts();
         site.advance(10);
-        let hosts: Vec<_> = site.open_runs();
-        for (worker, _) in hosts {
+        let open_runs: Vec<_> = site.open_runs();
+        for (worker, _) in open_runs {
             crashes += 1;
             site.crash(&worker);
         }
         site.advance(DOWN_MS);
     }
     assert!(
-        crashes <= MOST_CRASHES,
+        crashes <= MAX_CRASHES,
         "{crashes} workers crashed under one task"
     );
     let outcome = site.workload.job(job).unwrap().outcome;
     assert_eq!(outcome, Some(Outcome::Failed));
 }
 
-/// Starts what waits and lets it be seen at work for `for_ms`.
-fn start_and_run(site: &mut Site, for_ms: u64) {
+/// Starts the waiting work, and lets workers report it as running after `for_ms`.
+fn start_and_run(site: &mut Site, run_ms: u64) {
     site.plan_and_start();
     site.send_starts();
-    site.advance(for_ms);
+    site.advance(run_ms);
     site.report();
 }
 
@@ -77,14 +77,14 @@
     site.workload.task(task).unwrap().all_crashes()
 }
 
-/// A job that crashes its worker is started beside sound ones, which lose their runs with it and begin anew. Were every run that is lost
-/// with a worker held against its task, a few such jobs would have all their neighbours given up; what had been at work for long is no
-/// suspect, and the others are cleared by their next run.
+/// A job that crashes its worker is started beside sound ones, which lose their runs with the worker and restart. If every run lost with a
+/// worker counted against its task, a few such jobs would have all their neighbours given up. A run that had run for long is no suspect,
+/// and the others are cleared by their next run.
 #[test]
 fn neighbours_of_a_crashing_task_are_done() {
     let mut site = Site::new(1, 1);
     let long = site.submit(1, "other", vec![step(1, 1)]);
-    start_and_run(&mut site, OUTLASTED_MS);
+    start_and_run(&mut site, NOT_SUSPECT_MS);
     let young = site.submit(1, "other", vec![step(2, 1)]);
     start_and_run(&mut site, 1_500);
     let crashing = site.submit(0, "other", vec![step(1, 1)]);
@@ -110,10 +110,11 @@
     }
 }
 
-/// A worker crashed under two tasks that had just begun there. Until either is seen at work, nothing else may begin beside it, nor both on
-/// one worker: should that one crash too, its other work would be lost with it and nothing would tell which task is the cause.
+/// A worker crashed under two tasks that had just started there. Until one of them is seen running, nothing else may start beside it, and
+/// they may not both start on one worker: if that one crashed too, its other work would be lost, and nothing would show which task is the
+/// cause.
 #[test]
-fn suspects_begin_apart() {
+fn suspects_start_on_separate_workers() {
     let mut site = Site::new(3, 3);
     let job = site.submit(0, "other", vec![step(2, 1)]);
     site.plan_and_start();
@@ -125,13 +126,13 @@
     assert_eq!(crashes(&site, task(job, 0, 1)), 1);
 
     let plan = site.plan_and_start();
-    let hosts: BTreeSet<_> = plan
+    let workers: BTreeSet<_> = plan
         .starts
         .iter()
         .map(|start| start.worker.clone())
         .collect();
     assert_eq!(
-        (plan.starts.len(), hosts.len()),
+        (plan.starts.len(), workers.len()),
         (2, 2),
         "one on each worker"
     );
@@ -142,7 +143,7 @@
     assert!(
         plan.starts
             .iter()
-            .all(|start| !hosts.contains(&start.worker))
+            .all(|start| !workers.contains(&start.worker))
     );
 
     site.advance(1_100);
@@ -152,14 +153,14 @@
     assert!(
         plan.starts
             .iter()
-            .any(|start| hosts.contains(&start.worker))
+            .any(|start| workers.contains(&start.worker))
     );
 }
 
-/// Two workers crash under a task that was alone on the second one, and the job is given up at once. Its caller reads that it failed, and
+/// Two workers crash under a task that was alone on the second one, so the job is given up at once. The caller can read that it failed, and
 /// an operator why.
 #[test]
-fn a_crash_under_a_task_alone_is_proof() {
+fn a_crash_under_a_task_alone_on_its_worker_is_proof() {
     let mut site = Site::new(4, 2);
     let job = site.submit(0, "other", vec![step(1, 8)]);
     for _ in 0..2 {
@@ -184,63 +185,63 @@
     assert!(matches!(given_up, GiveUp::Crashes { run } if run.attempt == 2));
     assert!(
         site.workload.job(job).unwrap().ended_ms > 0,
-        "it is kept for its caller"
+        "the job is kept for its caller"
     );
 }
 
 /// Workers leave, have their upkeep, are cut off past their lease and come back, or crash before an order reaches them, each three times
-/// under the same task. None of these is a crash under it, and a job that is given up for it is a broken promise.
+/// under the same task. None of these is a crash caused by the task, so the job must not be given up.
 #[rstest]
-#[case::drained(Away::Drained)]
-#[case::left(Away::Left)]
-#[case::silent(Away::Silent)]
-#[case::never_reached(Away::NeverReached)]
-fn what_is_no_crash_counts_for_nothing(#[case] away: Away) {
-    /// Time that a worker goes on after it said that it leaves.
+#[case::drained(DepartureKind::Drained)]
+#[case::left(DepartureKind::Left)]
+#[case::silent(DepartureKind::Silent)]
+#[case::never_reached(DepartureKind::NeverReached)]
+fn departures_that_are_no_crash_do_not_count(#[case] kind: DepartureKind) {
+    /// Time that a worker keeps running after it announced that it leaves, in milliseconds.
     const DRAIN_MS: u64 = 2_000;
     let mut site = Site::new(6, 3);
     let job = site.submit(0, "other", vec![step(1, 8)]);
     for _ in 0..3 {
         site.plan_and_start();
-        if away != Away::NeverReached {
+        if kind != DepartureKind::NeverReached {
             site.send_starts();
         }
         site.advance(10);
         let (worker, run) = site.open_runs()[0].clone();
-        match away {
-            Away::Drained => {
+        match kind {
+            DepartureKind::Drained => {
                 let change = WorkerChange::Draining(worker.clone());
                 site.workload.apply(Command::Workers(vec![change]));
                 site.take_events();
                 site.advance(DRAIN_MS);
                 site.crash(&worker);
             }
-            Away::Left => {
+            DepartureKind::Left => {
                 let change = WorkerChange::Gone(worker.clone());
                 site.workload.apply(Command::Workers(vec![change]));
                 site.take_events();
             }
-            Away::Silent => site.end(run, EndKind::Lost),
-            Away::NeverReached => site.crash(&worker),
+            DepartureKind::Silent => site.end(run, EndKind::Lost),
+            DepartureKind::NeverReached => site.crash(&worker),
         }
         assert_eq!(crashes(&site, task(job, 0, 0)), 0);
         site.advance(5_000);
     }
     site.plan_and_start();
-    assert_eq!(site.open_runs().len(), 1, "the task goes on");
+    assert_eq!(site.open_runs().len(), 1, "the task restarts");
 }
 
-/// How a worker came to be away.
+/// Why a worker is gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Away {
+enum DepartureKind {
     Drained,
     Left,
     Silent,
     NeverReached,
 }
 
-/// A worker falls silent under a task, its lease runs out, and only then another incarnation answers at its address. The crash counts all
-/// the same: it had not been heard when the task was begun anew, and three such rounds must not pass unseen.
+/// A worker falls silent while a task runs there, its lease runs out, and only then another incarnation answers at its address. The crash
+/// must count: the leader did not know of it when the task restarted, and three such rounds must not go unnoticed.
 #[test]
 fn a_crash_that_shows_after_the_lease_counts() {
     let mut site = Site::new(2, 2);
@@ -251,10 +252,10 @@
     let (worker, run) = site.open_runs()[0].clone();
     site.fall_silent(&worker);
     site.now_ms += 12_000;
-    let (looks, ends) = site.dispatcher.orders(site.now_ms, &site.workload, true);
-    for look in &looks {
+    let (probes, ends) = site.dispatcher.orders(site.now_ms, &site.workload, true);
+    for probe in &probes {
         site.dispatcher
-            .note_answer(site.now_ms, look, &Answer::Lost, &site.workload);
+            .note_answer(site.now_ms, probe, &Answer::Lost, &site.workload);
     }
     assert_eq!(ends.len(), 1);
     assert_eq!((ends[0].run, ends[0].kind), (run, EndKind::Lapsed));
@@ -263,12 +264,15 @@
     site.take_events();
     site.comes_back_as_another(&worker);
     assert_eq!(crashes(&site, task(job, 0, 0)), 1);
-    assert!(site.workload.worker(&worker).is_none(), "it is forgotten");
+    assert!(
+        site.workload.worker(&worker).is_none(),
+        "the old incarnation is removed"
+    );
 }
 
-/// The leader changes, all cores restart from a snapshot, and a deposed leader records the crash once more. The count stays what it was.
+/// The leader changes, all cores restart from a snapshot, and a deposed leader records the crash once more. The count must stay the same.
 #[test]
-fn the_count_outlives_the_leader() {
+fn the_crash_count_survives_a_change_of_leader() {
     let mut site = Site::new(3, 3);
     let job = site.submit(0, "other", vec![step(1, 8)]);
     site.plan_and_start();
@@ -279,7 +283,7 @@
         run,
         evidence: Evidence::Alone,
     }];
-    let again = Command::Ends {
+    let repeated = Command::Ends {
         ends: Vec::new(),
         now_ms: site.wall_ms(),
         crash: Some(Crash {
@@ -289,7 +293,7 @@
         late_failures: Vec::new(),
     };
     site.crash(&worker);
-    site.workload.apply(again);
+    site.workload.apply(repeated);
     let machine = Machine::new(site.workload.clone(), Workload::CODEC);
     let snapshot = machine.snapshot().unwrap();
     machine.restore(&snapshot).unwrap();
@@ -298,9 +302,9 @@
     assert_eq!(crashes(&site, task(job, 0, 0)), 1);
 }
 
-/// A record written before crashes were counted is read, and counts none.
+/// A record written before crashes were counted is read, and has a count of zero.
 #[test]
-fn a_record_without_counts_is_read() {
+fn a_record_without_crash_counts_is_read() {
     let mut site = Site::new(1, 1);
     let job = site.submit(0, "other", vec![step(1, 8)]);
     let machine = Machine::new(site.workload.clone(), Workload::CODEC);
@@ -311,8 +315,8 @@
     assert_eq!(crashes(&site, task(job, 0, 0)), 0);
 }
 
-/// A core of an older version leads or follows beside newer ones while all are replaced. It reads the record of a crash as the ends of the
-/// runs that were there, so that no core takes a run for open that others know to be over; only the count is missing there.
+/// A core of an older version leads or follows beside newer ones during an update of all cores. It reads the record of a crash as the ends
+/// of the runs that were there, so that no core takes a run for open that others know to have ended; only the count is missing there.
 #[test]
 fn older_cores_read_a_crash_as_ends() {
     let mut site = Site::new(1, 1);
@@ -330,8 +334,8 @@
     assert!(text["Ends"]["crash"].is_object());
 }
 
-/// One member of a gang crashes its worker, and the others are broken off with it. Each attempt costs the whole gang, so it is given up
-/// after the second one; members on other workers are no suspects.
+/// One member of a gang crashes its worker, and the others are ended with it. Each attempt costs the whole gang, so it is given up after
+/// the second one; members on other workers are no suspects.
 #[test]
 fn a_gang_with_a_crashing_member_is_given_up() {
     let mut site = Site::new(4, 2);
@@ -357,13 +361,13 @@
     assert_eq!(outcome, Some(Outcome::Failed));
 }
 
-/// A service lasts for weeks, and its workers crash now and then for reasons of their own. Nothing of that is held against it; but a
-/// service that crashes each worker as it begins is given up like any other work, since it would take the fleet down.
+/// A service runs for weeks, and its workers crash now and then for other reasons, which must not count against it. A service that crashes
+/// each worker as it starts is given up like any other work, since it would take the fleet down.
 #[rstest]
-#[case::for_long(OUTLASTED_MS, None)]
+#[case::for_long(NOT_SUSPECT_MS, None)]
 #[case::at_its_start(10, Some(Outcome::Failed))]
 fn a_service_is_given_up_only_for_crashes_at_its_start(
-    #[case] at_work_ms: u64,
+    #[case] run_ms: u64,
     #[case] expected: Option<Outcome>,
 ) {
     let mut site = Site::new(6, 3);
@@ -373,7 +377,7 @@
     };
     let job = site.submit(0, "other", vec![service]);
     for _ in 0..4 {
-        start_and_run(&mut site, at_work_ms);
+        start_and_run(&mut site, run_ms);
         if let Some((worker, _)) = site.open_runs().first().cloned() {
             site.crash(&worker);
         }
@@ -382,10 +386,10 @@
     assert_eq!(site.workload.job(job).unwrap().outcome, expected);
 }
 
-/// The leader learns of a crash, and its record fails since no majority answers for a moment. The worker is looked at again and the crash
-/// recorded then; otherwise its runs would be taken for running for as long as the leader leads.
+/// The leader detects a crash, and recording it fails because no majority answers for a moment. The worker is probed again and the crash
+/// recorded then; otherwise its runs would count as running for as long as the leader leads.
 #[test]
-fn a_crash_that_was_not_recorded_is_found_again() {
+fn a_crash_that_was_not_recorded_is_detected_again() {
     let mut site = Site::new(1, 1);
     let job = site.submit(0, "other", vec![step(1, 8)]);
     site.plan_and_start();
--- a/crates/bh-workload/tests/evacuation.rs
+++ b/crates/bh-workload/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! A data centre is evacuated and given back: nothing begins there meanwhile, whatever was on its way, and nothing is lost.
+//! Tests of evacuations: nothing starts in an evacuated data centre, whatever was in transit, and nothing is lost.
 #![expect(
     clippy::unwrap_used,
     reason = "a test that meets the unexpected shall end"
@@ -30,7 +30,7 @@
 use support::worker_id;
 
 const NEAR: &str = "dc";
-/// Wait before a start without an answer is sent again, with some room, in milliseconds.
+/// Wait before a start without an answer is sent again, with a margin, in milliseconds.
 const RETRY_MS: u64 = 400;
 
 fn gang(count: u32, accelerators: u64) -> StepSpec {
@@ -40,7 +40,7 @@
     }
 }
 
-fn lasting(count: u32) -> StepSpec {
+fn service(count: u32) -> StepSpec {
     StepSpec {
         long_running: true,
         ..step(count, 8)
@@ -52,7 +52,7 @@
     orders.iter().filter(is_start).collect()
 }
 
-fn wait(site: &Site, job: JobId) -> Option<WaitReason> {
+fn wait_reason(site: &Site, job: JobId) -> Option<WaitReason> {
     let times = (site.now_ms, site.wall_ms());
     let report = site
         .planner
@@ -61,24 +61,24 @@
     report.steps[0].wait.clone()
 }
 
-/// An operator empties one of two data centres while callers hand in work of every kind. All of it begins in the other one, up to its last
-/// place; what finds none waits and begins once the data centre is given back.
+/// An operator evacuates one of two data centres while callers submit work of every kind. All of it starts in the other one until that is
+/// full; the rest waits and starts once the evacuation ends.
 #[rstest]
 #[case::tasks(step(4, 8))]
 #[case::a_gang(gang(4, 8))]
-#[case::a_service(lasting(4))]
-fn work_begins_elsewhere_until_the_data_centre_is_given_back(#[case] spec: StepSpec) {
+#[case::a_service(service(4))]
+fn work_starts_elsewhere_until_the_evacuation_ends(#[case] spec: StepSpec) {
     let mut site = Site::in_two_data_centres(4, 2);
     site.evacuate(FAR);
     site.submit(1, "other", vec![spec.clone()]);
-    let waits = site.submit(1, "other", vec![spec]);
+    let waiting_job = site.submit(1, "other", vec![spec]);
     let plan = site.plan_and_start();
     assert_eq!(plan.starts.len(), 4);
     assert!(plan.starts.iter().all(|start| !site.is_far(&start.worker)));
     site.send_starts();
     site.advance(1_000);
     assert!(site.plan().starts.is_empty());
-    assert!(wait(&site, waits).is_some());
+    assert!(wait_reason(&site, waiting_job).is_some());
 
     site.end_evacuation(FAR);
     let plan = site.plan_and_start();
@@ -86,10 +86,10 @@
     assert!(plan.starts.iter().all(|start| site.is_far(&start.worker)));
 }
 
-/// The leader plans, the evacuation is recorded, and only then the starts of that plan come to the record. Those in the evacuated data centre
-/// are refused there: the order of changes decides, not what the leader saw. Their tasks wait on and begin elsewhere.
+/// The leader plans, the evacuation is recorded, and only then the starts of that plan reach the record. Those in the evacuated data centre
+/// are refused: the order of the changes decides, not what the leader saw. Their tasks wait and start elsewhere.
 #[test]
-fn a_plan_made_before_is_refused_by_the_record() {
+fn starts_planned_before_an_evacuation_are_refused() {
     let mut site = Site::in_two_data_centres(2, 2);
     let tasks = site.submit(1, "other", vec![step(4, 8)]);
     let plan = site.plan();
@@ -111,10 +111,10 @@
     assert_eq!(waiting.len(), 4);
 }
 
-/// A gang over both data centres is recorded, but not ordered yet. Its members in the evacuated one are taken back before any order, and so
-/// are the others: no part of a gang runs. It begins anew as a whole in the other data centre.
+/// The starts of a gang across both data centres are recorded, but not sent yet. Its members in the evacuated data centre are withdrawn
+/// before any order, and so are the others, so that no part of a gang runs. The gang restarts as a whole in the other data centre.
 #[test]
-fn a_gang_that_is_half_placed_there_begins_anew_elsewhere() {
+fn a_gang_partly_placed_in_an_evacuated_data_centre_restarts_elsewhere() {
     let mut site = Site::in_two_data_centres(4, 2);
     let filler = site.submit(1, "other", vec![step(2, 8)]);
     site.plan_and_start();
@@ -153,9 +153,9 @@
     assert!(plan.starts.iter().all(|start| !site.is_far(&start.worker)));
 }
 
-/// What runs in the data centre goes on: nothing is stopped, and its leases are renewed until it is done.
+/// Runs in the data centre continue: nothing is stopped, and their leases are renewed until they end.
 #[test]
-fn what_runs_there_goes_on() {
+fn runs_in_an_evacuated_data_centre_continue() {
     let mut site = Site::in_two_data_centres(2, 2);
     site.submit(1, "other", vec![gang(4, 8)]);
     site.plan_and_start();
@@ -181,13 +181,13 @@
     assert_eq!(site.open_runs().len(), 4);
 }
 
-/// A start had no answer when the evacuation was recorded, so it may have been carried out. It is not sent again: the worker is looked at. If it
-/// runs the task, that goes on; if it does not, the run is stopped there, so that an order that comes late begins nothing, and the task begins
+/// A start has had no answer when the evacuation is recorded, so it may have been executed. It is not sent again; the worker is probed. If
+/// the worker runs the task, the run continues. If not, the run is stopped there, so that a late order starts nothing, and the task starts
 /// elsewhere.
 #[rstest]
-#[case::the_order_came_through(true)]
+#[case::the_order_was_executed(true)]
 #[case::the_order_was_lost(false)]
-fn a_start_without_an_answer_is_looked_after_and_not_repeated(#[case] carried_out: bool) {
+fn a_start_without_an_answer_is_probed_and_not_repeated(#[case] executed: bool) {
     let mut site = Site::in_two_data_centres(1, 1);
     site.submit(1, "other", vec![step(2, 8)]);
     site.plan_and_start();
@@ -208,8 +208,8 @@
         assert!(starts(&orders).is_empty(), "a start was sent again");
         for order in orders {
             stopped |= matches!(order.body, OrderBody::Stop { .. });
-            let there = carried_out || !site.is_far(&order.to.worker);
-            let answer = if there {
+            let has_run = executed || !site.is_far(&order.to.worker);
+            let answer = if has_run {
                 site.looked(&order.to.worker, &[])
             } else {
                 Answer::Done {
@@ -230,15 +230,15 @@
             }
         }
     }
-    assert_eq!(stopped, !carried_out);
-    let runs = if carried_out { 2 } else { 1 };
+    assert_eq!(stopped, !executed);
+    let runs = if executed { 2 } else { 1 };
     assert_eq!(site.open_runs().len(), runs);
 }
 
-/// All cores lose power right after the evacuation was acknowledged, and the next leader reads the record from a disk. It knows the evacuation. Of the
-/// runs that it finds recorded there it does not know whether they began: it asks, starts none, and stops none that runs.
+/// All cores lose power right after the evacuation was acknowledged, and the next leader reads the record from disk. The leader knows of
+/// the evacuation, but not whether the runs recorded there have started: it probes, starts none, and stops none that runs.
 #[test]
-fn an_evacuation_outlives_its_leader_and_a_snapshot() {
+fn an_evacuation_survives_a_change_of_leader_and_a_snapshot() {
     let mut site = Site::in_two_data_centres(1, 1);
     site.submit(1, "other", vec![step(2, 8)]);
     site.plan_and_start();
@@ -255,8 +255,8 @@
         site.advance(RETRY_MS);
         for order in site.orders() {
             let repeated = matches!(order.body, OrderBody::Start { .. });
-            let looks = matches!(order.body, OrderBody::Probe { .. });
-            assert!(looks || repeated && !site.is_far(&order.to.worker));
+            let is_probe = matches!(order.body, OrderBody::Probe { .. });
+            assert!(is_probe || repeated && !site.is_far(&order.to.worker));
             let answer = site.looked(&order.to.worker, &[]);
             site.dispatcher
                 .note_answer(site.now_ms, &order, &answer, &site.workload);
@@ -265,8 +265,8 @@
     assert_eq!(site.open_runs().len(), 2);
 }
 
-/// An operator whose acknowledgement was lost sends the same order again, to any core. It changes nothing the second time, and neither does the end of
-/// an evacuation that never began.
+/// An operator whose acknowledgement was lost sends the same order again, to any core. The second order changes nothing, and neither does
+/// the end of an evacuation that never started.
 #[test]
 fn orders_on_evacuations_are_idempotent() {
     let mut site = Site::in_two_data_centres(1, 1);
@@ -292,7 +292,7 @@
     assert!(!site.workload.knows_data_centre("elsewhere"));
 }
 
-/// A snapshot of a version that knew no evacuations is read as one without any.
+/// A snapshot of a version without evacuations is read as one with none.
 #[test]
 fn older_snapshots_hold_no_evacuation() {
     let site = Site::in_two_data_centres(1, 1);
@@ -309,10 +309,10 @@
     assert_eq!(read.worker_count(), 2);
 }
 
-/// Room is being made for urgent work in a data centre when its evacuation begins. It is no longer waited for: the work takes room elsewhere, or
-/// has it made there.
+/// Capacity is being made for urgent work in a data centre when its evacuation starts. The work stops waiting for that capacity: it takes
+/// free capacity elsewhere, or has it made there.
 #[test]
-fn room_that_is_being_made_there_is_given_up() {
+fn a_reservation_in_an_evacuated_data_centre_is_released() {
     let mut site = Site::in_two_data_centres(2, 2);
     site.submit(2, "other", vec![step(4, 8)]);
     site.plan_and_start();
@@ -321,22 +321,27 @@
     let urgent = site.submit(0, "guaranteed", vec![gang(2, 8)]);
     let plan = site.plan();
     assert_eq!(plan.reserved.len(), 1);
-    let claimed_far = plan.evictions.iter().any(|(worker, _)| site.is_far(worker));
-    let emptied = if claimed_far { FAR } else { NEAR };
-    site.evacuate(emptied);
+    let reserved_far = plan.evictions.iter().any(|(worker, _)| site.is_far(worker));
+    let evacuated = if reserved_far { FAR } else { NEAR };
+    site.evacuate(evacuated);
     let plan = site.plan();
-    let dropped: Vec<ReleaseReason> = plan.released.iter().map(|(_, why)| *why).collect();
-    assert_eq!(dropped, [ReleaseReason::WorkerUnusable]);
+    let release_reasons: Vec<ReleaseReason> = plan.released.iter().map(|(_, why)| *why).collect();
+    assert_eq!(release_reasons, [ReleaseReason::WorkerUnusable]);
     assert_eq!(
         plan.reserved.first().map(|(step, _)| step.job),
         Some(urgent)
     );
-    let inside = |worker: &Incarnation| site.is_far(worker) == claimed_far;
-    assert!(!plan.evictions.iter().any(|(worker, _)| inside(worker)));
+    let is_in_evacuated = |worker: &Incarnation| site.is_far(worker) == reserved_far;
+    assert!(
+        !plan
+            .evictions
+            .iter()
+            .any(|(worker, _)| is_in_evacuated(worker))
+    );
 }
 
-/// All data centres are evacuated at once. Work that is handed in waits and is neither lost nor refused, an engineer is told why, and what was
-/// running when the order came ends as ever. Given back, the work begins.
+/// All data centres are evacuated at once. Submitted work waits and is neither lost nor refused, an operator can read why, and runs that
+/// had started before end as usual. Once the evacuations end, the work starts.
 #[test]
 fn with_all_data_centres_evacuated_work_waits() {
     let mut site = Site::in_two_data_centres(1, 1);
@@ -345,7 +350,7 @@
     site.send_starts();
     site.evacuate(FAR);
     site.evacuate(NEAR);
-    let waits = site.submit(0, "guaranteed", vec![gang(2, 8)]);
+    let waiting_job = site.submit(0, "guaranteed", vec![gang(2, 8)]);
     for _ in 0..20 {
         site.advance(500);
         let plan = site.plan();
@@ -353,7 +358,7 @@
     }
     let data_centres: BTreeSet<Arc<str>> = [Arc::from(FAR), Arc::from(NEAR)].into();
     assert_eq!(
-        wait(&site, waits),
+        wait_reason(&site, waiting_job),
         Some(WaitReason::Evacuated { data_centres })
     );
     site.end(support::run_of(&site, before, 0), EndKind::Done);
@@ -363,8 +368,8 @@
     assert_eq!(site.plan_and_start().starts.len(), 2);
 }
 
-/// The data of a task is in a rack of the evacuated data centre. It does not wait for that rack, which may come back in minutes or never, but begins
-/// elsewhere at once, however long that takes there.
+/// The data of a task is in a rack of the evacuated data centre. The task does not wait for that rack, which may come back in minutes or
+/// never, but starts elsewhere at once, however long it takes there.
 #[test]
 fn work_does_not_wait_for_a_rack_that_is_evacuated() {
     let mut site = Site::in_two_data_centres(2, 2);
@@ -389,11 +394,11 @@
 
 /// A service task in the evacuated data centre fails by itself. It is restarted elsewhere.
 #[test]
-fn a_task_that_ends_there_begins_again_elsewhere() {
+fn a_service_task_that_fails_in_an_evacuated_data_centre_restarts_elsewhere() {
     let mut site = Site::in_two_data_centres(2, 2);
     let filler = site.submit(1, "other", vec![step(1, 8)]);
     site.plan_and_start();
-    site.submit(1, "other", vec![lasting(2)]);
+    site.submit(1, "other", vec![service(2)]);
     site.plan_and_start();
     site.send_starts();
     site.end(support::run_of(&site, filler, 0), EndKind::Done);
--- a/crates/bh-workload/tests/explain.rs
+++ b/crates/bh-workload/tests/explain.rs
@@ -1,4 +1,4 @@
-//! Why a job waits, as an operator is told.
+//! Tests of the reasons that an operator reads for a job that waits.
 #![expect(
     clippy::unwrap_used,
     reason = "a test that meets the unexpected shall end"
@@ -25,14 +25,14 @@
         .unwrap()
 }
 
-fn wait(site: &Site, job: JobId) -> Option<WaitReason> {
+fn wait_reason(site: &Site, job: JobId) -> Option<WaitReason> {
     explain(site, job).steps[0].wait.clone()
 }
 
-/// Each cause of a wait has a name of its own: an engineer who is only told that a job waits would have to guess between a label that no
-/// worker has, a task that is too large, and a pool that is full.
+/// Each cause of a wait has its own reason. An operator who reads only that a job waits would have to guess between a label that no worker
+/// has, a task that is too large, and a pool that is full.
 #[test]
-fn each_cause_of_a_wait_is_told_apart() {
+fn each_cause_of_a_wait_has_its_own_reason() {
     let mut site = Site::new(2, 2);
     site.advance(60_000);
     let labelled = StepSpec {
@@ -49,10 +49,16 @@
     site.submit(2, "other", vec![step(1, 8)]);
     site.plan_and_start();
     let full = site.submit(2, "other", vec![step(1, 8)]);
-    assert_eq!(wait(&site, labelled), Some(WaitReason::NoWorkerAllowed));
-    assert_eq!(wait(&site, large), Some(WaitReason::NoWorkerLargeEnough));
     assert_eq!(
-        wait(&site, full),
+        wait_reason(&site, labelled),
+        Some(WaitReason::NoWorkerAllowed)
+    );
+    assert_eq!(
+        wait_reason(&site, large),
+        Some(WaitReason::NoWorkerLargeEnough)
+    );
+    assert_eq!(
+        wait_reason(&site, full),
         Some(WaitReason::NoRoom {
             tasks: 1,
             places: 0
@@ -67,9 +73,9 @@
     );
 }
 
-/// A guaranteed job for which others are being stopped.
+/// Other runs are being stopped to make capacity for a guaranteed job.
 #[test]
-fn room_that_is_being_made_is_told() {
+fn capacity_that_is_being_made_is_reported() {
     let mut site = Site::new(1, 1);
     site.advance(60_000);
     site.submit(2, "other", vec![step(8, 1)]);
@@ -88,9 +94,9 @@
     );
 }
 
-/// A job whose first occurrence is due in an hour.
+/// The first occurrence of a job is due in an hour.
 #[test]
-fn a_job_that_is_not_due_says_when() {
+fn a_job_that_is_not_due_reports_when_it_is() {
     let mut site = Site::new(1, 1);
     let id = JobId(77);
     let due_ms = site.wall_ms() + 3_600_000;
@@ -108,5 +114,5 @@
         spec,
         now_ms: site.wall_ms(),
     });
-    assert_eq!(wait(&site, id), Some(WaitReason::NotDue { due_ms }));
+    assert_eq!(wait_reason(&site, id), Some(WaitReason::NotDue { due_ms }));
 }
--- a/crates/bh-workload/tests/fewer_attempts.rs
+++ b/crates/bh-workload/tests/fewer_attempts.rs
@@ -1,4 +1,4 @@
-//! Rules that allow fewer failures than those before.
+//! Tests of a change of rules to fewer allowed failures.
 mod support;
 
 use bh_workload::job::JobId;
@@ -14,7 +14,7 @@
 use support::rules;
 use support::step;
 
-/// Rules under which one failure is the last.
+/// Returns rules that allow a single failure.
 fn strict_rules() -> Rules {
     let mut strict = rules(2);
     for queue in &mut strict.queues {
@@ -26,7 +26,7 @@
     strict
 }
 
-/// A task, or a gang, that has failed once of two allowed failures.
+/// Creates a site with a task or a gang that has failed once of two allowed failures.
 fn failed_once(gang: bool) -> (Site, JobId) {
     let mut site = Site::new(2, 2);
     let spec = StepSpec { gang, ..step(1, 1) };
@@ -41,9 +41,9 @@
     site.workload.job(job).and_then(|job| job.outcome)
 }
 
-/// A task has failed, and new rules allow no more failures: it is not begun again, and its caller is told so.
+/// A task has failed, and new rules allow no more failures: the task does not start again, and its job is reported as failed.
 #[rstest]
-fn a_job_that_may_fail_no_more_is_given_up(#[values(false, true)] gang: bool) {
+fn a_job_without_allowed_failures_left_is_given_up(#[values(false, true)] gang: bool) {
     let (mut site, job) = failed_once(gang);
     let strict = Command::SetRules(Box::new(strict_rules()));
     site.workload.apply(strict);
@@ -52,11 +52,12 @@
     assert_eq!(site.plan().starts, Vec::new());
 }
 
-/// The same while its next run goes on: that may still be done, and once it is lost nothing of the job begins again.
+/// New rules allow no more failures while the next run of a failed task is running. The run may still be done; if it is lost, nothing of
+/// the job starts again.
 #[rstest]
 #[case(EndKind::Done, Outcome::Completed)]
 #[case(EndKind::Lost, Outcome::Failed)]
-fn a_run_that_goes_on_decides(#[case] end: EndKind, #[case] expected: Outcome) {
+fn a_run_in_progress_decides_the_outcome(#[case] end: EndKind, #[case] expected: Outcome) {
     let (mut site, job) = failed_once(false);
     site.plan_and_start();
     let run = site.open_runs()[0].1;
