--- a/crates/bh-workload/tests/advice.rs
+++ b/crates/bh-workload/tests/advice.rs
@@ -18,7 +18,7 @@
 use support::step;
 use support::worker_id;
 
-const VALID_MS: u64 = 5_000;
+const VALIDITY_MS: u64 = 5_000;
 
 /// Creates a site whose queues all need the adviser's permission.
 fn advised_site(workers: usize) -> Site {
@@ -29,7 +29,7 @@
             advised: Some(AdviserTiming {
                 decision_ms: 200,
                 per_worker_ms: 10,
-                validity_ms: VALID_MS,
+                validity_ms: VALIDITY_MS,
             }),
             ..(**queue).clone()
         });
@@ -94,7 +94,7 @@
     assert_eq!(plan.starts.len(), 1);
     assert!(plan.questions.is_empty(), "all workers were asked about");
     site.end(plan.starts[0].run, bh_workload::state::EndKind::Done);
-    site.advance(VALID_MS);
+    site.advance(VALIDITY_MS);
     let plan = site.plan_and_start();
     assert!(plan.starts.is_empty());
     let asked: Vec<&str> = plan.questions[0].workers.iter().map(|w| &*w.id).collect();
--- a/crates/bh-workload/tests/broken_gangs.rs
+++ b/crates/bh-workload/tests/broken_gangs.rs
@@ -72,7 +72,7 @@
         let own_answer = own.map(|((_, run), answer)| (*run, *answer)).next();
         let answer = match own_answer {
             Some((_, NoAnswer)) => Answer::Lost,
-            Some((run, ProbeAnswer::Ended(kind))) => ended(site, run, kind),
+            Some((run, ProbeAnswer::Ended(kind))) => end_answer(site, run, kind),
             Some((_, Running)) | None => site.looked(&order.to.worker, &[]),
         };
         let command = site
@@ -90,7 +90,7 @@
     site.take_events();
 }
 
-fn ended(site: &Site, run: RunId, kind: EndKind) -> Answer {
+fn end_answer(site: &Site, run: RunId, kind: EndKind) -> Answer {
     let end = Ended {
         number: run.attempt.into(),
         run,
@@ -333,7 +333,7 @@
     let lost = restarted_runs[2].1;
     let open = site.open_runs();
     assert!(!open.iter().any(|(_, run)| *run == lost), "it is given up");
-    let failed = ended(&site, lost, EndKind::Failed);
+    let failed = end_answer(&site, lost, EndKind::Failed);
     site.advance(400);
     let probes: Vec<_> = site.orders();
     let own = probes
--- a/crates/bh-workload/tests/crashing_tasks.rs
+++ b/crates/bh-workload/tests/crashing_tasks.rs
@@ -367,7 +367,7 @@
 #[case::for_long(NOT_SUSPECT_MS, None)]
 #[case::at_its_start(10, Some(Outcome::Failed))]
 fn a_service_is_given_up_only_for_crashes_at_its_start(
-    #[case] run_ms: u64,
+    #[case] running_ms: u64,
     #[case] expected: Option<Outcome>,
 ) {
     let mut site = Site::new(6, 3);
@@ -377,7 +377,7 @@
     };
     let job = site.submit(0, "other", vec![service]);
     for _ in 0..4 {
-        start_and_run(&mut site, run_ms);
+        start_and_run(&mut site, running_ms);
         if let Some((worker, _)) = site.open_runs().first().cloned() {
             site.crash(&worker);
         }
--- a/crates/bh-workload/tests/delays/faults.rs
+++ b/crates/bh-workload/tests/delays/faults.rs
@@ -100,7 +100,7 @@
     /// Seed of everything that the faults don't determine.
     pub seed: u64,
     /// Longest time until a proposal is committed, in milliseconds.
-    pub record_ms: u64,
+    pub max_commit_ms: u64,
     /// Share of runs that fail, in percent.
     pub failing_percent: u64,
     /// Share of orders that busy workers deny at any time, in percent.
@@ -166,21 +166,21 @@
 
 /// A case with faults of this strategy.
 pub fn case(fault: impl Strategy<Value = (u64, Fault)>) -> impl Strategy<Value = Case> {
-    let record_ms = prop_oneof![1 => Just(1u64), 3 => 2u64..=500];
+    let max_commit_ms = prop_oneof![1 => Just(1u64), 3 => 2u64..=500];
     let failing_percent = prop_oneof![1 => Just(0u64), 1 => 1u64..50];
     let busy_percent = prop_oneof![2 => Just(0u64), 1 => 1u64..20];
     let faults = proptest::collection::vec(fault, 0..20);
     (
         any::<u64>(),
-        record_ms,
+        max_commit_ms,
         failing_percent,
         busy_percent,
         faults,
     )
         .prop_map(
-            move |(seed, record_ms, failing_percent, busy_percent, faults)| Case {
+            move |(seed, max_commit_ms, failing_percent, busy_percent, faults)| Case {
                 seed,
-                record_ms,
+                max_commit_ms,
                 failing_percent,
                 busy_percent,
                 faults,
@@ -243,7 +243,7 @@
     let bursts = proptest::collection::vec(burst, usize::try_from(BURSTS).unwrap());
     let failing_percent = prop_oneof![2 => Just(0u64), 1 => 1u64..20];
     (any::<u64>(), 1u64..200, failing_percent, bursts).prop_map(
-        move |(seed, record_ms, failing_percent, bursts)| {
+        move |(seed, max_commit_ms, failing_percent, bursts)| {
             let bursts = (0u64..).zip(bursts);
             let faults = bursts.flat_map(|(burst, (others, leader))| {
                 let faults = others.into_iter().chain(leader);
@@ -251,7 +251,7 @@
             });
             Case {
                 seed,
-                record_ms,
+                max_commit_ms,
                 failing_percent,
                 busy_percent: 0,
                 faults: faults.collect(),
--- a/crates/bh-workload/tests/delays/leader.rs
+++ b/crates/bh-workload/tests/delays/leader.rs
@@ -215,7 +215,7 @@
         }
         self.push(now_ms + PROPOSAL_TIMEOUT_MS, Event::ProposalTimeout { id });
         if leader.deposed.is_none() {
-            let commit_delay_ms = 1 + self.random.below(self.case.record_ms);
+            let commit_delay_ms = 1 + self.random.below(self.case.max_commit_ms);
             let at_ms = self.log.append(id, now_ms + commit_delay_ms, command);
             self.push(at_ms, Event::Commit);
         }
--- a/crates/bh-workload/tests/fuzz_delays.rs
+++ b/crates/bh-workload/tests/fuzz_delays.rs
@@ -165,7 +165,7 @@
     let simpler: [fn(&mut Case); 3] = [
         |case| case.busy_percent = 0,
         |case| case.failing_percent = 0,
-        |case| case.record_ms = 1,
+        |case| case.max_commit_ms = 1,
     ];
     for simplify in simpler {
         let mut simpler_case = case.clone();
@@ -297,12 +297,12 @@
 /// A case found by earlier runs, with these faults.
 fn regression_case(
     seed: u64,
-    (record_ms, failing_percent): (u64, u64),
+    (max_commit_ms, failing_percent): (u64, u64),
     faults: Vec<(u64, Fault)>,
 ) -> Case {
     Case {
         seed,
-        record_ms,
+        max_commit_ms,
         failing_percent,
         busy_percent: 0,
         faults,
--- a/crates/bh-workload/tests/fuzz_orders.rs
+++ b/crates/bh-workload/tests/fuzz_orders.rs
@@ -451,8 +451,11 @@
             .keys()
             .map(|run| accelerators(workload, run.task))
             .sum();
-        let had = self.max_recent_size(index, sent_ms);
-        assert!(used <= had, "{used} of {had} accelerators on a worker");
+        let max_size = self.max_recent_size(index, sent_ms);
+        assert!(
+            used <= max_size,
+            "{used} of {max_size} accelerators on a worker"
+        );
     }
 
     /// Returns the largest number of accelerators that a worker had at any time that the leader's information may date from when it sent an
@@ -538,16 +541,16 @@
 
     /// Checks that a task under which three workers have crashed starts at most twice more, by orders that were already in transit.
     fn check_crashes(&mut self, run: RunId) {
-        const MOST_CRASHES: u32 = 3;
-        const MOST_STARTS_AFTER: u32 = 2;
+        const MAX_CRASHES: u32 = 3;
+        const MAX_STARTS_AFTER: u32 = 2;
         let crashes = self.crashes_by_task.get(&run.task).copied().unwrap_or(0);
-        if crashes < MOST_CRASHES || !self.crashing.contains(&run.task) {
+        if crashes < MAX_CRASHES || !self.crashing.contains(&run.task) {
             return;
         }
         let after = self.starts_after_crashes.entry(run.task).or_default();
         *after += 1;
         assert!(
-            *after <= MOST_STARTS_AFTER,
+            *after <= MAX_STARTS_AFTER,
             "{run} starts though {crashes} workers crashed under it, for the {after}th time"
         );
     }
@@ -1255,13 +1258,13 @@
 #[test]
 fn crashing_tasks_cost_few_workers_and_no_sound_job() {
     const SEEDS: u64 = 300;
-    const MOST_CRASHES: u32 = 3;
+    const MAX_CRASHES: u32 = 3;
     for seed in 0..SEEDS {
         let crashing = 1 + usize::try_from(seed % 3).unwrap();
         let (most_crashes, sound_given_up) =
             run_with_crashing_tasks(seed, 0, &[], Planted::Nothing, crashing);
         assert!(
-            most_crashes <= MOST_CRASHES,
+            most_crashes <= MAX_CRASHES,
             "seed {seed}: {most_crashes} crashes"
         );
         assert_eq!(sound_given_up, 0, "seed {seed}: sound jobs given up");
