--- a/crates/bh-workload/tests/delays/stands.rs
+++ b/crates/bh-workload/tests/delays/stands.rs
@@ -3,9 +3,9 @@
 use super::history::Finding;
 use super::history::Rule;
 use super::site::Site;
+use crate::support::live_worker::LiveWorker;
 use crate::support::standing::Standing;
 use crate::support::standing::standing;
-use crate::support::true_worker::TrueWorker;
 use bh_workload::job::JobId;
 use bh_workload::job::TaskId;
 use std::collections::BTreeMap;
@@ -115,11 +115,11 @@
     }
 
     /// Workers that are up and reachable.
-    fn true_workers(&self) -> Vec<TrueWorker> {
+    fn true_workers(&self) -> Vec<LiveWorker> {
         let all = 0..self.workers.len();
         let reachable = all.filter(|index| !self.is_cut(*index));
         reachable
-            .map(|index| TrueWorker {
+            .map(|index| LiveWorker {
                 info: self.info(index),
                 runs: self.workers[index].runs.keys().copied().collect(),
             })
--- a/crates/bh-workload/tests/kept_room.rs
+++ b/crates/bh-workload/tests/kept_room.rs
@@ -5,9 +5,9 @@
 use bh_workload::job::StepSpec;
 use std::sync::Arc;
 use support::Site;
+use support::live_worker::LiveWorker;
 use support::standing::standing;
 use support::step;
-use support::true_worker::TrueWorker;
 
 const WHOLE_WORKER: u64 = 8;
 /// Time after which no room is kept for urgent work, in milliseconds.
@@ -29,10 +29,10 @@
     while stands_ms < most_ms {
         site.plan_and_start();
         site.send_starts();
-        let workers: Vec<TrueWorker> = site
+        let workers: Vec<LiveWorker> = site
             .workload
             .workers()
-            .map(|worker| TrueWorker {
+            .map(|worker| LiveWorker {
                 info: worker.info.clone(),
                 runs: worker.runs.keys().copied().collect(),
             })
--- a/crates/bh-workload/tests/support/mod.rs
+++ b/crates/bh-workload/tests/support/mod.rs
@@ -5,8 +5,8 @@
 )]
 #![allow(dead_code, reason = "each test file uses a part")]
 
+pub mod live_worker;
 pub mod standing;
-pub mod true_worker;
 
 use bh_protocol::Incarnation;
 use bh_workload::dispatch::Answer;
--- a/crates/bh-workload/tests/support/standing.rs
+++ b/crates/bh-workload/tests/support/standing.rs
@@ -1,6 +1,6 @@
 //! Jobs that stand still though there is room for them.
 
-use super::true_worker::TrueWorker;
+use super::live_worker::LiveWorker;
 use bh_workload::job::JobId;
 use bh_workload::job::Resources;
 use bh_workload::job::RunId;
@@ -34,7 +34,7 @@
 
 /// Steps whose turn has come, of jobs of which nothing runs on `workers`, with room for them twice over in a pool of which less than half is in use.
 /// At most one step of each job. Pools, rules and what is done are taken from the record, what runs where from the workers themselves.
-pub fn standing(workload: &Workload, workers: &[TrueWorker]) -> Vec<Standing> {
+pub fn standing(workload: &Workload, workers: &[LiveWorker]) -> Vec<Standing> {
     let running: BTreeSet<JobId> = workers
         .iter()
         .flat_map(|worker| &worker.runs)
@@ -64,7 +64,7 @@
 fn standing_step(
     workload: &Workload,
     (id, job): (JobId, &Job),
-    workers: &[TrueWorker],
+    workers: &[LiveWorker],
     free: &[Resources],
 ) -> Option<Standing> {
     let pool = &workload.queue_of(job).pool;
@@ -119,7 +119,7 @@
     tasks.all(|task| task.failures >= most)
 }
 
-fn free(workload: &Workload, worker: &TrueWorker) -> Resources {
+fn free(workload: &Workload, worker: &LiveWorker) -> Resources {
     let mut free = worker.info.capacity;
     let needs = |run: &RunId| workload.step_spec(run.task.step).map(StepSpec::reserved);
     for needs in worker.runs.iter().filter_map(needs) {
@@ -128,7 +128,7 @@
     free
 }
 
-fn pool_is_idle(pool: &Arc<str>, workers: &[TrueWorker], free: &[Resources]) -> bool {
+fn pool_is_idle(pool: &Arc<str>, workers: &[LiveWorker], free: &[Resources]) -> bool {
     let own = workers.iter().zip(free);
     let own = own.filter(|(worker, _)| worker.info.pool == *pool);
     let (all, free) = own.fold((0, 0), |(all, open), (worker, free)| {
