--- a/crates/bh-workload/tests/delays/stands.rs
+++ b/crates/bh-workload/tests/delays/stands.rs
@@ -4,8 +4,8 @@
 use super::history::Rule;
 use super::site::Site;
 use crate::support::live_worker::LiveWorker;
-use crate::support::standing::Standing;
-use crate::support::standing::standing;
+use crate::support::stalled_steps::StalledStep;
+use crate::support::stalled_steps::stalled_steps;
 use bh_workload::job::JobId;
 use bh_workload::job::TaskId;
 use std::collections::BTreeMap;
@@ -66,8 +66,8 @@
             return;
         }
         self.stands.looked_ms = now_ms;
-        let found = standing(&self.record, &self.true_workers());
-        let jobs: BTreeSet<JobId> = found.iter().map(|standing| standing.step.job).collect();
+        let found = stalled_steps(&self.record, &self.true_workers());
+        let jobs: BTreeSet<JobId> = found.iter().map(|stalled| stalled.step.job).collect();
         let stands = &mut self.stands;
         stands.since_ms.retain(|job, _| jobs.contains(job));
         let over: Vec<JobId> = stands.now.keys().copied().collect();
@@ -80,7 +80,7 @@
         }
     }
 
-    fn note_standing(&mut self, standing: &Standing) {
+    fn note_standing(&mut self, standing: &StalledStep) {
         let (now_ms, job) = (self.now_ms, standing.step.job);
         let stands = &mut self.stands;
         let since_ms = *stands.since_ms.entry(job).or_insert(now_ms);
--- a/crates/bh-workload/tests/kept_room.rs
+++ b/crates/bh-workload/tests/kept_room.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use support::Site;
 use support::live_worker::LiveWorker;
-use support::standing::standing;
+use support::stalled_steps::stalled_steps;
 use support::step;
 
 const WHOLE_WORKER: u64 = 8;
@@ -37,8 +37,8 @@
                 runs: worker.runs.keys().copied().collect(),
             })
             .collect();
-        let found = standing(&site.workload, &workers);
-        if !found.iter().any(|standing| standing.step.job == job) {
+        let found = stalled_steps(&site.workload, &workers);
+        if !found.iter().any(|stalled| stalled.step.job == job) {
             return stands_ms;
         }
         site.advance(PLAN_MS);
--- a/crates/bh-workload/tests/support/mod.rs
+++ b/crates/bh-workload/tests/support/mod.rs
@@ -6,7 +6,7 @@
 #![allow(dead_code, reason = "each test file uses a part")]
 
 pub mod live_worker;
-pub mod standing;
+pub mod stalled_steps;
 
 use bh_protocol::Incarnation;
 use bh_workload::dispatch::Answer;
--- a/crates/bh-workload/tests/support/standing.rs
+++ b/crates/bh-workload/tests/support/stalled_steps.rs
@@ -1,4 +1,4 @@
-//! Jobs that stand still though there is room for them.
+//! Finds jobs that are stalled although there is capacity for them.
 
 use super::live_worker::LiveWorker;
 use bh_workload::job::JobId;
@@ -15,26 +15,27 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Times that the room must hold what is to begin.
-const TIMES: u64 = 2;
-/// Share of a pool's accelerators from which it is too busy to judge, in percent.
+/// Minimum number of slots for a stall, as a multiple of the tasks that must start together.
+const TIMES_SLOTS: u64 = 2;
+/// Share of a pool's accelerators in use from which its jobs don't count as stalled, in percent.
 const BUSY_PERCENT: u64 = 50;
 
-/// A step whose turn has come, of a job of which nothing runs.
+/// A runnable step of a job of which nothing runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct StalledStep {
     pub step: StepId,
-    /// Tasks that must begin together: a gang's members, or one.
+    /// Number of tasks that must start together: all members of a gang, otherwise one.
     pub together: u64,
-    /// Places for such tasks.
-    pub places: u64,
-    /// Whether the step is slower there than in a rack of its own: no rack that suits it has all these places.
+    /// Number of free slots for such tasks.
+    pub slots: u64,
+    /// Whether the step would run slower on these slots: it prefers one rack, and no eligible rack has enough slots.
     pub slower: bool,
 }
 
-/// Steps whose turn has come, of jobs of which nothing runs on `workers`, with room for them twice over in a pool of which less than half is in use.
-/// At most one step of each job. Pools, rules and what is done are taken from the record, what runs where from the workers themselves.
-pub fn standing(workload: &Workload, workers: &[LiveWorker]) -> Vec<Standing> {
+/// Returns the runnable steps of jobs of which nothing runs on `workers`, if there is capacity for the step twice over and less than half of its
+/// pool is in use. Returns at most one step of each job. Pools, rules and progress come from the record, the running tasks from the workers
+/// themselves.
+pub fn stalled_steps(workload: &Workload, workers: &[LiveWorker]) -> Vec<StalledStep> {
     let running: BTreeSet<JobId> = workers
         .iter()
         .flat_map(|worker| &worker.runs)
@@ -42,7 +43,7 @@
         .collect();
     let free: Vec<Resources> = workers
         .iter()
-        .map(|worker| free(workload, worker))
+        .map(|worker| free_resources(workload, worker))
         .collect();
     let mut is_idle: BTreeMap<Arc<str>, bool> = BTreeMap::new();
     let mut found = Vec::new();
@@ -55,71 +56,75 @@
             .entry(pool.clone())
             .or_insert_with(|| pool_is_idle(pool, workers, &free));
         if is_idle {
-            found.extend(standing_step(workload, (id, job), workers, &free));
+            found.extend(stalled_step(workload, (id, job), workers, &free));
         }
     }
     found
 }
 
-fn standing_step(
+fn stalled_step(
     workload: &Workload,
     (id, job): (JobId, &Job),
     workers: &[LiveWorker],
     free: &[Resources],
-) -> Option<Standing> {
+) -> Option<StalledStep> {
     let pool = &workload.queue_of(job).pool;
-    let most = workload.max_attempts(job);
+    let max_attempts = workload.max_attempts(job);
     let specs = job.spec.steps.iter().zip(0..);
-    let mut standing = specs.filter_map(|(spec, position)| {
+    let mut stalled = specs.filter_map(|(spec, position)| {
         let step = StepId {
             job: id,
             occurrence: 0,
             step: position,
         };
         let progress = job.step(step)?;
-        if progress.is_done() || !job.is_unblocked(step) || has_used_up(progress, spec, most) {
+        if progress.is_done()
+            || !job.is_unblocked(step)
+            || has_used_up_attempts(progress, spec, max_attempts)
+        {
             return None;
         }
         let together = if spec.gang { u64::from(spec.count) } else { 1 };
         let mut racks: BTreeMap<&Arc<str>, u64> = BTreeMap::new();
-        let suited = workers.iter().zip(free).filter(|(worker, _)| {
+        let eligible = workers.iter().zip(free).filter(|(worker, _)| {
             let info = &worker.info;
             let label = spec.required_label.as_ref();
             info.pool == *pool
                 && !workload.is_evacuated(info)
                 && label.is_none_or(|label| info.labels.contains(label))
         });
-        for (worker, free) in suited {
+        for (worker, free) in eligible {
             *racks.entry(&worker.info.rack).or_default() +=
                 spec.reserved().count_in(free, spec.most_on_worker());
         }
-        let wants_rack = spec.near_rack.is_some() || spec.gang && spec.rack_local;
-        let places = racks.values().sum();
-        let in_one_rack = racks.iter().any(|(rack, places)| {
+        let prefers_one_rack = spec.near_rack.is_some() || spec.gang && spec.rack_local;
+        let slots = racks.values().sum();
+        let in_one_rack = racks.iter().any(|(rack, slots)| {
             let suits = spec.near_rack.as_ref().is_none_or(|near| near == *rack);
-            suits && *places >= TIMES * together
+            suits && *slots >= TIMES_SLOTS * together
         });
-        (places >= TIMES * together).then_some(Standing {
+        (slots >= TIMES_SLOTS * together).then_some(StalledStep {
             step,
             together,
-            places,
-            slower: wants_rack && !in_one_rack,
+            slots,
+            slower: prefers_one_rack && !in_one_rack,
         })
     });
-    standing.next()
+    stalled.next()
 }
 
-/// Whether no task of a step may begin any more.
-fn has_used_up(progress: &Step, spec: &StepSpec, most: u32) -> bool {
+/// Returns whether no task of a step has an attempt left.
+fn has_used_up_attempts(progress: &Step, spec: &StepSpec, max_attempts: u32) -> bool {
     if spec.gang {
-        return progress.failures >= most;
+        return progress.failures >= max_attempts;
     }
-    let left = |task: &&Task| task.state != TaskState::Done;
-    let mut tasks = progress.tasks.iter().filter(left);
-    tasks.all(|task| task.failures >= most)
+    let unfinished = |task: &&Task| task.state != TaskState::Done;
+    let mut tasks = progress.tasks.iter().filter(unfinished);
+    tasks.all(|task| task.failures >= max_attempts)
 }
 
-fn free(workload: &Workload, worker: &LiveWorker) -> Resources {
+/// Returns the resources of a worker that its runs don't take.
+fn free_resources(workload: &Workload, worker: &LiveWorker) -> Resources {
     let mut free = worker.info.capacity;
     let needs = |run: &RunId| workload.step_spec(run.task.step).map(StepSpec::reserved);
     for needs in worker.runs.iter().filter_map(needs) {
@@ -128,13 +133,14 @@
     free
 }
 
+/// Returns whether less than `BUSY_PERCENT` of the pool's accelerators are in use.
 fn pool_is_idle(pool: &Arc<str>, workers: &[LiveWorker], free: &[Resources]) -> bool {
     let own = workers.iter().zip(free);
     let own = own.filter(|(worker, _)| worker.info.pool == *pool);
-    let (all, free) = own.fold((0, 0), |(all, open), (worker, free)| {
+    let (all, free) = own.fold((0, 0), |(all, total_free), (worker, free)| {
         (
             all + worker.info.capacity.accelerators,
-            open + free.accelerators,
+            total_free + free.accelerators,
         )
     });
     (all - free) * 100 < all * BUSY_PERCENT
