--- a/crates/bh-workload/tests/broken_gangs.rs
+++ b/crates/bh-workload/tests/broken_gangs.rs
@@ -73,7 +73,7 @@
         let answer = match said {
             Some((_, Nothing)) => Answer::Lost,
             Some((run, Says::Ended(kind))) => ended(site, run, kind),
-            Some((_, Runs)) | None => site.looked(&order.to.worker, &[]),
+            Some((_, Runs)) | None => site.probe_answer(&order.to.worker, &[]),
         };
         let command = site
             .dispatcher
--- a/crates/bh-workload/tests/evacuation.rs
+++ b/crates/bh-workload/tests/evacuation.rs
@@ -172,7 +172,7 @@
                 }
                 ref other => panic!("{other} to {}", order.to.worker),
             }
-            let answer = site.looked(&order.to.worker, &[]);
+            let answer = site.probe_answer(&order.to.worker, &[]);
             site.dispatcher
                 .note_answer(site.now_ms, &order, &answer, &site.workload);
         }
@@ -210,7 +210,7 @@
             stopped |= matches!(order.body, OrderBody::Stop { .. });
             let there = carried_out || !site.is_far(&order.to.worker);
             let answer = if there {
-                site.looked(&order.to.worker, &[])
+                site.probe_answer(&order.to.worker, &[])
             } else {
                 Answer::Done {
                     clock_ms: Some(site.now_ms),
@@ -257,7 +257,7 @@
             let repeated = matches!(order.body, OrderBody::Start { .. });
             let looks = matches!(order.body, OrderBody::Probe { .. });
             assert!(looks || repeated && !site.is_far(&order.to.worker));
-            let answer = site.looked(&order.to.worker, &[]);
+            let answer = site.probe_answer(&order.to.worker, &[]);
             site.dispatcher
                 .note_answer(site.now_ms, &order, &answer, &site.workload);
         }
--- a/crates/bh-workload/tests/fleet_counts.rs
+++ b/crates/bh-workload/tests/fleet_counts.rs
@@ -23,12 +23,12 @@
     site.send_starts();
     assert_eq!(counts(&site), FleetCounts::default());
     site.advance(100);
-    let answer_with_run = site.looked(&worker, &[]);
+    let answer_with_run = site.probe_answer(&worker, &[]);
     site.answer_for(&worker, &answer_with_run);
     assert_eq!(counts(&site), FleetCounts::default());
     site.advance(100);
     let orders = site.orders();
-    let answer_without_run = site.looked(&worker, &[run]);
+    let answer_without_run = site.probe_answer(&worker, &[run]);
     for order in &orders {
         site.dispatcher
             .note_answer(site.now_ms, order, &answer_without_run, &site.workload);
--- a/crates/bh-workload/tests/leaving_workers.rs
+++ b/crates/bh-workload/tests/leaving_workers.rs
@@ -146,7 +146,7 @@
 fn a_worker_that_ends_is_over_when_nothing_listens_there() {
     let (mut site, worker, run) = with_notice(step(1, 8), 2_000);
     assert_eq!(leave(&mut site, &worker), None);
-    let alive = site.looked(&worker, &[]);
+    let alive = site.probe_answer(&worker, &[]);
     site.answer_for(&worker, &alive);
     site.advance(500);
     assert_eq!(site.plan().starts, Vec::new(), "the run goes on");
--- a/crates/bh-workload/tests/records_in_doubt.rs
+++ b/crates/bh-workload/tests/records_in_doubt.rs
@@ -41,7 +41,7 @@
     site.advance(LAPSED_MS);
     let (looks, ends) = site.dispatcher.orders(site.now_ms, &site.workload, true);
     assert_eq!(ends.len(), 1, "the run is given up");
-    let back = site.looked(&worker, &[site.open_runs()[0].1]);
+    let back = site.probe_answer(&worker, &[site.open_runs()[0].1]);
     for order in looks.iter().filter(|order| is_look(order)) {
         site.dispatcher
             .note_answer(site.now_ms, order, &back, &site.workload);
--- a/crates/bh-workload/tests/repeated_starts.rs
+++ b/crates/bh-workload/tests/repeated_starts.rs
@@ -116,7 +116,7 @@
     answer(&mut site, &start, &refused);
     for _ in 0..20 {
         site.advance(100);
-        let asked = answer_all(&mut site, |site| site.looked(&worker_id("w00"), &[]));
+        let asked = answer_all(&mut site, |site| site.probe_answer(&worker_id("w00"), &[]));
         assert_eq!(stops(&asked), []);
     }
     assert_eq!(site.open_runs().len(), 1);
--- a/crates/bh-workload/tests/runnable.rs
+++ b/crates/bh-workload/tests/runnable.rs
@@ -114,7 +114,7 @@
 
 fn leave_it_out_of_a_report(site: &mut Site, worker: &Incarnation, run: RunId) {
     confirm(site, worker, run);
-    let listed = site.looked(worker, &[]);
+    let listed = site.probe_answer(worker, &[]);
     site.answer_for(worker, &listed);
     site.advance(100);
     let orders = site.orders();
--- a/crates/bh-workload/tests/shrinking_workers.rs
+++ b/crates/bh-workload/tests/shrinking_workers.rs
@@ -23,7 +23,7 @@
                 Answer::Lost
             }
             OrderBody::Probe { .. } if deaf => Answer::Lost,
-            OrderBody::Probe { .. } => site.looked(&order.to.worker, lost),
+            OrderBody::Probe { .. } => site.probe_answer(&order.to.worker, lost),
             OrderBody::Stop { .. } | OrderBody::Pace { .. } => site.done(),
         };
         site.dispatcher
--- a/crates/bh-workload/tests/standing_still.rs
+++ b/crates/bh-workload/tests/standing_still.rs
@@ -48,7 +48,7 @@
         let answer = if silent.contains(worker) {
             Answer::Lost
         } else {
-            site.looked(worker, &[])
+            site.probe_answer(worker, &[])
         };
         let command = site
             .dispatcher
--- a/crates/bh-workload/tests/support/mod.rs
+++ b/crates/bh-workload/tests/support/mod.rs
@@ -324,7 +324,7 @@
     }
 
     /// The answer of a worker that is looked at and runs what is recorded, but for `except`.
-    pub fn looked(&self, worker: &Incarnation, except: &[RunId]) -> Answer {
+    pub fn probe_answer(&self, worker: &Incarnation, except: &[RunId]) -> Answer {
         let mut report = self.report_of(worker);
         report
             .running
