--- a/crates/bh-workload/tests/crashing_tasks.rs
+++ b/crates/bh-workload/tests/crashing_tasks.rs
@@ -261,7 +261,7 @@
     let now_ms = site.wall_ms();
     site.workload.apply(Command::ends(ends).at(now_ms));
     site.take_events();
-    site.comes_back_as_another(&worker);
+    site.restart_silent_worker(&worker);
     assert_eq!(crashes(&site, task(job, 0, 0)), 1);
     assert!(site.workload.worker(&worker).is_none(), "it is forgotten");
 }
--- a/crates/bh-workload/tests/support/mod.rs
+++ b/crates/bh-workload/tests/support/mod.rs
@@ -429,7 +429,7 @@
     }
 
     /// Another incarnation of a worker that is silent says that it is there, and answers at its address.
-    pub fn comes_back_as_another(&mut self, worker: &Incarnation) {
+    pub fn restart_silent_worker(&mut self, worker: &Incarnation) {
         let mut info = self.workload.worker(worker).unwrap().info.clone();
         info.id = worker_id(&format!("{worker}'"));
         let known = WorkerChange::Known(info);
