--- a/crates/bh-workload/tests/guarantees.rs
+++ b/crates/bh-workload/tests/guarantees.rs
@@ -1,4 +1,4 @@
-//! Guaranteed accelerators are there when their customer asks, whatever was lent.
+//! Guaranteed accelerators are available when their customer needs them, also while others borrow them.
 
 mod support;
 
@@ -19,20 +19,20 @@
     }
 }
 
-/// A site where no guaranteed work has come for so long that no room is kept for it any more.
+/// A site where guaranteed work has been absent for so long that no capacity is kept for it.
 fn lending_site(workers: usize, per_rack: usize) -> Site {
     let mut site = Site::new(workers, per_rack);
     site.advance(60_000);
     site
 }
 
-/// Jobs of which runs are stopped.
+/// Jobs of which the plan stops runs.
 fn stopped_jobs(plan: &Plan) -> BTreeSet<JobId> {
     let runs = plan.evictions.iter();
     runs.map(|(_, run)| run.task.step.job).collect()
 }
 
-/// Ends what the plan stops, plans again, and returns the jobs that begin.
+/// Ends the runs that the plan stops, plans again, and returns the jobs that start.
 fn stop_and_plan(site: &mut Site, plan: &Plan) -> BTreeSet<JobId> {
     for (worker, run) in &plan.evictions {
         site.dispatcher.request_stop(worker, *run);
@@ -47,11 +47,11 @@
         .collect()
 }
 
-/// All accelerators are lent to another customer when two guaranteed jobs arrive, one just after the other. Each is promised room
-/// that borrowers must give back first. Were the room of one worker promised twice, the second job would find it taken once the first
-/// has begun, and would have to wait for another round of stops, past the time its caller was promised.
+/// Guards against reserving the same worker for two guaranteed jobs. Another customer borrows all accelerators when two guaranteed jobs
+/// arrive, one just after the other. If one worker were reserved for both, the second job would find it taken once the first has started,
+/// and would wait for another round of stops, beyond its deadline.
 #[test]
-fn room_that_is_being_made_for_one_job_is_not_promised_to_another() {
+fn capacity_reserved_for_one_job_is_not_reserved_for_another() {
     let mut site = lending_site(4, 4);
     site.submit(2, "other", vec![step(32, 1)]);
     site.plan_and_start();
@@ -66,11 +66,12 @@
     let later = site.plan();
     plan.evictions.extend(later.evictions);
     assert_eq!(plan.evictions.len(), 16);
-    let begun = stop_and_plan(&mut site, &plan);
-    assert_eq!(begun, BTreeSet::from([first, second]));
+    let started_jobs = stop_and_plan(&mut site, &plan);
+    assert_eq!(started_jobs, BTreeSet::from([first, second]));
 }
 
-/// Room is taken from whoever loses least: a task that has just begun goes before one that is nearly done.
+/// Guards against stopping a task that is nearly done while one that has just started could be stopped: the borrower that loses the least work
+/// is stopped.
 #[test]
 fn the_borrower_that_loses_least_is_stopped() {
     let mut site = lending_site(2, 2);
@@ -86,10 +87,10 @@
     assert!(!stopped.contains(&old));
 }
 
-/// A stop saves what a task that saves its progress has done; such a task gives way before one that would have to begin anew, however
-/// long it has run.
+/// Guards against losing work that no checkpoint saves. A task that writes checkpoints keeps its progress when it is stopped, so it is stopped
+/// before one that would have to restart, however long it has run.
 #[test]
-fn a_borrower_that_saves_its_progress_goes_first() {
+fn a_borrower_that_saves_its_progress_is_stopped_first() {
     let mut site = lending_site(2, 2);
     let saving = StepSpec {
         checkpoints: true,
@@ -106,9 +107,9 @@
     assert_eq!(stopped, BTreeSet::from([saving]));
 }
 
-/// What a guarantee covers is never stopped for another guarantee: each customer's share is its own.
+/// Guards against stopping work that a guarantee covers for other guaranteed work.
 #[test]
-fn guaranteed_work_is_no_borrower() {
+fn work_within_the_guarantee_is_not_stopped() {
     let mut site = Site::new(2, 2);
     site.submit(0, "guaranteed", vec![gang(2, 8)]);
     site.plan_and_start();
@@ -120,23 +121,26 @@
     assert_eq!(plan.starts, Vec::new());
 }
 
-/// Before the first guaranteed job comes, small tasks would fill every worker, and that job would have to wait for stops. Some room is
-/// kept for it, so that it begins at once.
+/// Guards against small tasks that fill every worker before the first guaranteed job arrives, so that it would wait for stops. Some capacity is
+/// kept for it, and it starts at once.
 #[test]
-fn room_is_kept_for_the_first_guaranteed_job() {
+fn capacity_is_kept_for_the_first_guaranteed_job() {
     let mut site = Site::new(8, 4);
     site.submit(2, "other", vec![step(64, 1)]);
     site.plan_and_start();
     let filled = site.open_runs().len();
-    assert!((40..=56).contains(&filled), "{filled} of 64 places lent");
+    assert!(
+        (40..=56).contains(&filled),
+        "{filled} of 64 accelerators are borrowed"
+    );
     let job = site.submit(0, "guaranteed", vec![gang(1, 8)]);
     let plan = site.plan();
     assert_eq!(plan.evictions, Vec::new());
     assert_eq!(plan.starts[0].run.task.step.job, job);
 }
 
-/// A gang that is slow on several racks comes while every rack is partly lent. Spread over what is free it would begin at once, take
-/// three times as long and be late; one rack is freed for it instead.
+/// Guards against spreading a guaranteed gang that runs slowly on several racks. Each rack is partly borrowed when the gang arrives. Spread over
+/// the free workers it would start at once, take three times as long and be late; one rack is freed for it instead.
 #[test]
 fn a_rack_is_freed_before_a_guaranteed_gang_is_spread() {
     let mut site = lending_site(4, 2);
@@ -164,25 +168,25 @@
     }
 }
 
-/// A guaranteed job need not be a gang. One of its four tasks finds room at once; for the others borrowers must give way within the same
-/// bound as for a gang. Left to wait they would begin when somebody's work ends, seconds after what their caller was promised.
+/// Guards against stopping borrowers only for gangs. One of four guaranteed tasks that are no gang can start at once. Without stops, the others
+/// would start only when other work ends, seconds after their deadline.
 #[test]
-fn tasks_that_are_no_gang_are_given_room_too() {
+fn borrowers_are_stopped_for_guaranteed_tasks_that_are_no_gang() {
     let mut site = lending_site(2, 2);
     site.submit(2, "other", vec![step(3, 4)]);
     site.plan_and_start();
-    let entitled = site.submit(0, "guaranteed", vec![step(4, 4)]);
+    let guaranteed = site.submit(0, "guaranteed", vec![step(4, 4)]);
     let plan = site.plan_and_start();
     assert_eq!(plan.starts.len(), 1);
     assert_eq!(plan.evictions.len(), 3);
-    let begun = stop_and_plan(&mut site, &plan);
-    assert_eq!(begun, BTreeSet::from([entitled]));
+    let started_jobs = stop_and_plan(&mut site, &plan);
+    assert_eq!(started_jobs, BTreeSet::from([guaranteed]));
     assert_eq!(site.open_runs().len(), 4);
 }
 
-/// Accelerators that small work gets in a pool of 192 when urgent jobs of eight came each `gap_ms` milliseconds until now, and a stop takes
-/// `stop_timeout_ms` at most.
-fn lent_beside_urgent_jobs(gap_ms: u64, stop_timeout_ms: u64) -> usize {
+/// Returns how many accelerators of a pool of 192 small tasks get when urgent jobs of eight accelerators have arrived every `gap_ms`
+/// milliseconds until now, and a stop takes at most `stop_timeout_ms`.
+fn accelerators_for_small_tasks(gap_ms: u64, stop_timeout_ms: u64) -> usize {
     let mut site = Site::new(24, 8);
     let timing = Timing {
         stop_timeout_ms,
@@ -200,19 +204,20 @@
     site.plan().starts.len()
 }
 
-/// Urgent jobs come rarely or in a burst. Room for some is kept free, since stopping others takes long and throws their work away. In a burst that
-/// must be room for all that come in a second or two, but no more than three tenths of the pool; when they are rare, others lose little by it.
+/// Guards against keeping too little or too much capacity for urgent jobs. Some is kept free because stopping other work takes long and throws it
+/// away. In a burst it must be enough for the urgent jobs of a second or two, but no more than three tenths of the pool; when they are rare, it
+/// must be little.
 #[test]
-fn room_kept_for_urgent_jobs_follows_how_often_they_come() {
-    // Three jobs of eight, as the fewest; three tenths of 192 or a little more, since only whole workers are kept.
-    assert_eq!(lent_beside_urgent_jobs(2_000, 400), 192 - 24);
-    assert!((192 - 64..=192 - 48).contains(&lent_beside_urgent_jobs(200, 400)));
+fn capacity_kept_for_urgent_jobs_follows_their_arrival_rate() {
+    // At least three jobs of eight accelerators are kept for; at most three tenths of 192, or a little more since only whole workers are kept.
+    assert_eq!(accelerators_for_small_tasks(2_000, 400), 192 - 24);
+    assert!((192 - 64..=192 - 48).contains(&accelerators_for_small_tasks(200, 400)));
 }
 
-/// The same rate of urgent jobs, where stops are quick and where they take most of the time that such a job has: there it cannot wait for one, so
-/// more room must be free when it comes.
+/// Guards against keeping the same capacity for urgent jobs whatever a stop takes. Where a stop takes most of the time that an urgent job has, the
+/// job cannot wait for one, so more capacity must be free when it arrives.
 #[test]
-fn more_room_is_kept_where_stops_take_long() {
-    assert_eq!(lent_beside_urgent_jobs(400, 200), 192 - 32);
-    assert!(lent_beside_urgent_jobs(400, 900) <= 192 - 56);
+fn more_capacity_is_kept_where_stops_take_long() {
+    assert_eq!(accelerators_for_small_tasks(400, 200), 192 - 32);
+    assert!(accelerators_for_small_tasks(400, 900) <= 192 - 56);
 }
--- a/crates/bh-workload/tests/kept_room.rs
+++ b/crates/bh-workload/tests/kept_room.rs
@@ -1,4 +1,4 @@
-//! Room that is kept for gangs that do not fit yet.
+//! Capacity that is kept for gangs that do not fit yet, or for urgent work.
 mod support;
 
 use bh_workload::job::JobId;
@@ -9,8 +9,9 @@
 use support::stalled_steps::stalled_steps;
 use support::step;
 
+/// Accelerators of a worker.
 const WHOLE_WORKER: u64 = 8;
-/// Time after which no room is kept for urgent work, in milliseconds.
+/// Time without urgent work after which no capacity is kept for it, in milliseconds.
 const QUIET_MS: u64 = 60_000;
 /// Time after which a job of `support` is late, in milliseconds.
 const LATE_MS: u64 = 17_000;
@@ -22,11 +23,12 @@
     }
 }
 
-/// Plans every 200 ms until the job runs, for `most_ms` at most; returns how long it stood still though there was room, in milliseconds.
-fn stands_ms(site: &mut Site, job: JobId, most_ms: u64) -> u64 {
-    const PLAN_MS: u64 = 200;
-    let mut stands_ms = 0;
-    while stands_ms < most_ms {
+/// Plans every 200 ms until the job runs, for `limit_ms` at most; returns how long the job was stalled although there was capacity for it, in
+/// milliseconds.
+fn time_stalled_ms(site: &mut Site, job: JobId, limit_ms: u64) -> u64 {
+    const PLAN_INTERVAL_MS: u64 = 200;
+    let mut stalled_ms = 0;
+    while stalled_ms < limit_ms {
         site.plan_and_start();
         site.send_starts();
         let workers: Vec<LiveWorker> = site
@@ -39,18 +41,18 @@
             .collect();
         let found = stalled_steps(&site.workload, &workers);
         if !found.iter().any(|stalled| stalled.step.job == job) {
-            return stands_ms;
+            return stalled_ms;
         }
-        site.advance(PLAN_MS);
-        stands_ms += PLAN_MS;
+        site.advance(PLAN_INTERVAL_MS);
+        stalled_ms += PLAN_INTERVAL_MS;
     }
-    stands_ms
+    stalled_ms
 }
 
-/// A job stood still in a pool that was mostly idle: it had become late while nobody led, and all free room was kept for a wide gang that was on time and
-/// waited for runs that went on for long.
+/// Guards against a late gang that is stalled in a mostly idle pool: it became late while there was no leader, and all free capacity was kept for a
+/// larger gang that was on time and waited for long runs.
 #[test]
-fn a_late_gang_begins_though_a_wide_one_waits_for_room() {
+fn a_late_gang_starts_while_capacity_is_kept_for_a_larger_one() {
     const BOUND_MS: u64 = 3_000;
     let mut site = Site::new(12, 12);
     site.advance(QUIET_MS);
@@ -64,15 +66,15 @@
     let small = site.submit(1, "other", vec![gang(2)]);
     site.advance(LATE_MS);
     site.submit(1, "other", vec![gang(10)]);
-    let stands_ms = stands_ms(&mut site, small, 20 * BOUND_MS);
-    assert!(stands_ms <= BOUND_MS, "stands still for {stands_ms} ms");
+    let stalled_ms = time_stalled_ms(&mut site, small, 20 * BOUND_MS);
+    assert!(stalled_ms <= BOUND_MS, "stalled for {stalled_ms} ms");
 }
 
-/// Workers of a rack.
+/// Number of workers in a rack.
 const PER_RACK: usize = 12;
 
-/// A site of four racks, in each of which as many workers are taken for long.
-fn taken_racks(taken: [u32; 4]) -> Site {
+/// A site of four racks; `taken` says how many workers of each rack have a long run.
+fn site_with_long_runs(taken: [u32; 4]) -> Site {
     let mut site = Site::new(taken.len() * PER_RACK, PER_RACK);
     site.advance(QUIET_MS);
     for (taken, rack) in taken.into_iter().zip(0..) {
@@ -88,42 +90,42 @@
     site
 }
 
-/// A gang stood still though there was room for it twice over: no rack had it all, it could be spread in time for 400 ms only, and nobody led then. It waited
-/// for a rack for four times its run time.
+/// Guards against a gang that waits for a single rack although there is capacity for it twice over. No rack had enough free workers, and there was no
+/// leader during the 400 ms in which the gang could have been spread and still be on time. It waited for a rack for four times its run time.
 #[test]
-fn a_gang_that_wants_one_rack_begins_elsewhere_after_a_change_of_leader() {
+fn a_gang_that_prefers_one_rack_is_spread_after_a_change_of_leader() {
     const BOUND_MS: u64 = 3_000;
-    const UNLED_MS: u64 = 2_000;
-    let mut site = taken_racks([4, 4, 4, 4]);
+    const WITHOUT_LEADER_MS: u64 = 2_000;
+    let mut site = site_with_long_runs([4, 4, 4, 4]);
     let spec = StepSpec {
         rack_local: true,
         ..gang(10)
     };
     let job = site.submit(1, "other", vec![spec]);
-    site.advance(UNLED_MS);
+    site.advance(WITHOUT_LEADER_MS);
     site.take_over(2);
     site.report();
-    let stands_ms = stands_ms(&mut site, job, 20 * BOUND_MS);
-    assert!(stands_ms <= BOUND_MS, "stands still for {stands_ms} ms");
+    let stalled_ms = time_stalled_ms(&mut site, job, 20 * BOUND_MS);
+    assert!(stalled_ms <= BOUND_MS, "stalled for {stalled_ms} ms");
 }
 
-/// Tasks whose data is in a rack that is taken stood still while the others were free.
+/// Guards against tasks that are stalled because the rack of their data is full, while other racks are free.
 #[test]
-fn tasks_near_a_taken_rack_begin_elsewhere_in_time() {
+fn tasks_near_a_full_rack_start_elsewhere_in_time() {
     const BOUND_MS: u64 = 3_000;
-    let mut site = taken_racks([12, 1, 1, 1]);
+    let mut site = site_with_long_runs([12, 1, 1, 1]);
     let spec = StepSpec {
         near_rack: Some(Arc::from("rack0")),
         ..step(2, WHOLE_WORKER)
     };
     let job = site.submit(1, "other", vec![spec]);
-    let stands_ms = stands_ms(&mut site, job, 20 * BOUND_MS);
-    assert!(stands_ms <= BOUND_MS, "stands still for {stands_ms} ms");
+    let stalled_ms = time_stalled_ms(&mut site, job, 20 * BOUND_MS);
+    assert!(stalled_ms <= BOUND_MS, "stalled for {stalled_ms} ms");
 }
 
-/// A task that only the workers of one rack may run stood still in an idle pool: all of that rack was kept for urgent work that had not come.
+/// Guards against a task that is stalled in an idle pool because the only rack that may run it is kept for urgent work that has not arrived.
 #[test]
-fn a_task_begins_though_the_only_rack_for_it_is_kept() {
+fn a_task_starts_on_its_only_rack_while_that_is_kept_for_urgent_work() {
     const BOUND_MS: u64 = 3_000;
     let mut site = Site::new(48, 6);
     let spec = StepSpec {
@@ -131,6 +133,6 @@
         ..step(1, 1)
     };
     let job = site.submit(1, "other", vec![spec]);
-    let stands_ms = stands_ms(&mut site, job, 20 * BOUND_MS);
-    assert!(stands_ms <= BOUND_MS, "stands still for {stands_ms} ms");
+    let stalled_ms = time_stalled_ms(&mut site, job, 20 * BOUND_MS);
+    assert!(stalled_ms <= BOUND_MS, "stalled for {stalled_ms} ms");
 }
--- a/crates/bh-workload/tests/lasting.rs
+++ b/crates/bh-workload/tests/lasting.rs
@@ -1,4 +1,4 @@
-//! Tasks that run until they are cancelled.
+//! Tasks of services, which run until they are cancelled.
 
 mod support;
 
@@ -12,7 +12,8 @@
 use support::Site;
 use support::step;
 
-fn lasting(count: u32, accelerators: u64, most_unavailable: Option<u32>) -> StepSpec {
+/// A step of tasks that run until they are cancelled, of which `most_unavailable` may be missing at a time.
+fn service_step(count: u32, accelerators: u64, most_unavailable: Option<u32>) -> StepSpec {
     StepSpec {
         long_running: true,
         most_unavailable,
@@ -20,8 +21,8 @@
     }
 }
 
-/// Every worker reports that its runs are wholly at work.
-fn report_at_work(site: &mut Site) {
+/// Every worker reports that its runs are fully at work.
+fn report_fully_at_work(site: &mut Site) {
     site.send_starts();
     site.advance(100);
     let (orders, _) = site.dispatcher.orders(site.now_ms, &site.workload, true);
@@ -52,57 +53,59 @@
     }
 }
 
-fn stopped_of(plan: &bh_workload::plan::Plan, job: JobId) -> usize {
+/// Returns how many runs of a job the plan stops.
+fn stopped_runs(plan: &bh_workload::plan::Plan, job: JobId) -> usize {
     plan.evictions
         .iter()
         .filter(|(_, run)| run.task.step.job == job)
         .count()
 }
 
-/// A service of four tasks may miss one at a time. A guaranteed gang needs the room of two: one task gives way and no second one, also
-/// when the guaranteed customer must wait. Were both stopped, half of the service's callers would be without it.
+/// Guards against stopping more tasks of a service than may be missing. A service of four tasks may miss one at a time. Two guaranteed gangs
+/// need the workers' capacity: only one task is stopped, even if the guaranteed customer must wait. If two were stopped, half of the
+/// service's callers would be without it.
 #[test]
-fn no_more_tasks_of_a_service_are_stopped_than_it_may_miss() {
+fn a_service_loses_no_more_tasks_than_may_be_missing() {
     let mut site = Site::new(2, 2);
     site.advance(60_000);
-    let service = site.submit(2, "other", vec![lasting(4, 4, Some(1))]);
+    let service = site.submit(2, "other", vec![service_step(4, 4, Some(1))]);
     site.plan_and_start();
     assert_eq!(site.open_runs().len(), 4);
-    report_at_work(&mut site);
+    report_fully_at_work(&mut site);
     let gang = StepSpec {
         gang: true,
         ..step(1, 4)
     };
     site.submit(0, "guaranteed", vec![gang.clone()]);
     let first = site.plan();
-    assert_eq!(stopped_of(&first, service), 1);
+    assert_eq!(stopped_runs(&first, service), 1);
     for (worker, run) in &first.evictions {
         site.dispatcher.request_stop(worker, *run);
     }
     site.submit(0, "guaranteed", vec![gang]);
-    assert_eq!(stopped_of(&site.plan(), service), 0);
+    assert_eq!(stopped_runs(&site.plan(), service), 0);
 }
 
-/// A task of a service has no room because the pool is full. Its callers wait for it now, so work that only has to be done some time gives
-/// way. Left in the queue it would be away for as long as the longest of that work takes.
+/// Guards against a service that waits behind batch work in a full pool. Its callers need it now, so batch work is stopped for it. Left in the
+/// queue, its task would be missing until enough of that work ends.
 #[test]
-fn a_service_gets_its_task_in_a_full_pool() {
+fn batch_work_is_stopped_for_a_service_in_a_full_pool() {
     let mut site = Site::new(2, 2);
     site.advance(60_000);
     site.submit(1, "other", vec![step(4, 4)]);
     site.plan_and_start();
     assert_eq!(site.open_runs().len(), 4);
-    let service = site.submit(2, "other", vec![lasting(1, 4, None)]);
+    let service = site.submit(2, "other", vec![service_step(1, 4, None)]);
     let plan = site.plan();
     assert_eq!(plan.evictions.len(), 1);
     let (worker, run) = plan.evictions[0].clone();
     site.dispatcher.request_stop(&worker, run);
     site.end(run, EndKind::Stopped);
-    let begun: Vec<JobId> = site
+    let started: Vec<JobId> = site
         .plan_and_start()
         .starts
         .iter()
         .map(|start| start.run.task.step.job)
         .collect();
-    assert_eq!(begun, vec![service]);
+    assert_eq!(started, vec![service]);
 }
--- a/crates/bh-workload/tests/leaving_workers.rs
+++ b/crates/bh-workload/tests/leaving_workers.rs
@@ -1,4 +1,4 @@
-//! Spot loss among gangs: workers say that they leave in a second or two, and go without another word.
+//! Workers that announce that they leave, such as spot VMs: some say so a second or two ahead, and leave without another message.
 
 mod support;
 
@@ -14,9 +14,9 @@
 use support::Site;
 use support::step;
 
-/// What a task of [`step`] is declared to take, in milliseconds.
+/// Declared run time of a task of [`step`], in milliseconds.
 const DECLARED_MS: u64 = 5_000;
-/// Beyond the lease of a worker, a slow clock included, in milliseconds.
+/// Time after which a worker's lease has expired, even if its clock is slow, in milliseconds.
 const LAPSED_MS: u64 = 12_000;
 
 fn gang() -> StepSpec {
@@ -26,8 +26,9 @@
     }
 }
 
-/// A site on which a step runs on two workers of four; one of the two says that it leaves in `leaves_in_ms`.
-fn with_notice(spec: StepSpec, leaves_in_ms: u64) -> (Site, Incarnation, RunId) {
+/// A site on which a step runs on workers of four; one of these workers has announced that it leaves in `leaves_in_ms`. Returns that worker and its
+/// run.
+fn site_with_leaving_worker(spec: StepSpec, leaves_in_ms: u64) -> (Site, Incarnation, RunId) {
     let mut site = Site::new(4, 2);
     site.advance(60_000);
     site.submit(0, "guaranteed", vec![spec]);
@@ -43,24 +44,29 @@
     (site, worker, run)
 }
 
-fn cut_short(site: &Site) -> Vec<(Incarnation, RunId)> {
-    let cut_short = site.planner.cut_short(
+/// Returns the runs that must be stopped because they cannot end before their worker leaves.
+fn runs_to_stop(site: &Site) -> Vec<(Incarnation, RunId)> {
+    let runs = site.planner.cut_short(
         (site.now_ms, site.wall_ms()),
         &site.workload,
         &site.dispatcher,
     );
-    cut_short.into_iter().collect()
+    runs.into_iter().collect()
 }
 
-/// A gang has five seconds left, and one of its workers leaves in two. Left to run, it would break then, and begin anew only after the lease of the
-/// member that was lost, five seconds later. It is stopped now and begins elsewhere.
+/// Guards against leaving a gang on a worker that leaves before the gang can end. The gang has five seconds left, and one of its workers leaves in
+/// two. Left to run, it would break then and restart only after the lease of the lost member, five seconds later. It is stopped now and starts
+/// elsewhere.
 #[test]
-fn a_gang_that_cannot_end_in_time_begins_elsewhere_at_once() {
-    let (mut site, worker, run) = with_notice(gang(), 2_000);
-    let cut = cut_short(&site);
-    assert_eq!(cut, [(worker.clone(), run)]);
+fn a_gang_that_cannot_end_before_its_worker_leaves_is_restarted_elsewhere() {
+    let (mut site, worker, run) = site_with_leaving_worker(gang(), 2_000);
+    let stopped = runs_to_stop(&site);
+    assert_eq!(stopped, [(worker.clone(), run)]);
     site.dispatcher.request_stop(&worker, run);
-    assert!(cut_short(&site).is_empty(), "once");
+    assert!(
+        runs_to_stop(&site).is_empty(),
+        "the run is stopped only once"
+    );
     let orders = site.orders();
     let stops = |order: &bh_workload::dispatch::Order| order.body == OrderBody::Stop { run };
     assert!(orders.iter().any(stops));
@@ -72,48 +78,49 @@
     assert!(plan.starts.iter().all(|start| start.worker != worker));
 }
 
-/// A gang that is expected to be done in time goes on, by its usual time or by the progress that it has reported.
+/// Guards against stopping a gang that is expected to end before its worker leaves, by its usual run time or by its reported progress.
 #[rstest]
 #[case::usual_time(DECLARED_MS + 1_000, None, 0)]
 #[case::fast(2_000, Some(60), 0)]
 #[case::slow(DECLARED_MS + 1_000, Some(10), 1)]
-fn a_gang_that_can_end_in_time_goes_on(
+fn a_gang_that_can_end_before_its_worker_leaves_goes_on(
     #[case] leaves_in_ms: u64,
     #[case] percent: Option<u64>,
-    #[case] cut: usize,
+    #[case] stopped: usize,
 ) {
-    let (mut site, worker, run) = with_notice(gang(), leaves_in_ms);
+    let (mut site, worker, run) = site_with_leaving_worker(gang(), leaves_in_ms);
     if let Some(percent) = percent {
         site.advance(900);
         site.report_percent(&worker, run, percent);
     }
-    assert_eq!(cut_short(&site).len(), cut);
+    assert_eq!(runs_to_stop(&site).len(), stopped);
 }
 
-/// A gang that would be in time even if it lost its worker and waited for the lease goes on: the worker may stay for longer than it must. So does one
-/// that is too late for its callers either way.
+/// Guards against stopping a gang when a stop gains nothing: it would be on time even if it lost its worker and waited for the lease, or it is too
+/// late for its callers either way. It goes on, since the worker may stay longer than it announced.
 #[rstest]
 #[case::time_to_spare(0)]
 #[case::too_late(100_000)]
-fn a_gang_goes_on_where_it_makes_no_difference(#[case] waited_ms: u64) {
-    let (mut site, _, _) = with_notice(gang(), 500);
+fn a_gang_goes_on_where_a_stop_would_gain_nothing(#[case] waited_ms: u64) {
+    let (mut site, _, _) = site_with_leaving_worker(gang(), 500);
     site.now_ms += waited_ms;
-    assert!(cut_short(&site).is_empty());
+    assert!(runs_to_stop(&site).is_empty());
 }
 
-/// A single task goes on: nobody else waits for it, and the worker may stay for longer than it must.
+/// Guards against stopping a task that belongs to no gang: no other task waits for it, and the worker may stay longer than it announced.
 #[test]
-fn a_single_task_goes_on() {
-    let (site, _, _) = with_notice(step(2, 8), 2_000);
-    assert!(cut_short(&site).is_empty());
+fn a_task_without_a_gang_keeps_running_on_a_leaving_worker() {
+    let (site, _, _) = site_with_leaving_worker(step(2, 8), 2_000);
+    assert!(runs_to_stop(&site).is_empty());
 }
 
-/// A worker that does not answer cannot be told to stop anything, and one that did not say when it leaves may stay for long.
+/// Guards against stops that are useless: a worker that does not answer receives none, and a worker that has not said when it leaves may stay for
+/// long.
 #[test]
-fn without_an_answer_or_a_time_nothing_is_stopped() {
-    let (mut site, worker, _) = with_notice(gang(), 2_000);
+fn nothing_is_stopped_on_a_silent_worker_or_one_that_leaves_at_an_unknown_time() {
+    let (mut site, worker, _) = site_with_leaving_worker(gang(), 2_000);
     site.fall_silent(&worker);
-    assert!(cut_short(&site).is_empty());
+    assert!(runs_to_stop(&site).is_empty());
 
     let mut site = Site::new(4, 2);
     site.advance(60_000);
@@ -124,28 +131,30 @@
     let leaves = WorkerChange::Draining(worker);
     site.workload.apply(Command::Workers(vec![leaves]));
     site.take_events();
-    assert!(cut_short(&site).is_empty());
+    assert!(runs_to_stop(&site).is_empty());
 }
 
-fn leave(site: &mut Site, worker: &Incarnation) -> Option<Command> {
+/// The worker's announcement that its process ends reaches the leader.
+fn announce_end(site: &mut Site, worker: &Incarnation) -> Option<Command> {
     site.dispatcher
         .note_announced_end(site.now_ms, worker, &site.workload)
 }
 
-/// Nothing listens at a worker's address any more when its word comes that it ends: it is gone at once.
+/// Guards against waiting for the lease of a worker whose process has ended: nothing listens at its address any more when its announcement arrives.
 #[test]
-fn a_worker_that_has_ended_is_gone_with_its_word() {
-    let (mut site, worker, _) = with_notice(step(1, 8), 2_000);
+fn a_worker_that_has_ended_is_gone_when_it_announces_its_end() {
+    let (mut site, worker, _) = site_with_leaving_worker(step(1, 8), 2_000);
     site.answer_for(&worker, &Answer::NotListening);
     let expected = Command::Workers(vec![WorkerChange::Gone(worker.clone())]);
-    assert_eq!(leave(&mut site, &worker), Some(expected));
+    assert_eq!(announce_end(&mut site, &worker), Some(expected));
 }
 
-/// A worker says that it ends, and does not hear that this is known: its run goes on for seconds. The task begins elsewhere once the worker is gone.
+/// Guards against running a task twice, or waiting too long, after a worker has announced its end. The worker gets no answer to its announcement,
+/// and its run goes on for seconds. The task starts elsewhere as soon as nothing listens at the worker's address.
 #[test]
-fn a_worker_that_ends_is_over_when_nothing_listens_there() {
-    let (mut site, worker, run) = with_notice(step(1, 8), 2_000);
-    assert_eq!(leave(&mut site, &worker), None);
+fn a_worker_that_announced_its_end_is_gone_when_nothing_listens_there() {
+    let (mut site, worker, run) = site_with_leaving_worker(step(1, 8), 2_000);
+    assert_eq!(announce_end(&mut site, &worker), None);
     let alive = site.probe_answer(&worker, &[]);
     site.answer_for(&worker, &alive);
     site.advance(500);
@@ -153,7 +162,11 @@
 
     site.answer_for(&worker, &Answer::Lost);
     site.advance(500);
-    assert_eq!(site.plan().starts, Vec::new(), "its lease runs on");
+    assert_eq!(
+        site.plan().starts,
+        Vec::new(),
+        "the lease of the worker has not expired"
+    );
 
     site.answer_for(&worker, &Answer::NotListening);
     assert!(site.workload.worker(&worker).is_none());
@@ -163,38 +176,40 @@
     assert_eq!(task.map(|task| task.all_crashes()), Some(0), "no crash");
 }
 
-/// Nothing listens at the address of a worker that did not say that it ends: it may be back in a moment with what it runs, as far as anybody knows.
+/// Guards against treating a worker as gone that has not announced its end, because nothing listens at its address: for all the leader knows, it may
+/// be back in a moment with its runs.
 #[test]
-fn a_worker_that_said_nothing_is_silent() {
-    let (mut site, worker, _) = with_notice(step(1, 8), 2_000);
+fn a_worker_that_did_not_announce_its_end_counts_as_silent() {
+    let (mut site, worker, _) = site_with_leaving_worker(step(1, 8), 2_000);
     site.answer_for(&worker, &Answer::NotListening);
     site.advance(500);
     assert!(site.workload.worker(&worker).is_some());
     assert_eq!(site.plan().starts, Vec::new());
 }
 
-/// A worker that says that it ends falls silent: its runs are over when its lease is, and then it is gone.
+/// Guards against keeping a worker that announced its end and then fell silent: its runs end when its lease expires, and then it is gone.
 #[test]
-fn a_worker_that_ends_unseen_is_gone_with_its_lease() {
-    let (mut site, worker, _) = with_notice(step(1, 8), 2_000);
-    assert_eq!(leave(&mut site, &worker), None);
+fn a_silent_worker_that_announced_its_end_is_gone_when_its_lease_expires() {
+    let (mut site, worker, _) = site_with_leaving_worker(step(1, 8), 2_000);
+    assert_eq!(announce_end(&mut site, &worker), None);
     site.answer_for(&worker, &Answer::Lost);
     site.advance(LAPSED_MS);
     let orders = site.orders();
     assert_eq!(site.open_runs(), Vec::new());
-    let look = orders.iter().find(|order| order.to.worker == worker);
+    let probe = orders.iter().find(|order| order.to.worker == worker);
     let gone =
         site.dispatcher
-            .note_answer(site.now_ms, look.unwrap(), &Answer::Lost, &site.workload);
+            .note_answer(site.now_ms, probe.unwrap(), &Answer::Lost, &site.workload);
     let expected = WorkerChange::Gone(worker);
     assert_eq!(gone, Some(Command::Workers(vec![expected])));
 }
 
-/// A worker has ended, and the record of that fails: it is asked again, and recorded then. Otherwise it would stay in the record for ever.
+/// Guards against a worker that stays in the record for ever because recording its departure failed: it is probed again, and its departure is
+/// recorded then.
 #[test]
-fn a_worker_that_has_ended_is_recorded_again() {
-    let (mut site, worker, _) = with_notice(step(1, 8), 2_000);
-    assert_eq!(leave(&mut site, &worker), None);
+fn the_departure_of_a_worker_is_recorded_again_after_a_failure() {
+    let (mut site, worker, _) = site_with_leaving_worker(step(1, 8), 2_000);
+    assert_eq!(announce_end(&mut site, &worker), None);
     let mut recorded = 0;
     for _ in 0..40 {
         site.now_ms += 100;
@@ -209,7 +224,7 @@
     assert!(recorded >= 2, "{recorded} records in four seconds");
 }
 
-/// Guards against starting a run on a worker whose leave call was acknowledged earlier, by resending an unanswered start order.
+/// Guards against starting a run on a worker whose leave call has been acknowledged, by resending an unanswered start order.
 #[test]
 fn a_start_without_an_answer_is_not_sent_again_to_a_worker_that_leaves() {
     let mut site = Site::new(1, 1);
--- a/crates/bh-workload/tests/limits_on_workers.rs
+++ b/crates/bh-workload/tests/limits_on_workers.rs
@@ -1,4 +1,4 @@
-//! Limits on what runs on one worker, kept over several plans.
+//! Limits on the tasks of a step on one worker hold across plans.
 
 mod support;
 
@@ -11,6 +11,7 @@
 use support::Site;
 use support::step;
 
+/// Returns the number of open runs on each worker.
 fn runs_by_worker(site: &Site) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for (worker, _) in site.open_runs() {
@@ -19,18 +20,18 @@
     counts
 }
 
-/// A caller asks for at most two tasks of a step on one worker. One of them ends and its place is given to another task of the step
-/// while the rest still run: the caller would see three on one worker if only the tasks placed together were counted.
+/// Guards against counting only the tasks of one plan against the limit. A caller allows at most two tasks of a step on one worker. One task ends
+/// and another takes its slot while the rest still run: if tasks of earlier plans did not count, one worker would get three.
 #[test]
-fn tasks_placed_earlier_count_against_the_most_per_worker() {
+fn tasks_placed_earlier_count_against_most_per_worker() {
     let mut site = Site::new(3, 8);
-    // No room is kept for priority 0 any more.
+    // After this time no capacity is kept for urgent work.
     site.advance(60_000);
-    let apart = StepSpec {
+    let limited = StepSpec {
         most_per_worker: Some(2),
         ..step(9, 1)
     };
-    site.submit(2, "other", vec![apart]);
+    site.submit(2, "other", vec![limited]);
     site.plan_and_start();
     assert!(runs_by_worker(&site).values().all(|count| *count == 2));
     assert_eq!(site.open_runs().len(), 6);
@@ -42,16 +43,16 @@
     assert!(runs_by_worker(&site).values().all(|count| *count <= 2));
 }
 
-/// A leader plans on what it saw a moment ago; another command may come between. The record refuses a start that would put one task too
-/// many of the step on a worker, whatever the plan says.
+/// Guards against a plan made from outdated state: another command may be applied before its starts. The record refuses a start that would put one
+/// task too many of the step on a worker.
 #[test]
 fn the_record_refuses_one_task_too_many_on_a_worker() {
     let mut site = Site::new(1, 8);
-    let apart = StepSpec {
+    let limited = StepSpec {
         most_per_worker: Some(1),
         ..step(2, 1)
     };
-    site.submit(2, "other", vec![apart]);
+    site.submit(2, "other", vec![limited]);
     let plan = site.plan_and_start();
     assert_eq!(plan.starts.len(), 1);
     let mut second = plan.starts[0].clone();
--- a/crates/bh-workload/tests/long_queues.rs
+++ b/crates/bh-workload/tests/long_queues.rs
@@ -1,4 +1,4 @@
-//! A full fleet with a long queue in front of it.
+//! Plans for a full fleet with a long queue.
 #![expect(
     clippy::unwrap_used,
     reason = "a test that meets the unexpected shall end"
@@ -16,8 +16,8 @@
 const WORKERS: usize = 540;
 const RACK: usize = 12;
 
-/// Every worker holds one task that takes all of it but one accelerator and a few cores.
-fn nearly_full() -> Site {
+/// A site whose workers each run one task that leaves one accelerator and a few cores free.
+fn nearly_full_site() -> Site {
     let mut site = Site::new(WORKERS, RACK);
     let each = StepSpec {
         needs: Resources {
@@ -35,23 +35,23 @@
     site
 }
 
-/// The fastest of some passes over the same state: what else the machine does only makes passes longer.
+/// Returns the time of the fastest of several passes over the same state: other load on the machine only makes passes slower.
 fn plan_time(site: &mut Site) -> Duration {
     let before = site.planner.clone();
     let passes = (0..7).map(|_| {
         site.planner = before.clone();
-        let began = Instant::now();
+        let started = Instant::now();
         site.plan();
-        began.elapsed()
+        started.elapsed()
     });
     passes.min().unwrap()
 }
 
-/// A burst of urgent jobs meets a fleet that is full of batch work, and room is made for each of them in one pass. Their callers, and all who
-/// call meanwhile, wait until the pass is over: were all runs of the fleet looked up again for each job, and compared with all that are stopped
-/// already, it would take as long as such a job's whole objective.
+/// Guards against a pass that takes too long when a burst of urgent jobs meets a fleet full of batch work. The pass chooses runs to stop for each
+/// job, and all callers wait until it ends. If it looked up all runs of the fleet for each job and compared them with all runs that are being
+/// stopped, it would take as long as an urgent job's whole latency target.
 #[test]
-fn room_for_many_urgent_jobs_is_made_in_little_time() {
+fn a_pass_that_stops_work_for_many_urgent_jobs_is_fast() {
     let mut site = Site::new(WORKERS, RACK);
     for _ in 0..60 {
         site.submit(2, "other", vec![step(38, 1)]);
@@ -60,7 +60,7 @@
     site.send_starts();
     assert!(site.open_runs().len() > 2_000);
     site.advance(50);
-    let alone = plan_time(&mut site);
+    let without_urgent = plan_time(&mut site);
     for _ in 0..100 {
         let gang = StepSpec {
             gang: true,
@@ -68,18 +68,18 @@
         };
         site.submit(0, "other", vec![gang]);
     }
-    let urgent = plan_time(&mut site);
+    let with_urgent = plan_time(&mut site);
     assert!(
-        urgent < alone * 100,
-        "a pass takes {urgent:?} with 100 urgent jobs, {alone:?} with none"
+        with_urgent < without_urgent * 100,
+        "a pass takes {with_urgent:?} with 100 urgent jobs, {without_urgent:?} with none"
     );
 }
 
-/// A job that is too large for what is open comes first; smaller ones behind it still begin at once, in each way in which they are smaller:
-/// fewer accelerators, fewer cores, fewer tasks.
+/// Guards against jobs that are too large for the free capacity blocking smaller ones behind them. A smaller job still starts at once, whether the
+/// jobs before it need more accelerators or more cores.
 #[test]
-fn work_that_fits_begins_behind_work_that_does_not() {
-    let mut site = nearly_full();
+fn work_that_fits_starts_before_earlier_work_that_does_not() {
+    let mut site = nearly_full_site();
     let gang = |count, accelerators, cpu_millis| StepSpec {
         gang: true,
         needs: Resources {
@@ -93,18 +93,18 @@
     for spec in too_large {
         site.submit(0, "other", vec![spec]);
     }
-    // Of two jobs the one with less work comes first, so this one is long.
+    // A job with less work comes first, so this one is declared long to come last.
     let long = StepSpec {
         declared_ms: 600_000,
         ..gang(20, 1, 1_000)
     };
     let smaller = site.submit(0, "other", vec![long]);
     let plan = site.plan_and_start();
-    let begun = plan
+    let started = plan
         .starts
         .iter()
         .filter(|start| start.run.task.step.job == smaller)
         .count();
-    assert_eq!(begun, 20);
+    assert_eq!(started, 20);
     assert_eq!(plan.starts.len(), 20);
 }
--- a/crates/bh-workload/tests/lost_carriers.rs
+++ b/crates/bh-workload/tests/lost_carriers.rs
@@ -1,4 +1,4 @@
-//! Orders that other cores carry, and cores that are lost with them.
+//! Orders that another core carries to a worker, when that core is lost.
 mod support;
 
 use bh_workload::dispatch::Answer;
@@ -11,8 +11,8 @@
 use support::step;
 use support::worker_id;
 
-/// A site of one worker on which one task runs; the run.
-fn one_run() -> (Site, RunId) {
+/// A site of one worker on which one task runs, and the run.
+fn site_with_run() -> (Site, RunId) {
     let mut site = Site::new(1, 1);
     site.submit(0, "other", vec![step(1, 1)]);
     site.plan_and_start();
@@ -21,11 +21,13 @@
     (site, run)
 }
 
+/// Returns the orders that are due.
 fn orders(site: &mut Site) -> Vec<Order> {
     site.dispatcher.orders(site.now_ms, &site.workload, true).0
 }
 
-fn look(site: &mut Site) -> Order {
+/// Returns the only order that is due, which must be a probe.
+fn probe(site: &mut Site) -> Order {
     let mut orders = orders(site);
     assert_eq!(orders.len(), 1, "{orders:?}");
     let order = orders.remove(0);
@@ -40,12 +42,14 @@
     }
 }
 
+/// The leader receives `answer` to an order.
 fn answer(site: &mut Site, order: &Order, answer: &Answer) {
     site.dispatcher
         .note_answer(site.now_ms, order, answer, &site.workload);
 }
 
-fn going_on(site: &Site, run: RunId) -> Answer {
+/// Answer of a worker that still has the run.
+fn running_answer(site: &Site, run: RunId) -> Answer {
     Answer::Done {
         clock_ms: Some(site.now_ms),
         report: Some(Report {
@@ -60,47 +64,48 @@
     }
 }
 
-/// The core that carries the looks at a fifth of a fleet is lost. Nothing is known of the workers by that, so they are looked at over another
-/// core at once. Were they taken for silent, as workers that do not answer are, urgent work would find a fifth of the fleet missing.
+/// Guards against treating workers as silent when the core that carries their probes is lost. That says nothing about the workers, so they are
+/// probed through another core at once. If they counted as silent, a lost core that carries the probes of a fifth of the fleet would leave urgent
+/// work without that fifth.
 #[test]
-fn a_worker_whose_carrier_was_lost_is_looked_at_over_another_at_once() {
-    let (mut site, run) = one_run();
-    let first = look(&mut site);
+fn a_worker_whose_carrier_was_lost_is_probed_through_another_at_once() {
+    let (mut site, run) = site_with_run();
+    let first = probe(&mut site);
     site.advance(100);
     answer(&mut site, &first, &Answer::CarrierLost);
     site.advance(50);
-    let second = look(&mut site);
-    let on = going_on(&site, run);
-    answer(&mut site, &second, &on);
+    let second = probe(&mut site);
+    let running = running_answer(&site, run);
+    answer(&mut site, &second, &running);
     let target = site.dispatcher.view(&worker_id("w00")).unwrap();
     assert!(target.answers() && !target.is_silent());
 }
 
-/// Carriers are lost again and again, each after it has sent the look on. The worker hears every look, and nobody hears the worker: a lease that
-/// is renewed with each of them never runs out, and the run can never be given up. So the end of the lease stays where it was until an answer
-/// comes.
+/// Guards against renewing a lease for ever without an answer. Carriers are lost again and again, each after it has passed the probe on: the worker
+/// receives every probe, but no answer reaches the leader. If each probe renewed the lease, it would never expire and the run could never be given
+/// up. So the lease keeps its end until an answer arrives.
 #[test]
-fn lost_carriers_renew_no_lease() {
-    let (mut site, run) = one_run();
-    let first = look(&mut site);
-    let on = going_on(&site, run);
-    answer(&mut site, &first, &on);
-    let granted = lease_of(&look(&mut site)).unwrap();
+fn probes_through_lost_carriers_renew_no_lease() {
+    let (mut site, run) = site_with_run();
+    let first = probe(&mut site);
+    let running = running_answer(&site, run);
+    answer(&mut site, &first, &running);
+    let granted = lease_of(&probe(&mut site)).unwrap();
     let mut lost = first;
     for _ in 0..20 {
         answer(&mut site, &lost, &Answer::CarrierLost);
         site.advance(400);
-        lost = look(&mut site);
+        lost = probe(&mut site);
         assert_eq!(lease_of(&lost), Some(granted));
     }
-    let on = going_on(&site, run);
-    answer(&mut site, &lost, &on);
+    let running = running_answer(&site, run);
+    answer(&mut site, &lost, &running);
     site.advance(10);
-    assert!(lease_of(&look(&mut site)).unwrap() > granted);
+    assert!(lease_of(&probe(&mut site)).unwrap() > granted);
 }
 
-/// The core that carried a start is lost before anybody heard whether the worker has it. The run may have begun, so it is not placed elsewhere; the
-/// same start is sent again over another core, and a worker that has it says so.
+/// Guards against starting a task elsewhere when the core that carried its start is lost before an answer arrives. The run may have started, so the
+/// same start is sent again through another core; a worker that already has the run answers so.
 #[test]
 fn a_start_whose_carrier_was_lost_is_sent_again() {
     let mut site = Site::new(1, 1);
@@ -121,15 +126,16 @@
     assert_eq!(again.iter().filter(is_same).count(), 1, "{again:?}");
 }
 
-/// A carrier goes while its worker has nothing to run. It must be looked at all the same: whoever is not known to answer gets no work.
+/// Guards against an idle worker that gets no work after its carrier is lost: only a worker that is known to answer gets work, so it must be probed
+/// again.
 #[test]
-fn an_idle_worker_whose_carrier_was_lost_is_looked_at() {
-    let (mut site, run) = one_run();
-    let waiting = look(&mut site);
+fn an_idle_worker_whose_carrier_was_lost_is_probed_again() {
+    let (mut site, run) = site_with_run();
+    let in_flight = probe(&mut site);
     site.end(run, bh_workload::state::EndKind::Done);
-    answer(&mut site, &waiting, &Answer::CarrierLost);
+    answer(&mut site, &in_flight, &Answer::CarrierLost);
     site.advance(50);
-    let next = look(&mut site);
+    let next = probe(&mut site);
     let idle = Answer::Done {
         clock_ms: Some(site.now_ms),
         report: Some(Report::default()),
--- a/crates/bh-workload/tests/pacing.rs
+++ b/crates/bh-workload/tests/pacing.rs
@@ -1,4 +1,4 @@
-//! Services beside tasks that use idle processors.
+//! Services that share a worker with tasks that use idle processors, and the pace of those tasks.
 #![expect(
     clippy::unwrap_used,
     reason = "a test that meets the unexpected shall end"
@@ -18,65 +18,70 @@
 use support::Site;
 use support::step;
 
-const BOUND_MS: u64 = 100;
-/// Tail of the service's response times with nothing beside it.
-const ALONE_MS: u64 = 40;
-/// Longest time for which callers bear a service over its bound.
-const MOST_OVER_MS: u64 = 4_000;
-/// One answer of the worker each half second, as its figures come.
+/// Target for the tail of the service's response times, in milliseconds.
+const TAIL_TARGET_MS: u64 = 100;
+/// Tail of the service's response times when nothing runs beside it, in milliseconds.
+const TAIL_ALONE_MS: u64 = 40;
+/// Limit on the time for which the service is over its target without a break, in milliseconds.
+const MAX_OVER_TARGET_MS: u64 = 4_000;
+/// Time between two answers of the worker, in milliseconds.
 const TURN_MS: u64 = 500;
 const TURNS: u64 = 60;
 
-/// One worker with a service and tasks that fill its idle processors, each of which adds `each_ms` to the service's tail at full speed.
-struct Shared {
+/// A worker with a service and tasks that use its idle processors.
+struct SharedWorker {
     site: Site,
+    /// Pace that the leader has set for each run, in percent.
     pace: BTreeMap<RunId, u64>,
-    each_ms: u64,
+    /// Time that each of these tasks adds to the service's tail at full pace, in milliseconds.
+    added_ms: u64,
 }
 
-impl Shared {
-    fn new(each_ms: u64) -> Self {
+impl SharedWorker {
+    fn new(added_ms: u64) -> Self {
         let mut site = Site::new(1, 1);
         let service = StepSpec {
             long_running: true,
-            tail_target_ms: Some(BOUND_MS),
+            tail_target_ms: Some(TAIL_TARGET_MS),
             ..step(1, 1)
         };
-        let filling = StepSpec {
+        let idle_filler = StepSpec {
             fills_idle: true,
             ..step(4, 1)
         };
         site.submit(1, "other", vec![service]);
-        site.submit(2, "other", vec![filling]);
+        site.submit(2, "other", vec![idle_filler]);
         site.plan_and_start();
         assert_eq!(site.open_runs().len(), 5);
         site.send_starts();
         Self {
             site,
             pace: BTreeMap::new(),
-            each_ms,
+            added_ms,
         }
     }
 
-    fn fills(&self, run: RunId) -> bool {
+    /// Returns whether a run only uses idle processors.
+    fn fills_idle(&self, run: RunId) -> bool {
         let job = self.site.workload.job(run.task.step.job).unwrap();
         job.spec.steps[0].fills_idle
     }
 
-    /// Tail of the service's response times now.
+    /// Returns the current tail of the service's response times, in milliseconds.
     fn tail_ms(&self) -> u64 {
         let runs = self.site.open_runs();
-        let filling = runs.iter().filter(|(_, run)| self.fills(*run));
-        let added: u64 = filling
-            .map(|(_, run)| self.each_ms * self.pace.get(run).copied().unwrap_or(100) / 100)
+        let fillers = runs.iter().filter(|(_, run)| self.fills_idle(*run));
+        let added_ms: u64 = fillers
+            .map(|(_, run)| self.added_ms * self.pace.get(run).copied().unwrap_or(100) / 100)
             .sum();
-        ALONE_MS + added
+        TAIL_ALONE_MS + added_ms
     }
 
+    /// Answer of the worker to an order.
     fn answer(&mut self, order: &Order) -> Answer {
         let report = match &order.body {
             OrderBody::Pace { run, percent } => {
-                assert!(self.fills(*run), "a service is never slowed down");
+                assert!(self.fills_idle(*run), "a service is never slowed down");
                 self.pace.insert(*run, *percent);
                 None
             }
@@ -86,8 +91,8 @@
                 let running = runs.iter().map(|(_, run)| Running {
                     run: *run,
                     checkpoint: None,
-                    percent: if self.fills(*run) { 10 } else { 100 },
-                    load: if self.fills(*run) {
+                    percent: if self.fills_idle(*run) { 10 } else { 100 },
+                    load: if self.fills_idle(*run) {
                         900
                     } else {
                         self.tail_ms()
@@ -106,7 +111,7 @@
         }
     }
 
-    /// Half a second passes; what there is to order is answered, and what follows from the answers.
+    /// Half a second passes; the worker answers the orders that are due and those that follow from its answers.
     fn turn(&mut self) {
         self.site.advance(TURN_MS);
         for _ in 0..2 {
@@ -122,25 +127,25 @@
     }
 }
 
-/// Tasks that only use idle processors share a worker with a service and slow it down, little or much. Its callers see slow answers until
-/// the others are slowed down; were that left to the next plan or done by small steps, they would for longer than they bear.
+/// Guards against a service that is slow for too long. Tasks that only use idle processors share a worker with the service and slow it down, by little
+/// or much, until they are slowed down themselves. If that waited for the next plan or were done in small steps, it would take too long.
 #[rstest]
 #[case::little(10)]
 #[case::some(20)]
 #[case::much(200)]
-fn a_service_is_not_slow_for_long(#[case] each_ms: u64) {
-    let mut shared = Shared::new(each_ms);
+fn a_service_is_not_slow_for_long(#[case] added_ms: u64) {
+    let mut shared = SharedWorker::new(added_ms);
     let mut over_ms = 0;
     let mut turns_over = 0;
     for _ in 0..TURNS {
         shared.turn();
-        over_ms = if shared.tail_ms() > BOUND_MS {
+        over_ms = if shared.tail_ms() > TAIL_TARGET_MS {
             turns_over += 1;
             over_ms + TURN_MS
         } else {
             0
         };
-        assert!(over_ms < MOST_OVER_MS, "slow for {over_ms} ms");
+        assert!(over_ms < MAX_OVER_TARGET_MS, "slow for {over_ms} ms");
     }
     assert!(
         turns_over <= TURNS / 4,
@@ -148,31 +153,32 @@
     );
 }
 
-/// What disturbed the service no longer does. The others get their speed back; else they would never end.
+/// Guards against tasks that stay slow, and never end, after they have stopped disturbing the service: they return to full pace.
 #[test]
-fn speed_is_given_back() {
-    let mut shared = Shared::new(200);
+fn tasks_that_no_longer_disturb_the_service_return_to_full_pace() {
+    let mut shared = SharedWorker::new(200);
     for _ in 0..10 {
         shared.turn();
     }
-    assert!(shared.tail_ms() < BOUND_MS);
-    shared.each_ms = 0;
+    assert!(shared.tail_ms() < TAIL_TARGET_MS);
+    shared.added_ms = 0;
     for _ in 0..30 {
         shared.turn();
     }
     assert!(shared.pace.values().all(|percent| *percent == 100));
 }
 
-/// A new leader does not know how fast the last one let them work. It tells them; else tasks that were held still would stay so for ever.
+/// Guards against tasks that stay paused for ever after a change of leader: the new leader does not know the pace that the last one set, so it must
+/// set the pace itself.
 #[test]
-fn a_new_leader_sets_the_pace_anew() {
-    let mut shared = Shared::new(200);
+fn a_new_leader_sets_the_pace_again() {
+    let mut shared = SharedWorker::new(200);
     for _ in 0..10 {
         shared.turn();
     }
-    let held = shared.pace.clone();
-    assert!(held.values().all(|percent| *percent < 100));
-    shared.each_ms = 0;
+    let slowed = shared.pace.clone();
+    assert!(slowed.values().all(|percent| *percent < 100));
+    shared.added_ms = 0;
     shared.site.take_over(2);
     for _ in 0..10 {
         shared.turn();
--- a/crates/bh-workload/tests/support/mod.rs
+++ b/crates/bh-workload/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small site in memory: the record, the leader's orders and its plan, with workers that do as they are told.
+//! A small site in memory: the record, the leader's dispatcher and planner, and workers that carry out their orders.
 #![expect(
     clippy::unwrap_used,
     reason = "a test that meets the unexpected shall end"
@@ -40,13 +40,14 @@
 
 pub const HOST: &str = "jobs.example";
 pub const POOL: &str = "pool";
-/// Time after which no room is kept for urgent work that has not come, in milliseconds.
+/// Time without urgent work after which no capacity is kept for it, in milliseconds.
 const QUIET_MS: u64 = 60_000;
-/// The second data centre of a site that has two.
+/// Name of the second data centre of a site that has two.
 pub const FAR: &str = "far";
-/// Wall time at which every site starts, in milliseconds since 1970.
+/// Wall time at which the clock of every site starts, in milliseconds since 1970.
 pub const START_WALL_MS: u64 = 1_000_000;
 
+/// The record, the leader and the clock of a site.
 #[derive(Clone)]
 pub struct Site {
     pub workload: Workload,
@@ -56,7 +57,7 @@
     next_job: u64,
 }
 
-/// One queue for each priority: `/p0/`, `/p1/`, `/p2/`; the customer `guaranteed` is guaranteed 16 accelerators.
+/// Rules with one queue for each priority: `/p0/`, `/p1/`, `/p2/`. The customer `guaranteed` is guaranteed 16 accelerators, `other` none.
 pub fn rules(version: u64) -> Rules {
     let queue = |priority: u32| {
         Arc::new(Queue {
@@ -97,6 +98,7 @@
     Incarnation::parse(text).unwrap()
 }
 
+/// A worker with eight accelerators, in a rack of `per_rack` workers.
 pub fn worker_info(index: usize, per_rack: usize) -> WorkerInfo {
     let rack: Arc<str> = Arc::from(format!("rack{}", index / per_rack));
     WorkerInfo {
@@ -118,7 +120,7 @@
     }
 }
 
-/// A step of `count` tasks with `accelerators` each.
+/// A step of `count` tasks with `accelerators` accelerators each.
 pub fn step(count: u32, accelerators: u64) -> StepSpec {
     StepSpec {
         count,
@@ -132,6 +134,7 @@
     }
 }
 
+/// Place of a job in the queue of `priority`, with the customer's key.
 pub fn place(priority: u32, customer: &str, job: JobId) -> Place {
     Place {
         host: Arc::from(HOST),
@@ -167,7 +170,7 @@
         START_WALL_MS + self.now_ms
     }
 
-    /// Every worker says that it is there.
+    /// Every worker sends a heartbeat.
     pub fn heartbeats(&mut self) {
         let ids: Vec<Incarnation> = self
             .workload
@@ -180,6 +183,7 @@
         }
     }
 
+    /// Advances the clock; every worker sends a heartbeat.
     pub fn advance(&mut self, by_ms: u64) {
         self.now_ms += by_ms;
         self.heartbeats();
@@ -211,6 +215,7 @@
         self.take_events();
     }
 
+    /// Makes a plan without recording it.
     pub fn plan(&mut self) -> Plan {
         self.planner.plan(
             self.now_ms,
@@ -220,7 +225,7 @@
         )
     }
 
-    /// Plans and records what is planned.
+    /// Makes a plan and records its starts.
     pub fn plan_and_start(&mut self) -> Plan {
         let plan = self.plan();
         let reply = self.workload.apply(Command::Starts(plan.starts.clone()));
@@ -229,20 +234,21 @@
         plan
     }
 
+    /// Passes the events of the record to the dispatcher.
     pub fn take_events(&mut self) {
         let record_events = self.workload.take_events();
         self.dispatcher
             .note_events(self.now_ms, &record_events, &self.workload);
     }
 
-    /// Another core leads from now on, with `token`.
+    /// Another core becomes leader, with the fencing token `token`.
     pub fn take_over(&mut self, token: u64) {
         self.dispatcher = Dispatcher::new(Timing::DEFAULT, token, self.now_ms, &self.workload);
         self.planner = Planner::new();
         self.heartbeats();
     }
 
-    /// Sends what there is to order; every start is confirmed.
+    /// Sends the orders that are due; the workers confirm each one, without a report.
     pub fn send_starts(&mut self) {
         let (orders, _) = self.dispatcher.orders(self.now_ms, &self.workload, true);
         for order in orders {
@@ -255,7 +261,7 @@
         }
     }
 
-    /// A worker says that it has this many accelerators.
+    /// Records that a worker now has this many accelerators.
     pub fn set_accelerators(&mut self, worker: &Incarnation, accelerators: u64) {
         let mut info = self.workload.worker(worker).unwrap().info.clone();
         info.capacity.accelerators = accelerators;
@@ -264,8 +270,8 @@
         self.take_events();
     }
 
-    /// A site of `workers` workers in each of the data centres `dc` and `far`, `per_rack` of them in a rack. No room is kept there for urgent
-    /// work.
+    /// A site of `workers` workers in each of the data centres `dc` and `far`, `per_rack` of them in a rack. No capacity is kept for urgent work
+    /// there.
     pub fn in_two_data_centres(workers: usize, per_rack: usize) -> Self {
         let mut site = Self::new(2 * workers, per_rack);
         for index in workers..2 * workers {
@@ -279,13 +285,13 @@
         site
     }
 
-    /// Whether a worker is in the data centre `far`.
+    /// Returns whether a worker is in the data centre `far`.
     pub fn is_far(&self, worker: &Incarnation) -> bool {
         let worker = self.workload.worker(worker);
         worker.is_some_and(|worker| &*worker.info.data_centre == FAR)
     }
 
-    /// The evacuation of a data centre begins.
+    /// Starts the evacuation of a data centre.
     pub fn evacuate(&mut self, data_centre: &str) {
         let reply = self.workload.apply(Command::Evacuate {
             data_centre: Arc::from(data_centre),
@@ -295,7 +301,7 @@
         self.take_events();
     }
 
-    /// The evacuation of a data centre ends.
+    /// Ends the evacuation of a data centre.
     pub fn end_evacuation(&mut self, data_centre: &str) {
         let reply = self.workload.apply(Command::EndEvacuation {
             data_centre: Arc::from(data_centre),
@@ -304,7 +310,7 @@
         self.take_events();
     }
 
-    /// Orders that are due now, of all workers.
+    /// Returns the orders that are due, for all workers, and records the ends that the dispatcher found.
     pub fn orders(&mut self) -> Vec<Order> {
         let (orders, ends) = self.dispatcher.orders(self.now_ms, &self.workload, true);
         if !ends.is_empty() {
@@ -315,7 +321,7 @@
         orders
     }
 
-    /// The answer of a worker that did as it was told.
+    /// Answer of a worker that has carried out an order, without a report.
     pub fn done(&self) -> Answer {
         Answer::Done {
             clock_ms: Some(self.now_ms),
@@ -323,7 +329,7 @@
         }
     }
 
-    /// The answer of a worker that is looked at and runs what is recorded, but for `except`.
+    /// Answer of a worker to a probe: it runs what is recorded for it, except the runs in `except`.
     pub fn probe_answer(&self, worker: &Incarnation, except: &[RunId]) -> Answer {
         let mut report = self.report_of(worker);
         report
@@ -335,7 +341,7 @@
         }
     }
 
-    /// What is asked now is answered: workers report what is recorded for them as at work.
+    /// Workers answer the orders that are due and report all runs that are recorded for them as running.
     pub fn report(&mut self) {
         let (orders, _) = self.dispatcher.orders(self.now_ms, &self.workload, true);
         for order in orders {
@@ -348,7 +354,7 @@
         }
     }
 
-    /// A worker that is looked at reports that this much of a run is done, in percent.
+    /// A worker answers its probe and reports the progress of a run, in percent.
     pub fn report_percent(&mut self, worker: &Incarnation, run: RunId, percent: u64) {
         let mut report = self.report_of(worker);
         let own = report.running.iter_mut().find(|running| running.run == run);
@@ -360,6 +366,7 @@
         self.answer_for(worker, &answer);
     }
 
+    /// Report that lists all runs recorded for a worker as running.
     fn report_of(&self, worker: &Incarnation) -> Report {
         let worker = self.workload.worker(worker);
         let runs = worker.into_iter().flat_map(|worker| worker.runs.keys());
@@ -375,13 +382,13 @@
         }
     }
 
-    /// What a worker is asked now gets `answer`; what follows from it is recorded.
+    /// The orders to a worker that are due get `answer`; the commands that follow from it are recorded.
     pub fn answer_for(&mut self, worker: &Incarnation, answer: &Answer) {
-        /// Time after which a worker that was looked at is looked at again, in milliseconds.
-        const NEXT_LOOK_MS: u64 = 400;
+        /// Time between two probes of a worker, in milliseconds.
+        const NEXT_PROBE_MS: u64 = 400;
         let mut orders = self.dispatcher.orders(self.now_ms, &self.workload, true).0;
         if !orders.iter().any(|order| order.to.worker == *worker) {
-            self.now_ms += NEXT_LOOK_MS;
+            self.now_ms += NEXT_PROBE_MS;
             orders = self.dispatcher.orders(self.now_ms, &self.workload, true).0;
         }
         let own = orders.iter().filter(|order| order.to.worker == *worker);
@@ -397,10 +404,10 @@
         self.take_events();
     }
 
-    /// What is recorded when another incarnation answers in a worker's place.
+    /// Returns the command that follows when another incarnation answers in a worker's place.
     pub fn departure_of(&mut self, worker: &Incarnation) -> Command {
-        const NEXT_LOOK_MS: u64 = 400;
-        self.now_ms += NEXT_LOOK_MS;
+        const NEXT_PROBE_MS: u64 = 400;
+        self.now_ms += NEXT_PROBE_MS;
         let (orders, _) = self.dispatcher.orders(self.now_ms, &self.workload, true);
         let own = orders.iter().filter(|order| order.to.worker == *worker);
         let mut commands = own.filter_map(|order| {
@@ -411,7 +418,7 @@
         commands.next().unwrap()
     }
 
-    /// What a worker is asked from now on has no answer.
+    /// The orders to a worker that are due get no answer.
     pub fn fall_silent(&mut self, worker: &Incarnation) {
         self.answer_for(worker, &Answer::Lost);
     }
@@ -428,7 +435,7 @@
         self.heartbeats();
     }
 
-    /// Another incarnation of a worker that is silent says that it is there, and answers at its address.
+    /// A silent worker restarts: another incarnation sends a heartbeat and answers at its address.
     pub fn restart_silent_worker(&mut self, worker: &Incarnation) {
         let mut info = self.workload.worker(worker).unwrap().info.clone();
         info.id = worker_id(&format!("{worker}'"));
@@ -438,7 +445,7 @@
         self.answer_for(worker, &Answer::OtherIncarnation);
     }
 
-    /// Records the end of a run wherever it is.
+    /// Records the end of a run on the worker that has it.
     pub fn end(&mut self, run: RunId, kind: EndKind) {
         let worker = self
             .workload
@@ -457,7 +464,7 @@
         self.take_events();
     }
 
-    /// Runs recorded as open, of all workers.
+    /// Returns the open runs in the record, with their workers.
     pub fn open_runs(&self) -> Vec<(Incarnation, RunId)> {
         self.workload
             .workers()
@@ -477,7 +484,7 @@
     }
 }
 
-/// The recorded run of a job's task in its first step.
+/// Returns the recorded run of a task of the job's first step.
 pub fn run_of(site: &Site, job: JobId, index: u32) -> RunId {
     let runs = site.open_runs();
     let mut own = runs.iter().map(|(_, run)| *run);
