--- a/crates/bh-workload/tests/racks.rs
+++ b/crates/bh-workload/tests/racks.rs
@@ -1,4 +1,4 @@
-//! Gangs that are slow on several racks.
+//! Gangs that run slowly on several racks, and gangs that need a whole rack.
 
 mod support;
 
@@ -11,15 +11,15 @@
 use support::Site;
 use support::step;
 
-/// A site of six racks with two workers each, of which one in each rack is taken.
-fn site_with_half_of_each_rack_taken() -> Site {
+/// A site of six racks with two workers each, one of which in each rack has a long run.
+fn site_with_half_of_each_rack_in_use() -> Site {
     let mut site = Site::new(12, 2);
     site.advance(60_000);
-    let whole = StepSpec {
+    let long = StepSpec {
         declared_ms: 600_000,
         ..step(12, 8)
     };
-    site.submit(2, "other", vec![whole]);
+    site.submit(2, "other", vec![long]);
     site.plan_and_start();
     let mut seen: BTreeSet<Arc<str>> = BTreeSet::new();
     let runs: Vec<(Incarnation, RunId)> = site.open_runs();
@@ -32,18 +32,17 @@
     site
 }
 
-/// A gang that wants one rack comes while one worker of each rack is taken for long. It waits for a rack at first, since spread it takes three
-/// times as long; when that is just still in time, and the pool is idle enough, it is spread. If it waited on it would be late whatever
-/// happens.
+/// Guards against a gang that waits for one rack until it must be late. One worker of each rack has a long run. The gang waits for a rack at first,
+/// since it takes three times as long when it is spread. Just before spreading would be too late, it is spread if the pool is idle enough.
 #[test]
 fn a_gang_is_spread_when_that_is_its_last_chance_in_an_idle_pool() {
-    let mut site = site_with_half_of_each_rack_taken();
+    let mut site = site_with_half_of_each_rack_in_use();
     let local = StepSpec {
         gang: true,
         rack_local: true,
         ..step(2, 8)
     };
-    // On time within 3 times 5 s and 1 s; spread it takes 15 s.
+    // It is on time within 3 times 5 s plus 1 s; spread, it takes 15 s.
     site.submit(1, "other", vec![local]);
     assert!(site.plan().starts.is_empty());
     site.advance(800);
@@ -52,17 +51,17 @@
     assert!(site.plan().starts.is_empty(), "too late to be on time");
 }
 
-/// Room is kept for urgent work in the emptiest rack, the only one where a gang that needs a whole rack fits. It waits while it has time to spare,
-/// since urgent work may come; when it would be late otherwise it takes the kept room. Kept from it, it would wait until urgent work has not
-/// come for long, and its caller be served last of all.
+/// Guards against a gang that is late because capacity is kept for urgent work in the emptiest rack, the only one where a gang that needs a whole rack
+/// fits. The gang waits while it has time to spare, since urgent work may arrive, and takes the kept capacity when it would be late otherwise. If it
+/// could not, it would wait until urgent work has been absent for long, and be served last of all.
 #[test]
-fn a_gang_takes_kept_room_when_that_is_its_last_chance() {
+fn a_gang_takes_capacity_kept_for_urgent_work_when_that_is_its_last_chance() {
     let mut site = Site::new(4, 4);
     let whole_rack = StepSpec {
         gang: true,
         ..step(4, 8)
     };
-    // On time within 3 times 5 s and 1 s.
+    // It is on time within 3 times 5 s plus 1 s.
     site.submit(1, "other", vec![whole_rack]);
     assert!(site.plan().starts.is_empty());
     site.advance(5_500);
@@ -73,15 +72,15 @@
     assert!(site.plan().starts.is_empty(), "it is late whatever happens");
 }
 
-/// A fleet of twenty racks is full, and as many gangs wait that need a whole rack each. A worker comes free in every rack, and small tasks wait as
-/// well. Were room kept for a few gangs only, small tasks would take the rest as it comes, and the other gangs would find no rack until nothing
-/// else waits any more; their callers would get no answer at all.
+/// Guards against small tasks that keep gangs from ever getting a rack. A fleet of twenty racks is full, and twenty gangs wait that need a whole rack
+/// each. One worker becomes free in every rack, and small tasks wait as well. If capacity were kept for a few gangs only, small tasks would take the
+/// rest as it becomes free, and the other gangs would find no rack until nothing else waits; their callers would get no answer at all.
 #[test]
 fn in_a_large_fleet_every_rack_is_kept_for_a_gang_that_waits_for_one() {
     const RACKS: usize = 20;
     const PER_RACK: usize = 12;
     let mut site = Site::new(RACKS * PER_RACK, PER_RACK);
-    // No urgent work has come for long, so that no room is kept for it.
+    // Urgent work has been absent for so long that no capacity is kept for it.
     site.advance(20_000);
     let whole = step(u32::try_from(RACKS * PER_RACK).unwrap(), 8);
     site.submit(2, "other", vec![whole]);
--- a/crates/bh-workload/tests/records_in_doubt.rs
+++ b/crates/bh-workload/tests/records_in_doubt.rs
@@ -1,4 +1,4 @@
-//! Ends whose record takes longer than anybody waits for it.
+//! Ends of runs whose record is not confirmed in time.
 mod support;
 
 use bh_workload::dispatch::Order;
@@ -10,22 +10,23 @@
 use support::step;
 
 /// Longer than any lease, in milliseconds.
-const LAPSED_MS: u64 = 12_000;
+const LEASE_EXPIRED_MS: u64 = 12_000;
 /// Time after which a start without an answer is sent again, in milliseconds.
 const RETRY_MS: u64 = 400;
 
-fn is_look(order: &Order) -> bool {
+fn is_probe(order: &Order) -> bool {
     matches!(order.body, OrderBody::Probe { .. })
 }
 
-fn starts(orders: &[Order]) -> usize {
+/// Returns the number of start orders.
+fn start_count(orders: &[Order]) -> usize {
     let is_start = |order: &&Order| matches!(order.body, OrderBody::Start { .. });
     orders.iter().filter(is_start).count()
 }
 
-/// A run is given up since its worker was silent past its lease. The record of that is not committed in the time that anybody waits for it, and
-/// the worker answers again. The start goes out again only if the record surely failed: committed later, it has the task begin elsewhere beside
-/// the run.
+/// Guards against running a task twice after the end of its run was recorded too slowly. The run is given up since its worker was silent beyond its
+/// lease. The record of that end is not confirmed in time, and the worker answers again. The start is sent again only if recording is known to have
+/// failed: a record that is committed later makes the task start elsewhere as well.
 #[rstest]
 #[case(RecordOutcome::Unknown, 0)]
 #[case(RecordOutcome::NotRecorded, 1)]
@@ -38,18 +39,18 @@
     site.plan_and_start();
     let worker = site.open_runs()[0].0.clone();
     site.fall_silent(&worker);
-    site.advance(LAPSED_MS);
-    let (looks, ends) = site.dispatcher.orders(site.now_ms, &site.workload, true);
+    site.advance(LEASE_EXPIRED_MS);
+    let (orders, ends) = site.dispatcher.orders(site.now_ms, &site.workload, true);
     assert_eq!(ends.len(), 1, "the run is given up");
-    let back = site.probe_answer(&worker, &[site.open_runs()[0].1]);
-    for order in looks.iter().filter(|order| is_look(order)) {
+    let answer = site.probe_answer(&worker, &[site.open_runs()[0].1]);
+    for order in orders.iter().filter(|order| is_probe(order)) {
         site.dispatcher
-            .note_answer(site.now_ms, order, &back, &site.workload);
+            .note_answer(site.now_ms, order, &answer, &site.workload);
     }
     site.dispatcher.note_recorded(&worker, None, outcome);
     site.advance(RETRY_MS);
     let sent = site.dispatcher.orders(site.now_ms, &site.workload, true).0;
-    assert_eq!(starts(&sent), expected);
+    assert_eq!(start_count(&sent), expected);
 
     let now_ms = site.wall_ms();
     site.workload.apply(Command::ends(ends).at(now_ms));
--- a/crates/bh-workload/tests/repeated_starts.rs
+++ b/crates/bh-workload/tests/repeated_starts.rs
@@ -1,4 +1,4 @@
-//! Starts that went out twice, so that the answer to the second says little of the first.
+//! Start orders that are sent twice: the answer to the second send says little about the first.
 mod support;
 
 use bh_workload::dispatch::Answer;
@@ -18,8 +18,8 @@
 use support::task;
 use support::worker_id;
 
-/// A site of two workers and a task; the order that starts it.
-fn one_start() -> (Site, JobId, Order) {
+/// A site of two workers, a job of one task, and the order that starts the task.
+fn site_with_start() -> (Site, JobId, Order) {
     let mut site = Site::new(2, 1);
     let job = site.submit(0, "other", vec![step(1, 1)]);
     site.plan_and_start();
@@ -28,28 +28,30 @@
     (site, job, orders.remove(0))
 }
 
-fn run(order: &Order) -> RunId {
+/// Returns the run that an order starts or stops.
+fn run_of(order: &Order) -> RunId {
     match order.body {
         OrderBody::Start { run, .. } | OrderBody::Stop { run } => run,
-        _ => panic!("{order:?} is of no run"),
+        _ => panic!("{order:?} neither starts nor stops a run"),
     }
 }
 
-fn denied(site: &Site, denial: Denial) -> Answer {
+fn denied_answer(site: &Site, denial: Denial) -> Answer {
     Answer::Denied {
         clock_ms: Some(site.now_ms),
         denial,
     }
 }
 
-fn nothing_runs(site: &Site) -> Answer {
+/// Answer of a worker that reports no runs.
+fn empty_report_answer(site: &Site) -> Answer {
     Answer::Done {
         clock_ms: Some(site.now_ms),
         report: Some(Report::default()),
     }
 }
 
-/// Takes an answer, and records what follows from it.
+/// The leader receives an answer; the command that follows from it is recorded and returned.
 fn answer(site: &mut Site, order: &Order, answer: &Answer) -> Option<Command> {
     let command = site
         .dispatcher
@@ -61,90 +63,92 @@
     command
 }
 
-fn stops(orders: &[Order]) -> Vec<RunId> {
+/// Returns the runs that orders stop.
+fn stopped_runs(orders: &[Order]) -> Vec<RunId> {
     let stops = orders.iter();
     let stops = stops.filter(|order| matches!(order.body, OrderBody::Stop { .. }));
-    stops.map(run).collect()
+    stops.map(run_of).collect()
 }
 
-/// All that is asked now gets the answer that is made of the site.
-fn answer_all(site: &mut Site, made: impl Fn(&Site) -> Answer) -> Vec<Order> {
+/// Gives every order that is due the answer that `make_answer` returns, and returns the orders.
+fn answer_all(site: &mut Site, make_answer: impl Fn(&Site) -> Answer) -> Vec<Order> {
     let orders = site.orders();
     for order in &orders {
-        let made = made(site);
+        let made = make_answer(site);
         answer(site, order, &made);
     }
     orders
 }
 
-/// A start whose first send may have been carried out is refused. The worker's next report does not have the run: it is stopped, so that a send that is
-/// still on its way begins nothing, and the task begins nowhere else until that is confirmed.
+/// Guards against running a task twice when a repeated start is refused: the first send may have been carried out, or may still arrive. The worker's
+/// next report does not list the run. The run is then stopped, so that a delayed send starts nothing, and the task starts nowhere else until the stop
+/// is confirmed.
 #[rstest]
 #[case(Denial::Unhealthy)]
 #[case(Denial::NoRoom)]
 #[case(Denial::Late)]
 #[case(Denial::NoPermission)]
 #[case(Denial::Malformed)]
-fn a_refused_repetition_settles_nothing(#[case] denial: Denial) {
-    let (mut site, _, start) = one_start();
+fn a_refused_repeated_start_does_not_end_the_run(#[case] denial: Denial) {
+    let (mut site, _, start) = site_with_start();
     site.dispatcher.note_repeated(&start);
-    let refused = denied(&site, denial);
+    let refused = denied_answer(&site, denial);
     assert_eq!(answer(&mut site, &start, &refused), None);
     assert_eq!(site.plan().starts, Vec::new());
     site.advance(100);
-    let asked = answer_all(&mut site, nothing_runs);
-    assert_eq!(stops(&asked), [], "a report comes first");
+    let asked = answer_all(&mut site, empty_report_answer);
+    assert_eq!(stopped_runs(&asked), [], "a report comes first");
     site.advance(100);
-    let stopped = answer_all(&mut site, nothing_runs);
-    assert_eq!(stops(&stopped), [run(&start)]);
+    let stopped = answer_all(&mut site, empty_report_answer);
+    assert_eq!(stopped_runs(&stopped), [run_of(&start)]);
     assert_eq!(
         site.open_runs().len(),
         1,
         "the report is older than the stop"
     );
     site.advance(100);
-    answer_all(&mut site, nothing_runs);
+    answer_all(&mut site, empty_report_answer);
     assert_eq!(site.open_runs(), Vec::new());
 }
 
-/// The worker reports that the run goes on, which its first start began: it is left alone.
+/// Guards against stopping a run that the first send started when the second send is refused: the worker reports it as running.
 #[test]
-fn a_run_that_was_refused_when_it_had_begun_goes_on() {
-    let (mut site, _, start) = one_start();
+fn a_run_started_by_the_first_send_goes_on_when_the_second_is_refused() {
+    let (mut site, _, start) = site_with_start();
     site.dispatcher.note_repeated(&start);
-    let refused = denied(&site, Denial::Unhealthy);
+    let refused = denied_answer(&site, Denial::Unhealthy);
     answer(&mut site, &start, &refused);
     for _ in 0..20 {
         site.advance(100);
         let asked = answer_all(&mut site, |site| site.probe_answer(&worker_id("w00"), &[]));
-        assert_eq!(stops(&asked), []);
+        assert_eq!(stopped_runs(&asked), []);
     }
     assert_eq!(site.open_runs().len(), 1);
 }
 
-/// A start that was sent once and is refused never began: its task may begin elsewhere at once.
+/// Guards against waiting after a start that was sent only once is refused: it was never carried out, so the task may start elsewhere at once.
 #[test]
-fn a_refusal_of_the_only_send_settles_the_run() {
-    let (mut site, _, start) = one_start();
-    let refused = denied(&site, Denial::Unhealthy);
+fn a_refusal_of_the_only_send_ends_the_run() {
+    let (mut site, _, start) = site_with_start();
+    let refused = denied_answer(&site, Denial::Unhealthy);
     let command = answer(&mut site, &start, &refused);
     assert!(matches!(command, Some(Command::Ends { .. })));
     assert_eq!(site.open_runs(), Vec::new());
 }
 
-/// The run that the first send began fails: that counts, though its repetition was refused.
+/// Guards against losing a failure of the run that the first send started, because the second send was refused.
 #[test]
-fn a_failure_after_a_refused_repetition_counts() {
-    let (mut site, job, start) = one_start();
+fn a_failure_after_a_refused_repeated_start_counts() {
+    let (mut site, job, start) = site_with_start();
     site.dispatcher.note_repeated(&start);
-    let refused = denied(&site, Denial::Unhealthy);
+    let refused = denied_answer(&site, Denial::Unhealthy);
     answer(&mut site, &start, &refused);
     let failed = Answer::Done {
         clock_ms: Some(site.now_ms),
         report: Some(Report {
             ended: vec![Ended {
                 number: 1,
-                run: run(&start),
+                run: run_of(&start),
                 kind: EndKind::Failed,
                 checkpoint: None,
             }],
@@ -152,15 +156,16 @@
         }),
     };
     site.answer_for(&start.to.worker, &failed);
-    let counted = site.workload.task(task(job, 0, 0));
-    assert_eq!(counted.map(|task| task.failures), Some(1));
+    let recorded = site.workload.task(task(job, 0, 0));
+    assert_eq!(recorded.map(|task| task.failures), Some(1));
 }
 
-/// The worker crashes under the first send, and another incarnation answers the second after the time a restart takes: the run may have crashed it.
+/// Guards against clearing a run of suspicion that may have crashed its worker. The worker crashes after the first send, and another incarnation answers
+/// the second send after the time that a restart takes.
 #[test]
-fn a_repetition_that_another_incarnation_answers_clears_no_suspect() {
+fn a_run_stays_suspect_when_another_incarnation_answers_its_repeated_start() {
     const RESTART_MS: u64 = 200;
-    let (mut site, _, start) = one_start();
+    let (mut site, _, start) = site_with_start();
     site.dispatcher.note_repeated(&start);
     site.advance(RESTART_MS);
     let Some(Command::Ends {
@@ -170,5 +175,5 @@
         panic!("a crash is recorded");
     };
     let suspects: Vec<RunId> = crash.suspects.iter().map(|suspect| suspect.run).collect();
-    assert_eq!(suspects, [run(&start)]);
+    assert_eq!(suspects, [run_of(&start)]);
 }
--- a/crates/bh-workload/tests/restarted_workers.rs
+++ b/crates/bh-workload/tests/restarted_workers.rs
@@ -41,7 +41,7 @@
     worker_id(&format!("w00@{started_ms}"))
 }
 
-/// A site with one worker, which reports its start time and has answered a look.
+/// A site with one worker, which reports its start time and has answered a probe.
 fn site() -> Site {
     let mut site = Site::new(0, 1);
     site.workload.apply(set_worker(Some(FIRST_MS)));
@@ -51,6 +51,7 @@
     site
 }
 
+/// Answer to a probe with a report of these runs and ends.
 fn report_answer(site: &Site, running: &[RunId], ended: &[(u64, RunId, EndKind)]) -> Answer {
     Answer::Done {
         clock_ms: Some(site.now_ms),
@@ -78,6 +79,7 @@
     }
 }
 
+/// Answer of the later incarnation, with a report of these runs and ends.
 fn restart_answer(running: &[RunId], ended: &[(u64, RunId, EndKind)]) -> Answer {
     Answer::Restarted {
         started_ms: SECOND_MS,
@@ -85,7 +87,7 @@
     }
 }
 
-/// Answers each order that is due and records what follows.
+/// Answers each order that is due and records the commands that follow.
 fn answer_each_order(site: &mut Site, answer: impl Fn(&Site, &Order) -> Answer) -> Vec<Order> {
     let orders = site.orders();
     for order in &orders {
@@ -102,13 +104,13 @@
     orders
 }
 
-fn is_look(order: &Order) -> bool {
+fn is_probe(order: &Order) -> bool {
     matches!(order.body, OrderBody::Probe { .. })
 }
 
-/// Answer of the later incarnation: reports `running` to looks and carries out other orders.
+/// Answer of the later incarnation: reports `running` to probes and carries out other orders.
 fn later_answer(site: &Site, order: &Order, running: &[RunId]) -> Answer {
-    if is_look(order) {
+    if is_probe(order) {
         restart_answer(running, &[])
     } else {
         site.done()
@@ -123,8 +125,8 @@
     }
 }
 
-/// Begins a task on the worker; its start is confirmed and reported.
-fn begin_task(site: &mut Site) -> JobId {
+/// Starts a task on the worker; the worker confirms the start and reports the run.
+fn start_task(site: &mut Site) -> JobId {
     let job = site.submit(0, "other", vec![step(1, 1)]);
     site.plan_and_start();
     site.send_starts();
@@ -140,9 +142,9 @@
 
 /// Guards against waiting for a lease to expire when a report of the later incarnation shows that the runs are gone.
 #[test]
-fn runs_of_the_earlier_incarnation_are_over_at_the_first_report_of_the_later_one() {
+fn runs_of_the_earlier_incarnation_end_at_the_first_report_of_the_later_one() {
     let mut site = site();
-    let job = begin_task(&mut site);
+    let job = start_task(&mut site);
     site.advance(100);
     answer_each_order(&mut site, |_, _| restart_answer(&[], &[]));
     assert_eq!(state(&site, job), TaskState::Waiting);
@@ -162,13 +164,13 @@
     assert_eq!(plan.starts[0].run, run_of(job, 2));
 }
 
-/// Guards against running a task twice: its start order reached the later incarnation, and the task also began elsewhere.
+/// Guards against running a task twice: its start order reached the later incarnation, and the task also started elsewhere.
 #[test]
 fn a_run_whose_start_order_may_reach_the_later_incarnation_is_stopped_there_first() {
     let mut site = site();
     let job = site.submit(0, "other", vec![step(1, 1)]);
     site.plan_and_start();
-    // The later incarnation carries it out, as the next report shows.
+    // The later incarnation carries out the order, as the next report shows.
     answer_each_order(&mut site, |site, _| site.done());
     let run = run_of(job, 1);
     site.advance(100);
@@ -183,7 +185,11 @@
     );
     site.advance(100);
     answer_each_order(&mut site, |site, order| later_answer(site, order, &[run]));
-    assert_eq!(state(&site, job), TaskState::Open(1), "it still runs there");
+    assert_eq!(
+        state(&site, job),
+        TaskState::Open(1),
+        "the run goes on there"
+    );
     site.advance(100);
     answer_each_order(&mut site, |site, order| later_answer(site, order, &[]));
     assert_eq!(state(&site, job), TaskState::Waiting);
@@ -191,7 +197,7 @@
     assert_eq!(
         task.all_crashes(),
         0,
-        "it did not crash the earlier incarnation"
+        "the run did not crash the earlier incarnation"
     );
 }
 
@@ -213,13 +219,13 @@
 #[test]
 fn ends_are_acknowledged_only_to_an_incarnation_that_has_just_reported() {
     let mut site = site();
-    let job = begin_task(&mut site);
-    let cursor = |orders: &[Order]| {
-        let looks = orders.iter().filter_map(|order| match order.body {
+    let job = start_task(&mut site);
+    let recorded_to = |orders: &[Order]| {
+        let probes = orders.iter().filter_map(|order| match order.body {
             OrderBody::Probe { recorded_to, .. } => Some(recorded_to),
             _ => None,
         });
-        looks.max()
+        probes.max()
     };
     site.advance(100);
     let ended = report_answer(&site, &[], &[(7, run_of(job, 1), EndKind::Done)]);
@@ -231,15 +237,19 @@
     );
     site.advance(100);
     let lost = answer_each_order(&mut site, |_, _| Answer::Lost);
-    assert_eq!(cursor(&lost), Some(7));
+    assert_eq!(recorded_to(&lost), Some(7));
     site.advance(500);
     let answer = report_answer(&site, &[], &[]);
     let first = answer_each_order(&mut site, |_, _| answer.clone());
-    assert_eq!(cursor(&first), Some(0), "it may have restarted");
+    assert_eq!(
+        recorded_to(&first),
+        Some(0),
+        "the worker may have restarted"
+    );
     site.advance(100);
     let answer = report_answer(&site, &[], &[]);
     let second = answer_each_order(&mut site, |_, _| answer.clone());
-    assert_eq!(cursor(&second), Some(7));
+    assert_eq!(recorded_to(&second), Some(7));
 }
 
 /// Guards against a later incarnation carrying out delayed orders for an earlier one after it has received an order of its own.
@@ -269,7 +279,7 @@
     assert!(delayed <= third);
 }
 
-/// Guards against giving work to an incarnation that is gone after a delayed heartbeat of it.
+/// Guards against giving work to an incarnation that is gone when a delayed heartbeat of it arrives.
 #[test]
 fn a_late_heartbeat_of_an_earlier_incarnation_gets_no_work() {
     let mut site = site();
@@ -297,14 +307,14 @@
     let again = site
         .dispatcher
         .note_heartbeat(site.now_ms, &early, Some(site.now_ms));
-    assert!(!again, "it has ended");
+    assert!(!again, "the incarnation has ended");
 }
 
 /// Guards against losing track of workers from records of older versions, which have no start times.
 #[test]
 fn a_worker_recorded_without_a_start_time_is_identified_by_its_first_report() {
     let mut site = Site::new(1, 1);
-    let job = begin_task_unreported(&mut site);
+    let job = start_task_without_report(&mut site);
     site.workload.apply(set_worker(Some(FIRST_MS)));
     site.take_events();
     site.heartbeats();
@@ -314,7 +324,7 @@
         let answer = |site: &Site, order: &Order| {
             if order.to.worker.started_ms.is_some() {
                 report_answer(site, &[], &[])
-            } else if is_look(order) {
+            } else if is_probe(order) {
                 let is_stopped = site.now_ms > 300;
                 let running: Vec<RunId> = (!is_stopped).then_some(run).into_iter().collect();
                 Answer::Restarted {
@@ -332,18 +342,19 @@
     assert_eq!(task.all_crashes(), 0, "no incarnation has crashed");
 }
 
-fn begin_task_unreported(site: &mut Site) -> JobId {
+/// Starts a task on the worker; the worker confirms the start and has not reported the run yet.
+fn start_task_without_report(site: &mut Site) -> JobId {
     let job = site.submit(0, "other", vec![step(1, 1)]);
     site.plan_and_start();
     site.send_starts();
     job
 }
 
-/// Guards against records that a core of another version cannot read.
+/// Guards against a format of the record that cores of other versions cannot read.
 #[test]
 fn the_record_stores_incarnations_as_text() {
     let mut site = site();
-    begin_task(&mut site);
+    start_task(&mut site);
     let text = serde_json::to_string(&site.workload).unwrap();
     assert!(text.contains("\"w00@1000\""));
     let read: Workload = serde_json::from_str(&text).unwrap();
@@ -354,9 +365,10 @@
     assert_eq!((worker.info.id.started_ms, worker.runs.len()), (None, 1));
 }
 
-/// Guards against a running worker that refuses all orders after looks at an earlier incarnation, known from a delayed heartbeat, carried a higher token.
+/// Guards against a running worker that refuses all orders because probes of an earlier incarnation, known from a delayed heartbeat, carried a higher
+/// token.
 #[test]
-fn looks_at_an_earlier_incarnation_do_not_fence_off_the_running_one() {
+fn probes_of_an_earlier_incarnation_do_not_fence_off_the_running_one() {
     let mut site = site();
     let token = |orders: &[Order], started_ms| {
         let own = orders
--- a/crates/bh-workload/tests/set_aside.rs
+++ b/crates/bh-workload/tests/set_aside.rs
@@ -1,4 +1,4 @@
-//! Workers that get no work for a while because they refused or failed what they were given.
+//! Workers that are set aside: they get no work for a while because they refused or failed tasks.
 mod support;
 
 use bh_protocol::Incarnation;
@@ -9,11 +9,11 @@
 use support::step;
 
 const WORKERS: usize = 6;
-/// As many tasks.
+/// One task for each worker.
 const TASKS: u32 = 6;
 
-/// A site on which so many workers are set aside, and a task for each worker waits; the workers that get one.
-fn used_with(aside: usize) -> BTreeSet<Incarnation> {
+/// Returns the workers that get a task on a site where `set_aside` workers are set aside and a task for each worker waits.
+fn workers_used(set_aside: usize) -> BTreeSet<Incarnation> {
     let mut site = Site::new(WORKERS, 2);
     site.advance(60_000);
     let workers: Vec<Incarnation> = site
@@ -21,7 +21,7 @@
         .workers()
         .map(|worker| worker.info.id.clone())
         .collect();
-    for worker in workers.iter().take(aside) {
+    for worker in workers.iter().take(set_aside) {
         site.dispatcher.set_aside(site.now_ms, worker);
     }
     site.submit(1, "other", vec![step(TASKS, 8)]);
@@ -32,13 +32,16 @@
         .collect()
 }
 
-/// Some workers refuse what they are given: the others get the work. If most do, the work or the load is the likelier cause, and callers would wait for
-/// workers that stand idle for half a minute.
+/// Guards against leaving most workers idle for half a minute while callers wait. If some workers refuse tasks, the others get the work. If most do, the
+/// tasks or the load are the more likely cause, and all workers are used.
 #[rstest]
 #[case(1, 5)]
 #[case(2, 4)]
 #[case(3, 6)]
 #[case(6, 6)]
-fn workers_are_left_out_unless_many_are(#[case] aside: usize, #[case] used: usize) {
-    assert_eq!(used_with(aside).len(), used);
+fn workers_set_aside_get_no_work_unless_there_are_many(
+    #[case] set_aside: usize,
+    #[case] used: usize,
+) {
+    assert_eq!(workers_used(set_aside).len(), used);
 }
--- a/crates/bh-workload/tests/shrinking_workers.rs
+++ b/crates/bh-workload/tests/shrinking_workers.rs
@@ -1,4 +1,4 @@
-//! Workers whose capacity shrinks and grows while they run.
+//! Workers whose capacity shrinks and grows while tasks run on them.
 mod support;
 
 use bh_workload::dispatch::Answer;
@@ -12,8 +12,9 @@
 use support::step;
 use support::worker_id;
 
-/// Starts that the leader sends now. They are lost, as are looks while `deaf`; what was lost is not reported by later ones.
-fn starts_sent(site: &mut Site, deaf: bool, lost: &[RunId]) -> Vec<RunId> {
+/// Returns the runs that the leader sends start orders for now. These orders are lost, and so are probes if `lose_probes`. Answers to other probes do
+/// not list the runs in `lost`.
+fn starts_sent(site: &mut Site, lose_probes: bool, lost: &[RunId]) -> Vec<RunId> {
     let (orders, _) = site.dispatcher.orders(site.now_ms, &site.workload, true);
     let mut started = Vec::new();
     for order in &orders {
@@ -22,7 +23,7 @@
                 started.push(*run);
                 Answer::Lost
             }
-            OrderBody::Probe { .. } if deaf => Answer::Lost,
+            OrderBody::Probe { .. } if lose_probes => Answer::Lost,
             OrderBody::Probe { .. } => site.probe_answer(&order.to.worker, lost),
             OrderBody::Stop { .. } | OrderBody::Pace { .. } => site.done(),
         };
@@ -32,8 +33,9 @@
     started
 }
 
-/// A start has no answer, and before it is sent again the worker says that half of it is gone. It does not guard its capacity, so the start
-/// would bring it over what it has, and slow down or kill what runs there. The run is withdrawn, and the task begins where there is room.
+/// Guards against overloading a worker by resending a start order. The start gets no answer, and before it is sent again the worker reports that half of
+/// its capacity is gone. The worker does not check its capacity, so the start would slow down or kill the tasks there. The run is withdrawn, and the task
+/// starts where there is capacity.
 #[test]
 fn a_start_is_not_sent_again_to_a_worker_that_has_shrunk() {
     let mut site = Site::new(1, 1);
@@ -53,17 +55,17 @@
         let again = starts_sent(&mut site, false, &sent);
         assert!(
             again.is_empty(),
-            "{again:?} is sent to a worker that is full"
+            "the start of {again:?} is sent to a full worker"
         );
     }
     assert!(site.workload.job(first).unwrap().outcome.is_none());
 }
 
-/// Two borrowers fill a worker, which shrinks to half. A guaranteed job needs the other half: stopping one of them gives no room at all,
-/// since the worker is over its capacity. Reckoned without that, one borrower loses its work in vain and the job waits until the claim
-/// lapses, past the time that its customer was promised.
+/// Guards against stopping too few borrowers on a worker that is over its capacity. Two borrowers fill a worker, which shrinks to half. A guaranteed job
+/// needs that half: stopping one borrower frees nothing for it. If the shrinkage were ignored, one borrower would lose its work in vain, and the job would
+/// wait until the reservation expires, beyond its deadline.
 #[test]
-fn room_is_reclaimed_as_far_as_a_shrunk_worker_has_any() {
+fn enough_borrowers_are_stopped_on_a_worker_over_its_capacity() {
     let mut site = Site::new(1, 1);
     site.submit(2, "other", vec![step(2, 4)]);
     site.plan_and_start();
@@ -75,9 +77,9 @@
     assert_eq!(plan.evictions.len(), 2);
 }
 
-/// A worker shrinks and grows again, and work waits for it. It begins with the next plan.
+/// Guards against ignoring capacity that comes back: a worker shrinks and grows again, and the waiting work starts with the next plan.
 #[test]
-fn what_grows_again_is_used_at_once() {
+fn capacity_that_comes_back_is_used_at_once() {
     let mut site = Site::new(1, 1);
     site.set_accelerators(&worker_id("w00"), 2);
     site.submit(0, "other", vec![step(1, 4)]);
@@ -86,10 +88,10 @@
     assert_eq!(site.plan().starts.len(), 1);
 }
 
-/// A worker shrinks, and a heartbeat that it sent before that was held up and comes last, to another leader, who has not counted its
-/// heartbeats. Taken for news it would have the worker filled to what it had before.
+/// Guards against overloading a worker after a delayed heartbeat. The worker shrinks, and a heartbeat that it sent before arrives last, at another leader,
+/// which has seen no sequence numbers of its heartbeats. If that heartbeat counted, the worker would be filled to its former capacity.
 #[test]
-fn a_heartbeat_that_was_held_up_brings_nothing_back() {
+fn a_delayed_heartbeat_does_not_restore_the_former_capacity() {
     let mut site = Site::new(1, 1);
     let mut info = site
         .workload
@@ -97,7 +99,7 @@
         .unwrap()
         .info
         .clone();
-    let mut says = |accelerators: u64, sequence: u64| {
+    let mut capacity_after_heartbeat = |accelerators: u64, sequence: u64| {
         info.capacity.accelerators = accelerators;
         info.sequence = sequence;
         let change = WorkerChange::Known(info.clone());
@@ -109,16 +111,16 @@
             .capacity
             .accelerators
     };
-    assert_eq!(says(8, 4), 8);
-    assert_eq!(says(2, 5), 2);
-    assert_eq!(says(8, 4), 2);
-    assert_eq!(says(6, 6), 6);
+    assert_eq!(capacity_after_heartbeat(8, 4), 8);
+    assert_eq!(capacity_after_heartbeat(2, 5), 2);
+    assert_eq!(capacity_after_heartbeat(8, 4), 2);
+    assert_eq!(capacity_after_heartbeat(6, 6), 6);
 }
 
-/// A worker is cut off while a start to it has no answer, and shrinks meanwhile. It answers again before its next heartbeat: the start is
-/// not sent again until that tells what it has.
+/// Guards against resending a start order to a worker that has shrunk while it was unreachable. The worker answers again before its next heartbeat: the start
+/// is sent again only after that heartbeat has told its capacity.
 #[test]
-fn nothing_is_sent_after_a_silence_before_a_heartbeat() {
+fn no_start_is_sent_again_after_a_silence_before_a_heartbeat() {
     let mut site = Site::new(1, 1);
     site.submit(0, "other", vec![step(1, 4)]);
     site.plan_and_start();
@@ -134,10 +136,10 @@
     assert_eq!(starts_sent(&mut site, false, &sent).len(), 1);
 }
 
-/// All cores were down for longer than what workers said of themselves is good for. The next leader looks at the workers and gets answers,
-/// but some may have shrunk with nobody to tell: each gets work once its heartbeat has come, not before.
+/// Guards against trusting worker information that is too old. All cores were down for longer than it is valid. The next leader probes the workers and gets
+/// answers, but some workers may have shrunk meanwhile: each gets work only after its heartbeat has arrived.
 #[test]
-fn after_a_time_without_a_leader_workers_are_heard_first() {
+fn after_a_time_without_a_leader_workers_get_work_only_after_a_heartbeat() {
     let mut site = Site::new(2, 2);
     site.now_ms += 10_000;
     site.dispatcher = Dispatcher::new(Timing::DEFAULT, 2, site.now_ms, &site.workload)
