--- a/crates/bh-workload/benches/cost/main.rs
+++ b/crates/bh-workload/benches/cost/main.rs
@@ -1,10 +1,10 @@
-//! What one turn of the leader costs, by part, and how it grows with the fleet and the queue.
+//! Time that the parts of one turn of the leader take, for several sizes of the fleet and the queue.
 //!
 //! `cargo bench -p bh-workload --bench cost [-- WORKERS...]`.
 #![expect(
     clippy::cast_precision_loss,
     clippy::unwrap_used,
-    reason = "a measurement whose numbers are small, and that ends when something is wrong"
+    reason = "a benchmark with small numbers that ends when something is wrong"
 )]
 
 #[path = "../../tests/support/mod.rs"]
@@ -21,17 +21,17 @@
 use std::time::Instant;
 use support::Site;
 
-/// Fleet sizes: a large deployment of today, several times that, and the size to design for.
+/// Fleet sizes, in workers: a large current deployment, several times that, and the size that the design must handle.
 const FLEETS: [usize; 3] = [540, 3_000, 16_000];
 const RACK: usize = 12;
-/// Jobs that wait beside a full fleet.
+/// Lengths of the queue beside a full fleet, in jobs.
 const QUEUES: [usize; 3] = [0, 100, 2_000];
-/// Passes measured of each kind.
+/// Number of passes of each part; the median counts.
 const PASSES: usize = 9;
-/// Of ten jobs, those of each kind come in this order: the kind is also the rank of its queue.
-const MIX: [usize; 10] = [0, 1, 0, 2, 0, 1, 0, 0, 2, 0];
+/// Kinds of ten consecutive jobs. The kind is also the priority of the job's queue.
+const KINDS: [usize; 10] = [0, 1, 0, 2, 0, 1, 0, 0, 2, 0];
 
-/// A step of a kind: short gangs, long gangs, small batch tasks.
+/// A step of a kind: 0 for short gangs, 1 for long gangs, 2 for small batch tasks.
 fn step(kind: usize, number: usize) -> StepSpec {
     let (count, cpu_millis, accelerators, declared_ms) = [
         (5, 15_000, 2, 2_500),
@@ -52,13 +52,14 @@
     }
 }
 
+/// Submits the job with this number.
 fn submit(site: &mut Site, number: usize) {
-    let kind = MIX[number % MIX.len()];
-    let rank = u32::try_from(kind).unwrap();
-    site.submit(rank, "other", vec![step(kind, number)]);
+    let kind = KINDS[number % KINDS.len()];
+    let priority = u32::try_from(kind).unwrap();
+    site.submit(priority, "other", vec![step(kind, number)]);
 }
 
-/// A site whose fleet is full, with `queue` jobs that wait.
+/// A site whose fleet is full, with `queue` waiting jobs.
 fn build(workers: usize, queue: usize) -> Site {
     let mut site = Site::new(workers, RACK);
     let mut number = 0;
@@ -74,15 +75,15 @@
             break;
         }
     }
-    // What did not fit is taken back, so that the queue has the length that was asked for.
+    // Jobs that have not started are cancelled, so that the queue has the requested length.
     let waiting: Vec<_> = site
         .workload
         .active_jobs()
         .filter(|(_, job)| !job.started)
         .map(|(id, job)| (id, job.queue.priority))
         .collect();
-    for (id, rank) in waiting {
-        site.cancel(rank, "other", id);
+    for (id, priority) in waiting {
+        site.cancel(priority, "other", id);
     }
     for _ in 0..queue {
         submit(&mut site, number);
@@ -92,19 +93,20 @@
     site
 }
 
+/// Returns the median time of the passes, in milliseconds.
 fn median_ms(passes: usize, mut pass: impl FnMut()) -> f64 {
     let mut times: Vec<f64> = (0..passes)
         .map(|_| {
-            let began = Instant::now();
+            let started = Instant::now();
             pass();
-            began.elapsed().as_secs_f64() * 1e3
+            started.elapsed().as_secs_f64() * 1e3
         })
         .collect();
     times.sort_by(f64::total_cmp);
     times[passes / 2]
 }
 
-/// The plan of a moment, from the same state each time.
+/// Returns the time of a plan, from the same state each time.
 fn plan_ms(site: &mut Site) -> f64 {
     let before = site.planner.clone();
     median_ms(PASSES, || {
@@ -113,7 +115,7 @@
     })
 }
 
-/// What is told of why work waits, from the same state each time.
+/// Returns the time of a survey of waiting work, from the same state each time.
 fn survey_ms(site: &Site) -> f64 {
     let times = (site.now_ms, site.wall_ms());
     median_ms(PASSES, || {
@@ -122,25 +124,25 @@
     })
 }
 
-/// Going through all workers for what is due, and taking one worker's report: both without any network.
+/// Returns the time to collect the due orders of all workers, and the time to process one worker's report. Neither uses the network.
 fn orders_ms(site: &mut Site) -> (f64, f64) {
     let mut orders = Vec::new();
-    let began = Instant::now();
+    let started = Instant::now();
     orders.extend(site.dispatcher.orders(site.now_ms, &site.workload, true).0);
-    let first_ms = began.elapsed().as_secs_f64() * 1e3;
+    let first_ms = started.elapsed().as_secs_f64() * 1e3;
     let sweep_ms = median_ms(PASSES, || {
         site.dispatcher.orders(site.now_ms, &site.workload, true);
     });
-    let looks: Vec<_> = orders
+    let probes: Vec<_> = orders
         .iter()
         .filter(|order| matches!(order.body, OrderBody::Probe { .. }))
         .collect();
-    let reports: Vec<Report> = looks
+    let reports: Vec<Report> = probes
         .iter()
         .map(|order| report_of(&site.workload, &order.to.worker))
         .collect();
-    let began = Instant::now();
-    for (order, report) in looks.iter().zip(reports) {
+    let started = Instant::now();
+    for (order, report) in probes.iter().zip(reports) {
         let answer = Answer::Done {
             clock_ms: Some(site.now_ms),
             report: Some(report),
@@ -148,14 +150,14 @@
         site.dispatcher
             .note_answer(site.now_ms, order, &answer, &site.workload);
     }
-    let answers_ms = began.elapsed().as_secs_f64() * 1e3;
+    let answers_ms = started.elapsed().as_secs_f64() * 1e3;
     (
         first_ms.max(sweep_ms),
-        answers_ms / looks.len().max(1) as f64,
+        answers_ms / probes.len().max(1) as f64,
     )
 }
 
-/// What a worker says on which all goes on.
+/// Report of a worker on which all runs are at work.
 fn report_of(workload: &Workload, worker: &Incarnation) -> Report {
     let running = workload.worker(worker).unwrap().runs.keys();
     Report {
@@ -172,13 +174,13 @@
 }
 
 fn main() {
-    let asked: Vec<usize> = std::env::args()
+    let requested: Vec<usize> = std::env::args()
         .filter_map(|argument| argument.parse().ok())
         .collect();
-    let fleets = if asked.is_empty() {
+    let fleets = if requested.is_empty() {
         FLEETS.to_vec()
     } else {
-        asked
+        requested
     };
     println!(
         "| workers | runs | jobs waiting | plan, ms | orders, ms | report, µs | snapshot, MB | snapshot, ms | survey, ms |"
--- a/crates/bh-workload/benches/days/picture.rs
+++ b/crates/bh-workload/benches/days/chart.rs
@@ -1,4 +1,4 @@
-//! What each policy earns over the load, as a picture.
+//! Chart of the earned share of each policy over the load.
 
 use super::Row;
 use super::policy::POLICIES;
@@ -7,20 +7,20 @@
 const SIZE: (u32, u32) = (640, 400);
 const COLOURS: [RGBColor; 4] = [BLUE, RED, GREEN, MAGENTA];
 
-/// Writes the picture to `path`.
+/// Writes the chart to `path`, as SVG.
 pub fn write(path: &str, title: &str, rows: &[Row]) {
     let area = SVGBackend::new(path, SIZE).into_drawing_area();
     area.fill(&WHITE).unwrap();
-    let most = rows.iter().map(|row| row.load).fold(0.0, f64::max);
+    let max_load = rows.iter().map(|row| row.load).fold(0.0, f64::max);
     let mut chart = ChartBuilder::on(&area)
         .caption(
-            format!("{title}: share of what was owed"),
+            format!("{title}: share of the possible earnings"),
             ("sans-serif", 18),
         )
         .margin(10)
         .x_label_area_size(36)
         .y_label_area_size(44)
-        .build_cartesian_2d(0.0..most, 0.0..1.0)
+        .build_cartesian_2d(0.0..max_load, 0.0..1.0)
         .unwrap();
     chart
         .configure_mesh()
@@ -29,7 +29,7 @@
         .unwrap();
     for (policy, colour) in POLICIES.into_iter().zip(COLOURS) {
         let own = rows.iter().filter(|row| row.policy == policy);
-        let points = own.map(|row| (row.load, row.share));
+        let points = own.map(|row| (row.load, row.earned_share));
         chart
             .draw_series(LineSeries::new(points, &colour))
             .unwrap()
--- a/crates/bh-workload/benches/days/day.rs
+++ b/crates/bh-workload/benches/days/day.rs
@@ -1,7 +1,7 @@
-//! One day, played in memory with a clock of its own.
+//! Simulates a day in memory, with a clock of its own.
 
 use super::load::Arrival;
-use super::load::Shape;
+use super::load::Deployment;
 use super::policy::Policy;
 use bh_protocol::Incarnation;
 use bh_workload::dispatch::Answer;
@@ -27,78 +27,82 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-const STEP_MS: u64 = 50;
+/// Time between two turns of the leader, in milliseconds.
+const TURN_MS: u64 = 50;
 const HEARTBEAT_MS: u64 = 1_500;
-/// Time after the last arrival in which jobs may still end.
-const AFTER_MS: u64 = 40_000;
-/// Times as long as a gang takes that is spread over racks though it should not be.
+/// Time after the last arrival during which jobs may still end, in milliseconds.
+const AFTER_LAST_ARRIVAL_MS: u64 = 40_000;
+/// Factor by which the run time of a rack-local gang grows when it is spread over racks.
 const SPREAD_FACTOR: u64 = 3;
-/// Times its objective after which a late job earns nothing.
+/// Multiple of its objective after which a late job earns nothing.
 const LATE_FACTOR: u64 = 3;
 const POOL: &str = "pool";
 
-/// What became of a day.
+/// Results of a day.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Earned and owed, by kind.
-    pub credit: [(f64, f64); 3],
-    /// Jobs asked, on time, late.
+    /// Actual and possible earnings, by kind.
+    pub earnings: [(f64, f64); 3],
+    /// Number of jobs submitted, on time and late, by kind.
     pub jobs: [(u32, u32, u32); 3],
-    /// Work thrown away, in core-seconds.
-    pub thrown_core_s: f64,
+    /// Work lost by stops, in core-seconds.
+    pub wasted_core_s: f64,
 }
 
 impl Outcome {
-    /// Share of what was owed that was earned, over all kinds.
-    pub fn share(&self) -> f64 {
-        let earned: f64 = self.credit.iter().map(|(earned, _)| earned).sum();
-        let owed: f64 = self.credit.iter().map(|(_, owed)| owed).sum();
-        earned / owed.max(f64::MIN_POSITIVE)
+    /// Returns the share of the possible earnings that was earned, over all kinds.
+    pub fn earned_share(&self) -> f64 {
+        let earned: f64 = self.earnings.iter().map(|(earned, _)| earned).sum();
+        let possible: f64 = self.earnings.iter().map(|(_, possible)| possible).sum();
+        earned / possible.max(f64::MIN_POSITIVE)
     }
 }
 
-/// A gang by its step, or a task by step and index.
-type WorkKey = (StepId, Option<u32>);
+/// Key of a gang (its step) or of a task (its step and index).
+type UnitKey = (StepId, Option<u32>);
 
-/// Workers and their runs.
+/// Runs with their workers.
 type Runs = Vec<(Incarnation, RunId)>;
 
-/// A gang or a task at work.
+/// A gang or a task that runs.
 #[derive(Clone, Debug)]
-struct Work {
+struct RunningUnit {
     runs: Runs,
-    began_ms: u64,
+    started_ms: u64,
+    /// Time at which the unit is done if it is not stopped.
     done_ms: u64,
+    /// Time at which a requested stop is complete.
     stopped_ms: Option<u64>,
 }
 
+/// State of a simulated day.
 struct Day<'a> {
-    shape: &'a Shape,
+    deployment: &'a Deployment,
     now_ms: u64,
     workload: Workload,
     dispatcher: Dispatcher,
     planner: Planner,
-    work: BTreeMap<WorkKey, Work>,
-    /// Work that is done of a task, saved at a stop.
-    saved_ms: BTreeMap<WorkKey, u64>,
+    running: BTreeMap<UnitKey, RunningUnit>,
+    /// Run time of each unit that checkpoints have saved, in milliseconds.
+    saved_ms: BTreeMap<UnitKey, u64>,
     jobs: BTreeMap<JobId, &'a Arrival>,
     outcome: Outcome,
 }
 
-/// Plays the arrivals under a policy.
-pub fn play(shape: &Shape, arrivals: &[Arrival], policy: Policy) -> Outcome {
-    let mut day = Day::new(shape);
+/// Simulates a day with these arrivals under a policy.
+pub fn simulate(deployment: &Deployment, arrivals: &[Arrival], policy: Policy) -> Outcome {
+    let mut day = Day::new(deployment);
     let last_ms = arrivals.last().map_or(0, |arrival| arrival.at_ms);
-    let mut coming = arrivals.iter().zip(1..).peekable();
-    while day.now_ms < last_ms + AFTER_MS {
-        day.now_ms += STEP_MS;
+    let mut upcoming = arrivals.iter().zip(1..).peekable();
+    while day.now_ms < last_ms + AFTER_LAST_ARRIVAL_MS {
+        day.now_ms += TURN_MS;
         while let Some((arrival, number)) =
-            coming.next_if(|(arrival, _)| arrival.at_ms <= day.now_ms)
+            upcoming.next_if(|(arrival, _)| arrival.at_ms <= day.now_ms)
         {
             day.submit(JobId(number), arrival);
         }
-        day.end_what_is_over();
-        day.orders();
+        day.end_finished_units();
+        day.answer_orders();
         let plan = policy.plan(
             (day.now_ms, day.now_ms),
             &mut day.planner,
@@ -107,34 +111,35 @@
         );
         for (worker, run) in &plan.evictions {
             day.dispatcher.request_stop(worker, *run);
-            day.stop(*run);
+            day.request_stop(*run);
         }
-        day.begin(plan.starts);
+        day.start(plan.starts);
     }
-    day.count();
+    day.count_earnings();
     day.outcome
 }
 
 impl<'a> Day<'a> {
-    fn new(shape: &'a Shape) -> Self {
+    fn new(deployment: &'a Deployment) -> Self {
         let mut workload = Workload::default();
-        workload.apply(Command::SetRules(Box::new(rules(shape))));
-        let workers = (0..shape.workers).map(|index| WorkerChange::Known(worker(shape, index)));
+        workload.apply(Command::SetRules(Box::new(rules(deployment))));
+        let workers =
+            (0..deployment.workers).map(|index| WorkerChange::Known(worker(deployment, index)));
         workload.apply(Command::Workers(workers.collect()));
         workload.take_events();
         let timing = Timing {
-            stop_timeout_ms: shape.stop_ms,
-            restore_ms: shape.restore_ms,
+            stop_timeout_ms: deployment.stop_ms,
+            restore_ms: deployment.restore_ms,
             ..Timing::DEFAULT
         };
         let dispatcher = Dispatcher::new(timing, 1, 0, &workload);
         Self {
-            shape,
+            deployment,
             now_ms: 0,
             workload,
             dispatcher,
             planner: Planner::new(),
-            work: BTreeMap::new(),
+            running: BTreeMap::new(),
             saved_ms: BTreeMap::new(),
             jobs: BTreeMap::new(),
             outcome: Outcome::default(),
@@ -160,67 +165,73 @@
         });
     }
 
-    fn key(&self, run: RunId) -> WorkKey {
+    /// Returns the key of the unit that a run belongs to.
+    fn key(&self, run: RunId) -> UnitKey {
         let gang = self.jobs[&run.task.step.job].step.gang;
         (run.task.step, (!gang).then_some(run.task.index))
     }
 
-    fn begin(&mut self, starts: Vec<bh_workload::state::Start>) {
-        let mut begun: BTreeMap<WorkKey, Runs> = BTreeMap::new();
+    /// Records starts, and computes when the started units are done.
+    fn start(&mut self, starts: Vec<bh_workload::state::Start>) {
+        let mut started: BTreeMap<UnitKey, Runs> = BTreeMap::new();
         for start in &starts {
-            let runs = begun.entry(self.key(start.run)).or_default();
+            let runs = started.entry(self.key(start.run)).or_default();
             runs.push((start.worker.clone(), start.run));
         }
         self.workload.apply(Command::Starts(starts));
-        for (key, runs) in begun {
+        for (key, runs) in started {
             let arrival = self.jobs[&key.0.job];
             let racks: BTreeSet<Arc<str>> = runs
                 .iter()
                 .filter_map(|(worker, _)| Some(self.workload.worker(worker)?.info.rack.clone()))
                 .collect();
-            let spread = arrival.step.rack_local && racks.len() > 1;
-            let factor = if spread { SPREAD_FACTOR } else { 1 };
-            let left_ms = match self.saved_ms.get(&key) {
-                Some(saved_ms) => arrival.run_ms.saturating_sub(*saved_ms) + self.shape.restore_ms,
+            let is_spread = arrival.step.rack_local && racks.len() > 1;
+            let factor = if is_spread { SPREAD_FACTOR } else { 1 };
+            let remaining_ms = match self.saved_ms.get(&key) {
+                Some(saved_ms) => {
+                    arrival.run_ms.saturating_sub(*saved_ms) + self.deployment.restore_ms
+                }
                 None => arrival.run_ms,
             };
-            let work = Work {
+            let unit = RunningUnit {
                 runs,
-                began_ms: self.now_ms,
-                done_ms: self.now_ms + left_ms * factor,
+                started_ms: self.now_ms,
+                done_ms: self.now_ms + remaining_ms * factor,
                 stopped_ms: None,
             };
-            self.work.insert(key, work);
+            self.running.insert(key, unit);
         }
     }
 
-    fn stop(&mut self, run: RunId) {
-        let (now_ms, stop_ms) = (self.now_ms, self.shape.stop_ms);
+    /// Requests a stop of the unit that a run belongs to.
+    fn request_stop(&mut self, run: RunId) {
+        let (now_ms, stop_ms) = (self.now_ms, self.deployment.stop_ms);
         let key = self.key(run);
-        if let Some(work) = self.work.get_mut(&key) {
-            work.stopped_ms.get_or_insert(now_ms + stop_ms);
+        if let Some(unit) = self.running.get_mut(&key) {
+            unit.stopped_ms.get_or_insert(now_ms + stop_ms);
         }
     }
 
-    fn end_what_is_over(&mut self) {
+    /// Records the ends of units that are done or stopped.
+    fn end_finished_units(&mut self) {
         let now_ms = self.now_ms;
-        let over: Vec<WorkKey> = self
-            .work
+        let finished: Vec<UnitKey> = self
+            .running
             .iter()
-            .filter(|(_, work)| now_ms >= work.done_ms.min(work.stopped_ms.unwrap_or(u64::MAX)))
+            .filter(|(_, unit)| now_ms >= unit.done_ms.min(unit.stopped_ms.unwrap_or(u64::MAX)))
             .map(|(key, _)| *key)
             .collect();
-        for key in over {
-            let Some(work) = self.work.remove(&key) else {
+        for key in finished {
+            let Some(unit) = self.running.remove(&key) else {
                 continue;
             };
-            let kind = if now_ms >= work.done_ms {
+            let kind = if now_ms >= unit.done_ms {
                 EndKind::Done
             } else {
-                self.note_stop(key, &work);
+                self.note_stop(key, &unit);
                 EndKind::Stopped
             };
-            let ends: Vec<End> = work
+            let ends: Vec<End> = unit
                 .runs
                 .iter()
                 .map(|(worker, run)| End {
@@ -236,21 +247,22 @@
         }
     }
 
-    fn note_stop(&mut self, key: WorkKey, work: &Work) {
+    /// Counts the work of a stopped unit as saved if it writes checkpoints, otherwise as wasted.
+    fn note_stop(&mut self, key: UnitKey, unit: &RunningUnit) {
         let arrival = self.jobs[&key.0.job];
-        let ran_ms = self.now_ms - work.began_ms;
+        let ran_ms = self.now_ms - unit.started_ms;
         if arrival.step.checkpoints {
             *self.saved_ms.entry(key).or_default() += ran_ms;
             return;
         }
         let cores = arrival.step.needs.weight() as f64 / 1_000.0;
         let seconds = ran_ms as f64 / 1_000.0;
-        self.outcome.thrown_core_s += cores * seconds * work.runs.len() as f64;
+        self.outcome.wasted_core_s += cores * seconds * unit.runs.len() as f64;
     }
 
-    /// Workers do as they are told, at once.
-    fn orders(&mut self) {
-        if self.now_ms.is_multiple_of(HEARTBEAT_MS) || self.now_ms == STEP_MS {
+    /// Sends heartbeats and orders; the workers confirm starts at once.
+    fn answer_orders(&mut self) {
+        if self.now_ms.is_multiple_of(HEARTBEAT_MS) || self.now_ms == TURN_MS {
             let ids: Vec<Incarnation> = self
                 .workload
                 .workers()
@@ -277,34 +289,35 @@
         }
     }
 
-    fn count(&mut self) {
-        let mut work: [(f64, u32); 3] = [(0.0, 0); 3];
+    /// Adds up the earnings of the day.
+    fn count_earnings(&mut self) {
+        let mut work_by_kind: [(f64, u32); 3] = [(0.0, 0); 3];
         let size = |arrival: &Arrival| {
             let each = arrival.step.needs.weight() as f64 * arrival.run_ms as f64;
             each * f64::from(arrival.step.count)
         };
         for arrival in self.jobs.values() {
-            work[arrival.kind].0 += size(arrival);
-            work[arrival.kind].1 += 1;
+            work_by_kind[arrival.kind].0 += size(arrival);
+            work_by_kind[arrival.kind].1 += 1;
         }
         for (id, arrival) in &self.jobs {
-            let kind = &self.shape.kinds[arrival.kind];
-            let mean = work[arrival.kind].0 / f64::from(work[arrival.kind].1);
+            let kind = &self.deployment.kinds[arrival.kind];
+            let mean = work_by_kind[arrival.kind].0 / f64::from(work_by_kind[arrival.kind].1);
             let value = (0.3 + 0.7 * size(arrival) / mean).min(4.0);
             let objective_ms = (arrival.run_ms as f64 * kind.slack_factor) as u64 + kind.target_ms;
             let job = self.workload.job(*id).filter(|job| job.outcome.is_some());
             let took_ms = job.map(|job| job.ended_ms.saturating_sub(arrival.at_ms));
-            let (earned, owed) = &mut self.outcome.credit[arrival.kind];
-            let (asked, in_time, late) = &mut self.outcome.jobs[arrival.kind];
-            *owed += value * kind.worth.0;
-            *asked += 1;
+            let (earned, possible) = &mut self.outcome.earnings[arrival.kind];
+            let (submitted, on_time, late) = &mut self.outcome.jobs[arrival.kind];
+            *possible += value * kind.values.0;
+            *submitted += 1;
             match took_ms {
                 Some(took_ms) if took_ms <= objective_ms => {
-                    *earned += value * kind.worth.0;
-                    *in_time += 1;
+                    *earned += value * kind.values.0;
+                    *on_time += 1;
                 }
                 Some(took_ms) if took_ms <= objective_ms * LATE_FACTOR => {
-                    *earned += value * kind.worth.1;
+                    *earned += value * kind.values.1;
                     *late += 1;
                 }
                 _ => {}
@@ -313,7 +326,7 @@
     }
 }
 
-fn rules(shape: &Shape) -> Rules {
+fn rules(deployment: &Deployment) -> Rules {
     let queue = |(index, kind): (usize, &super::load::Kind)| {
         Arc::new(Queue {
             name: Arc::from(kind.name),
@@ -331,7 +344,7 @@
     };
     Rules {
         version: 1,
-        queues: shape.kinds.iter().enumerate().map(queue).collect(),
+        queues: deployment.kinds.iter().enumerate().map(queue).collect(),
         pools: vec![Arc::new(Pool {
             name: Arc::from(POOL),
             ..Pool::default()
@@ -340,8 +353,8 @@
     }
 }
 
-fn worker(shape: &Shape, index: usize) -> WorkerInfo {
-    let rack: Arc<str> = Arc::from(format!("rack{}", index / shape.per_rack));
+fn worker(deployment: &Deployment, index: usize) -> WorkerInfo {
+    let rack: Arc<str> = Arc::from(format!("rack{}", index / deployment.per_rack));
     WorkerInfo {
         id: Incarnation::new(format!("w{index:03}"), None).unwrap(),
         vm: None,
@@ -350,7 +363,7 @@
         data_centre: Arc::from("dc"),
         labels: vec![rack.clone()],
         rack,
-        capacity: shape.capacity,
+        capacity: deployment.capacity,
         sequence: 0,
     }
 }
--- a/crates/bh-workload/benches/days/load.rs
+++ b/crates/bh-workload/benches/days/load.rs
@@ -1,64 +1,64 @@
-//! Arrivals in the shapes of the two users' deployments.
+//! Random job arrivals that resemble the workloads of the two users' deployments.
 
 use bh_testkit::Random;
 use bh_workload::job::Resources;
 use bh_workload::job::StepSpec;
 
-/// One kind of work.
+/// A kind of job, with the distributions from which its jobs are drawn.
 #[derive(Clone, Copy, Debug)]
 pub struct Kind {
     pub name: &'static str,
     pub priority: u32,
-    /// Jobs a second at load 1.
-    pub per_s: f64,
+    /// Mean number of jobs per second at load 1.
+    pub jobs_per_s: f64,
     pub mean_tasks: f64,
-    pub most_tasks: f64,
+    pub max_tasks: f64,
     pub mean_run_ms: f64,
-    /// Spread of run times, as the deviation of their logarithm.
-    pub spread: f64,
+    /// Standard deviation of the logarithm of the run times.
+    pub run_time_spread: f64,
     pub cpu_millis: u64,
     pub memory_mb: u64,
-    /// Accelerators of a task, drawn with equal weight.
+    /// Possible numbers of accelerators of a task, drawn with equal probability.
     pub accelerators: &'static [u64],
     pub gang: bool,
-    /// Share of jobs that are slow on several racks, in percent.
+    /// Share of jobs that run slowly on several racks, in percent.
     pub rack_local_percent: u64,
-    /// Share of jobs that save their progress, in percent.
-    pub saving_percent: u64,
+    /// Share of jobs that write checkpoints, in percent.
+    pub checkpoints_percent: u64,
     pub slack_factor: f64,
     pub target_ms: u64,
-    /// What a job of mean size earns on time, and late.
-    pub worth: (f64, f64),
+    /// Value of a job of mean size when it ends on time, and when it ends late.
+    pub values: (f64, f64),
 }
 
-/// A deployment.
+/// The workers of a deployment and its kinds of jobs.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
+pub struct Deployment {
     pub name: &'static str,
     pub workers: usize,
     pub per_rack: usize,
     pub capacity: Resources,
-    /// Time that a stop takes.
+    /// Time that a stop takes, in milliseconds.
     pub stop_ms: u64,
-    /// Time that a task takes to go on from its checkpoint.
+    /// Time that a task takes to resume from its checkpoint, in milliseconds.
     pub restore_ms: u64,
     pub kinds: [Kind; 3],
 }
 
-/// A job on its way.
+/// A job that arrives during the day.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub at_ms: u64,
     pub kind: usize,
     pub step: StepSpec,
-    /// Real run time of each task, in milliseconds.
+    /// Actual run time of each task, in milliseconds.
     pub run_ms: u64,
 }
 
 const ANY_SIZE: &[u64] = &[1, 2, 4, 8, 8];
 
 /// Kaupluseühendus: large machines, stops take up to 0.9 s.
-pub const KAUPLUSE: Shape = Shape {
+pub const KAUPLUSE: Deployment = Deployment {
     name: "kaupluse",
     workers: 48,
     per_rack: 8,
@@ -76,8 +76,8 @@
     ),
 };
 
-/// Manizales: small machines, six a rack, quick stops.
-pub const MANIZALES: Shape = Shape {
+/// Manizales: small machines, six in a rack, quick stops.
+pub const MANIZALES: Deployment = Deployment {
     name: "manizales",
     per_rack: 6,
     capacity: Resources {
@@ -91,80 +91,82 @@
     ..KAUPLUSE
 };
 
-const fn kinds(cpu_millis: [u64; 3], per_s: [f64; 3], mean_tasks: [f64; 3]) -> [Kind; 3] {
+/// The kinds of jobs, with the figures that differ between the deployments: cores, arrival rate and number of tasks.
+const fn kinds(cpu_millis: [u64; 3], jobs_per_s: [f64; 3], mean_tasks: [f64; 3]) -> [Kind; 3] {
     let long = Kind {
         name: "long gangs",
         priority: 1,
-        per_s: per_s[0],
+        jobs_per_s: jobs_per_s[0],
         mean_tasks: mean_tasks[0],
-        most_tasks: 24.0,
+        max_tasks: 24.0,
         mean_run_ms: 6_800.0,
-        spread: 0.3,
+        run_time_spread: 0.3,
         cpu_millis: cpu_millis[0],
         memory_mb: 16_000,
         accelerators: ANY_SIZE,
         gang: true,
         rack_local_percent: 60,
-        saving_percent: 45,
+        checkpoints_percent: 45,
         slack_factor: 3.0,
         target_ms: 1_000,
-        worth: (3.0, 0.9),
+        values: (3.0, 0.9),
     };
     let first = Kind {
         name: "first gangs",
         priority: 0,
-        per_s: per_s[1],
+        jobs_per_s: jobs_per_s[1],
         mean_tasks: mean_tasks[1],
-        most_tasks: 18.0,
+        max_tasks: 18.0,
         mean_run_ms: 2_500.0,
-        spread: 0.5,
+        run_time_spread: 0.5,
         cpu_millis: cpu_millis[1],
         rack_local_percent: 80,
-        saving_percent: 0,
+        checkpoints_percent: 0,
         slack_factor: 1.5,
         target_ms: 250,
-        worth: (4.0, 0.8),
+        values: (4.0, 0.8),
         ..long
     };
     let small = Kind {
         name: "small tasks",
         priority: 2,
-        per_s: per_s[2],
+        jobs_per_s: jobs_per_s[2],
         mean_tasks: mean_tasks[2],
-        most_tasks: 72.0,
+        max_tasks: 72.0,
         mean_run_ms: 6_100.0,
         cpu_millis: cpu_millis[2],
         accelerators: &[1],
         gang: false,
         rack_local_percent: 0,
         target_ms: 3_000,
-        worth: (1.0, 0.3),
+        values: (1.0, 0.3),
         ..long
     };
     [long, first, small]
 }
 
-/// A number between 0 and 1, neither included.
-fn share(random: &mut Random) -> f64 {
+/// Returns a random number between 0 and 1, both excluded.
+fn unit_interval(random: &mut Random) -> f64 {
     const PARTS: u64 = 1 << 32;
     (random.below(PARTS - 1) + 1) as f64 / PARTS as f64
 }
 
-/// A factor whose logarithm spreads by `spread` around 0.
-fn factor(random: &mut Random, spread: f64) -> f64 {
-    // The sum of twelve uniform numbers is close to normal, with deviation 1.
-    let normal = (0..12).map(|_| share(random)).sum::<f64>() - 6.0;
-    (normal * spread).exp()
+/// Returns a random factor whose logarithm has a mean of 0 and a standard deviation of `deviation`.
+fn log_normal_factor(random: &mut Random, deviation: f64) -> f64 {
+    // The sum of twelve uniform numbers is close to a normal distribution with a standard deviation of 1.
+    let normal = (0..12).map(|_| unit_interval(random)).sum::<f64>() - 6.0;
+    (normal * deviation).exp()
 }
 
+/// Returns true with a probability of `percent`.
 fn chance(random: &mut Random, percent: u64) -> bool {
     random.below(100) < percent
 }
 
 fn step(random: &mut Random, kind: &Kind, run_ms: u64) -> StepSpec {
-    /// Declared times are off by a factor of two or so.
-    const DECLARED_SPREAD: f64 = 0.7;
-    let tasks = (-share(random).ln() * kind.mean_tasks).clamp(1.0, kind.most_tasks);
+    /// Declared times differ from actual ones by a factor of about two.
+    const DECLARED_TIME_SPREAD: f64 = 0.7;
+    let tasks = (-unit_interval(random).ln() * kind.mean_tasks).clamp(1.0, kind.max_tasks);
     StepSpec {
         count: tasks.round() as u32,
         needs: Resources {
@@ -172,26 +174,27 @@
             memory_mb: kind.memory_mb,
             accelerators: kind.accelerators[random.index(kind.accelerators.len())],
         },
-        declared_ms: (run_ms as f64 * factor(random, DECLARED_SPREAD)) as u64,
-        checkpoints: chance(random, kind.saving_percent),
+        declared_ms: (run_ms as f64 * log_normal_factor(random, DECLARED_TIME_SPREAD)) as u64,
+        checkpoints: chance(random, kind.checkpoints_percent),
         gang: kind.gang,
         rack_local: chance(random, kind.rack_local_percent),
         ..StepSpec::default()
     }
 }
 
-/// All arrivals of a day of `day_ms` at `load` times the usual rate, in order.
-pub fn arrivals(shape: &Shape, load: f64, seed: u64, day_ms: u64) -> Vec<Arrival> {
+/// Returns all arrivals of a day of `day_ms` at `load` times the usual rate, in order of time.
+pub fn arrivals(deployment: &Deployment, load: f64, seed: u64, day_ms: u64) -> Vec<Arrival> {
     let mut random = Random::new(seed);
     let mut all = Vec::new();
-    for (index, kind) in shape.kinds.iter().enumerate() {
+    for (index, kind) in deployment.kinds.iter().enumerate() {
         let mut at_ms = 0.0;
         loop {
-            at_ms += -share(&mut random).ln() * 1_000.0 / (kind.per_s * load);
+            at_ms += -unit_interval(&mut random).ln() * 1_000.0 / (kind.jobs_per_s * load);
             if at_ms >= day_ms as f64 {
                 break;
             }
-            let run_ms = (kind.mean_run_ms * factor(&mut random, kind.spread)) as u64;
+            let run_ms =
+                (kind.mean_run_ms * log_normal_factor(&mut random, kind.run_time_spread)) as u64;
             all.push(Arrival {
                 at_ms: at_ms as u64,
                 kind: index,
--- a/crates/bh-workload/benches/days/main.rs
+++ b/crates/bh-workload/benches/days/main.rs
@@ -1,39 +1,42 @@
-//! Days in memory: the planner against simple policies, over loads, in the shapes of the two users' deployments.
+//! Simulated days: compares the planner with simple policies under several loads, with the workloads of the two users' deployments.
 //!
-//! `cargo bench -p bh-workload --bench days [-- SEEDS]` prints a table; `PLOTS=FOLDER` also writes a picture for each deployment.
+//! `cargo bench -p bh-workload --bench days [-- SEEDS]` prints a table; `PLOTS=FOLDER` also writes a chart for each deployment.
 #![expect(
     clippy::cast_possible_truncation,
     clippy::cast_precision_loss,
     clippy::cast_sign_loss,
     clippy::unwrap_used,
-    reason = "a measurement whose numbers are small, and that ends when something is wrong"
+    reason = "a benchmark with small numbers that ends when something is wrong"
 )]
 
+mod chart;
 mod day;
 mod load;
-mod picture;
 mod policy;
 
 use day::Outcome;
+use load::Deployment;
 use load::KAUPLUSE;
 use load::MANIZALES;
-use load::Shape;
 use policy::POLICIES;
 use policy::Policy;
 
-/// Loads as multiples of the usual rate.
+/// Loads, as multiples of the usual arrival rate.
 const LOADS: [f64; 5] = [0.5, 1.0, 1.5, 2.0, 3.0];
-/// Seeds unless the command line says otherwise.
+/// Default number of seeds.
 const SEEDS: u64 = 5;
+/// Simulated time during which jobs arrive, in milliseconds.
 const DAY_MS: u64 = 60_000;
 
 /// Means over the seeds of one load and policy.
 struct Row {
     load: f64,
     policy: Policy,
-    share: f64,
-    kinds: [f64; 3],
-    thrown_core_s: f64,
+    /// Share of the possible earnings that was earned, over all kinds.
+    earned_share: f64,
+    /// Share of the possible earnings that was earned, by kind.
+    earned_share_by_kind: [f64; 3],
+    wasted_core_s: f64,
 }
 
 fn main() {
@@ -45,39 +48,39 @@
         "| deployment | load | policy | earned | long gangs | first gangs | small tasks | thrown away, core-seconds |"
     );
     println!("|---|---|---|---|---|---|---|---|");
-    for shape in [KAUPLUSE, MANIZALES] {
-        let rows = rows(&shape, seeds);
+    for deployment in [KAUPLUSE, MANIZALES] {
+        let rows = rows(&deployment, seeds);
         for row in &rows {
             println!(
                 "| {} | {} | {} | {:.3} | {:.3} | {:.3} | {:.3} | {:.0} |",
-                shape.name,
+                deployment.name,
                 row.load,
                 row.policy.name(),
-                row.share,
-                row.kinds[0],
-                row.kinds[1],
-                row.kinds[2],
-                row.thrown_core_s
+                row.earned_share,
+                row.earned_share_by_kind[0],
+                row.earned_share_by_kind[1],
+                row.earned_share_by_kind[2],
+                row.wasted_core_s
             );
         }
         if let Ok(folder) = std::env::var("PLOTS") {
-            picture::write(
-                &format!("{folder}/days-{}.svg", shape.name),
-                shape.name,
+            chart::write(
+                &format!("{folder}/days-{}.svg", deployment.name),
+                deployment.name,
                 &rows,
             );
         }
     }
 }
 
-fn rows(shape: &Shape, seeds: u64) -> Vec<Row> {
+fn rows(deployment: &Deployment, seeds: u64) -> Vec<Row> {
     let mut rows = Vec::new();
     for load in LOADS {
         for policy in POLICIES {
             let outcomes: Vec<Outcome> = (1..=seeds)
                 .map(|seed| {
-                    let arrivals = load::arrivals(shape, load, seed, DAY_MS);
-                    day::play(shape, &arrivals, policy)
+                    let arrivals = load::arrivals(deployment, load, seed, DAY_MS);
+                    day::simulate(deployment, &arrivals, policy)
                 })
                 .collect();
             rows.push(mean(load, policy, &outcomes));
@@ -88,18 +91,18 @@
 
 fn mean(load: f64, policy: Policy, outcomes: &[Outcome]) -> Row {
     let count = outcomes.len() as f64;
-    let of = |value: &dyn Fn(&Outcome) -> f64| outcomes.iter().map(value).sum::<f64>() / count;
-    let kind = |index: usize| {
-        of(&|outcome: &Outcome| {
-            let (earned, owed) = outcome.credit[index];
-            earned / owed.max(f64::MIN_POSITIVE)
+    let mean_of = |value: &dyn Fn(&Outcome) -> f64| outcomes.iter().map(value).sum::<f64>() / count;
+    let share_of_kind = |index: usize| {
+        mean_of(&|outcome: &Outcome| {
+            let (earned, possible) = outcome.earnings[index];
+            earned / possible.max(f64::MIN_POSITIVE)
         })
     };
     Row {
         load,
         policy,
-        share: of(&Outcome::share),
-        kinds: [kind(0), kind(1), kind(2)],
-        thrown_core_s: of(&|outcome: &Outcome| outcome.thrown_core_s),
+        earned_share: mean_of(&Outcome::earned_share),
+        earned_share_by_kind: [share_of_kind(0), share_of_kind(1), share_of_kind(2)],
+        wasted_core_s: mean_of(&|outcome: &Outcome| outcome.wasted_core_s),
     }
 }
--- a/crates/bh-workload/benches/days/policy.rs
+++ b/crates/bh-workload/benches/days/policy.rs
@@ -1,4 +1,4 @@
-//! The plan of the product, and simple ones to compare it with.
+//! The product's planner and simple policies to compare it with.
 
 use bh_protocol::Incarnation;
 use bh_workload::dispatch::Dispatcher;
@@ -13,16 +13,16 @@
 use bh_workload::state::Workload;
 use std::collections::BTreeMap;
 
-/// Who goes first, and where.
+/// Order in which work starts, and the workers it starts on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
     /// The product's planner.
     Product,
-    /// In the order of arrival, on the first workers with room.
+    /// In the order of arrival, on the first workers with capacity.
     FirstComeFirstFit,
-    /// By rank, then arrival.
+    /// By priority of the queue, then arrival.
     StrictPriority,
-    /// By declared work.
+    /// By declared work, the least first.
     ShortestFirst,
 }
 
@@ -43,7 +43,7 @@
         }
     }
 
-    /// What shall happen now.
+    /// Makes a plan.
     pub fn plan(
         self,
         times: (u64, u64),
@@ -62,10 +62,10 @@
                     occurrence: 0,
                     step: 0,
                 };
-                (self.rank(workload, job), step, job)
+                (self.sort_key(workload, job), step, job)
             })
             .collect();
-        jobs.sort_by_key(|(rank, step, job)| (*rank, job.accepted_ms, *step));
+        jobs.sort_by_key(|(key, step, job)| (*key, job.accepted_ms, *step));
         let mut free: BTreeMap<Incarnation, bh_workload::job::Resources> = workload
             .workers()
             .map(|worker| (worker.info.id.clone(), worker.free()))
@@ -77,7 +77,8 @@
         plan
     }
 
-    fn rank(self, workload: &Workload, job: &Job) -> u64 {
+    /// Returns the key by which jobs are sorted, the lowest first; equal keys are sorted by arrival.
+    fn sort_key(self, workload: &Workload, job: &Job) -> u64 {
         let spec = &job.spec.steps[0];
         match self {
             Policy::Product | Policy::FirstComeFirstFit => 0,
@@ -87,7 +88,7 @@
     }
 }
 
-/// Places what waits of a step on the first workers with room, a gang whole or not at all.
+/// Places the waiting tasks of a step on the first workers with capacity, a gang as a whole or not at all.
 fn first_fit(
     step: StepId,
     job: &Job,
@@ -105,14 +106,16 @@
         .iter()
         .zip(0..)
         .filter(|(task, _)| task.state == TaskState::Waiting);
-    let mut left = free.clone();
+    let mut remaining = free.clone();
     let mut placed = Vec::new();
     for (task, index) in waiting {
-        let Some((worker, room)) = left.iter_mut().find(|(_, room)| spec.needs.fits_in(room))
+        let Some((worker, capacity)) = remaining
+            .iter_mut()
+            .find(|(_, capacity)| spec.needs.fits_in(capacity))
         else {
             break;
         };
-        room.subtract(&spec.needs);
+        capacity.subtract(&spec.needs);
         placed.push(Start {
             run: RunId {
                 task: TaskId { step, index },
@@ -124,6 +127,6 @@
     if spec.gang && placed.len() < progress.tasks.len() {
         return;
     }
-    *free = left;
+    *free = remaining;
     starts.extend(placed);
 }
--- a/crates/bh-workload/tests/standing_still.rs
+++ b/crates/bh-workload/tests/standing_still.rs
@@ -1,4 +1,4 @@
-//! Work that waits beside free room.
+//! Work that is stalled beside free capacity.
 #![expect(
     clippy::unwrap_used,
     reason = "a test that meets the unexpected shall end"
@@ -22,20 +22,21 @@
 use support::rules;
 use support::step;
 
-/// Longest time that a job may have nothing running beside free room, in milliseconds.
-const BOUND_MS: u64 = 3_000;
+/// Longest time for which a job may have nothing running beside ample capacity, in milliseconds.
+const STALL_LIMIT_MS: u64 = 3_000;
 /// Longest time between two plans, in milliseconds.
-const PLAN_MS: u64 = 200;
-/// Time that is watched, in milliseconds.
-const WATCHED_MS: u64 = 40_000;
-/// Time after which no room is kept for urgent work that does not come, in milliseconds.
+const PLAN_INTERVAL_MS: u64 = 200;
+/// Time for which a test waits for a start, in milliseconds.
+const OBSERVED_MS: u64 = 40_000;
+/// Time without urgent work after which no capacity is kept for it, in milliseconds.
 const QUIET_MS: u64 = 60_000;
-/// Declared run time of tasks that outlast the watched time, in milliseconds.
+/// Declared run time of tasks that run beyond the end of a test, in milliseconds.
 const LONG_MS: u64 = 600_000;
-const NEAR: &str = "rack0";
+/// Rack of the data of tasks that prefer a rack, and label of its workers.
+const NEAR_RACK: &str = "rack0";
 
-/// Time passes. The workers in `silent` say and answer nothing.
-fn pass(site: &mut Site, by_ms: u64, silent: &BTreeSet<Incarnation>) {
+/// Advances the clock. The workers in `silent` send no heartbeats and no answers.
+fn advance(site: &mut Site, by_ms: u64, silent: &BTreeSet<Incarnation>) {
     site.now_ms += by_ms;
     let workers = site.workload.workers();
     let ids: Vec<Incarnation> = workers.map(|worker| worker.info.id.clone()).collect();
@@ -61,50 +62,52 @@
     site.take_events();
 }
 
-/// Whether the workers have room for all tasks of `spec` twice, and under half of what they have is in use.
-fn has_ample_room(site: &Site, spec: &StepSpec, silent: &BTreeSet<Incarnation>) -> bool {
+/// Returns whether the workers have free capacity for all tasks of `spec` twice over, and less than half of their accelerators are in use.
+fn has_ample_capacity(site: &Site, spec: &StepSpec, silent: &BTreeSet<Incarnation>) -> bool {
     let needs = spec.reserved();
-    let (mut places, mut free, mut all) = (0, 0, 0);
+    let (mut slots, mut free, mut total) = (0, 0, 0);
     for worker in site.workload.workers() {
-        all += worker.info.capacity.accelerators;
+        total += worker.info.capacity.accelerators;
         if silent.contains(&worker.info.id) {
             continue;
         }
         free += worker.free().accelerators;
         let label = spec.required_label.as_ref();
         if label.is_none_or(|label| worker.info.labels.contains(label)) {
-            places += needs.count_in(&worker.free(), u64::MAX);
+            slots += needs.count_in(&worker.free(), u64::MAX);
         }
     }
-    places >= 2 * u64::from(spec.count) && free * 2 > all
+    slots >= 2 * u64::from(spec.count) && free * 2 > total
 }
 
-/// Longest time that the job has nothing running beside ample room until it begins, in milliseconds; the workers in `silent` answer nothing.
-fn longest_still_ms(site: &mut Site, job: JobId, silent: &BTreeSet<Incarnation>) -> u64 {
+/// Returns the longest time for which the job has nothing running beside ample capacity until it starts, in milliseconds. The workers in `silent` answer
+/// nothing.
+fn longest_stall_ms(site: &mut Site, job: JobId, silent: &BTreeSet<Incarnation>) -> u64 {
     let spec = site.workload.job(job).unwrap().spec.steps[0].clone();
-    let until_ms = site.now_ms + WATCHED_MS;
+    let until_ms = site.now_ms + OBSERVED_MS;
     let (mut longest_ms, mut since_ms) = (0, site.now_ms);
     while site.now_ms < until_ms {
         site.plan_and_start();
         if site.workload.job(job).unwrap().has_open_runs() {
             break;
         }
-        if !has_ample_room(site, &spec, silent) {
+        if !has_ample_capacity(site, &spec, silent) {
             since_ms = site.now_ms;
         }
-        pass(site, PLAN_MS, silent);
+        advance(site, PLAN_INTERVAL_MS, silent);
         longest_ms = longest_ms.max(site.now_ms - since_ms);
     }
     longest_ms
 }
 
-/// The job begins in time where it has ample room.
-fn assert_begins(site: &mut Site, job: JobId) {
-    let still_ms = longest_still_ms(site, job, &BTreeSet::new());
-    assert!(still_ms < BOUND_MS, "stands still for {still_ms} ms");
+/// Asserts that the job starts in time beside ample capacity.
+fn assert_starts_in_time(site: &mut Site, job: JobId) {
+    let stalled_ms = longest_stall_ms(site, job, &BTreeSet::new());
+    assert!(stalled_ms < STALL_LIMIT_MS, "stalled for {stalled_ms} ms");
 }
 
-fn long(spec: StepSpec) -> StepSpec {
+/// The step, declared to run beyond the end of a test.
+fn with_long_run_time(spec: StepSpec) -> StepSpec {
     StepSpec {
         declared_ms: LONG_MS,
         ..spec
@@ -119,12 +122,12 @@
     }
 }
 
-/// A site of six racks with four workers each; a long run takes one accelerator of one worker in each rack, and no room is kept for urgent work.
+/// A site of six racks with four workers each. A long run takes one accelerator of one worker in each rack, and no capacity is kept for urgent work.
 fn site_with_a_run_in_each_rack() -> Site {
     let mut site = Site::new(24, 4);
     let spread = StepSpec {
         most_per_worker: Some(1),
-        ..long(step(24, 1))
+        ..with_long_run_time(step(24, 1))
     };
     site.submit(0, "other", vec![spread]);
     site.plan_and_start();
@@ -134,23 +137,23 @@
             site.end(run, EndKind::Done);
         }
     }
-    pass(&mut site, QUIET_MS, &BTreeSet::new());
+    advance(&mut site, QUIET_MS, &BTreeSet::new());
     assert_eq!(site.open_runs().len(), 6);
     site
 }
 
-/// Guards against a gang that waits for a whole rack in a pool that is nearly idle, where it has missed the moment to be spread in time.
+/// Guards against a gang that waits for a whole rack in a nearly idle pool after it is too late to be spread in time.
 #[test]
-fn a_gang_that_cannot_be_in_time_does_not_wait_for_a_rack_in_an_idle_pool() {
+fn a_gang_that_cannot_be_on_time_does_not_wait_for_a_rack_in_an_idle_pool() {
     let mut site = site_with_a_run_in_each_rack();
     let job = site.submit(1, "other", vec![local_gang(4)]);
-    pass(&mut site, 1_200, &BTreeSet::new());
-    assert_begins(&mut site, job);
+    advance(&mut site, 1_200, &BTreeSet::new());
+    assert_starts_in_time(&mut site, job);
 }
 
-/// Guards against an urgent gang that waits for a whole rack in a pool that is nearly idle, since spread it would never be in time.
+/// Guards against an urgent gang that waits for a whole rack in a nearly idle pool because it could never be on time when it is spread.
 #[test]
-fn an_urgent_gang_of_little_slack_does_not_wait_for_a_rack_in_an_idle_pool() {
+fn an_urgent_gang_with_little_slack_does_not_wait_for_a_rack_in_an_idle_pool() {
     let mut site = site_with_a_run_in_each_rack();
     let mut tight = rules(2);
     let mut queue = (*tight.queues[0]).clone();
@@ -158,76 +161,76 @@
     tight.queues[0] = Arc::new(queue);
     site.workload.apply(Command::SetRules(Box::new(tight)));
     let job = site.submit(0, "other", vec![local_gang(4)]);
-    assert_begins(&mut site, job);
+    assert_starts_in_time(&mut site, job);
 }
 
-/// Guards against work behind gangs that wait for a rack each: all room of the idle pool is kept for them.
+/// Guards against work that is stalled behind gangs that wait for a rack each: all capacity of the idle pool is kept for them.
 #[test]
-fn room_kept_for_gangs_that_wait_for_racks_holds_nothing_else_back() {
+fn capacity_kept_for_gangs_that_wait_for_racks_does_not_stall_other_work() {
     let mut site = site_with_a_run_in_each_rack();
     for _ in 0..6 {
         site.submit(1, "other", vec![local_gang(4)]);
     }
-    pass(&mut site, 1_200, &BTreeSet::new());
+    advance(&mut site, 1_200, &BTreeSet::new());
     let job = site.submit(2, "other", vec![step(4, 8)]);
-    assert_begins(&mut site, job);
+    assert_starts_in_time(&mut site, job);
 }
 
-/// Guards against tasks that wait for the rack of their data, which is full, while all others are idle.
+/// Guards against tasks that wait for the rack of their data, which is full, while all other racks are idle.
 #[test]
 fn tasks_do_not_wait_for_a_full_rack_in_an_idle_pool() {
     let mut site = Site::new(24, 4);
-    pass(&mut site, QUIET_MS, &BTreeSet::new());
-    site.submit(1, "other", vec![near(long(step(4, 8)))]);
+    advance(&mut site, QUIET_MS, &BTreeSet::new());
+    site.submit(1, "other", vec![near_data(with_long_run_time(step(4, 8)))]);
     site.plan_and_start();
-    let job = site.submit(2, "other", vec![near(step(4, 1))]);
-    assert_begins(&mut site, job);
+    let job = site.submit(2, "other", vec![near_data(step(4, 1))]);
+    assert_starts_in_time(&mut site, job);
 }
 
-/// Guards against failed attempts where work that has stood still gives up its rack: workers set aside come last, sound ones are free.
+/// Guards against failed attempts when stalled work starts outside of its rack: workers that are set aside come last, since healthy ones are free.
 #[test]
-fn work_that_has_stood_still_prefers_sound_workers() {
+fn stalled_work_prefers_workers_that_are_not_set_aside() {
     let mut site = Site::new(24, 4);
-    pass(&mut site, QUIET_MS, &BTreeSet::new());
-    site.submit(1, "other", vec![near(long(step(4, 8)))]);
+    advance(&mut site, QUIET_MS, &BTreeSet::new());
+    site.submit(1, "other", vec![near_data(with_long_run_time(step(4, 8)))]);
     site.plan_and_start();
     let workers = site.workload.workers().skip(4).take(4);
-    let aside: Vec<Incarnation> = workers.map(|worker| worker.info.id.clone()).collect();
-    for id in &aside {
+    let set_aside: Vec<Incarnation> = workers.map(|worker| worker.info.id.clone()).collect();
+    for id in &set_aside {
         site.dispatcher.set_aside(site.now_ms, id);
     }
     let gang = StepSpec {
         gang: true,
         ..step(4, 1)
     };
-    let job = site.submit(2, "other", vec![near(gang)]);
-    assert_begins(&mut site, job);
+    let job = site.submit(2, "other", vec![near_data(gang)]);
+    assert_starts_in_time(&mut site, job);
     let runs = site.open_runs().into_iter();
     let own: Vec<_> = runs.filter(|(_, run)| run.task.step.job == job).collect();
     assert_eq!(own.len(), 4);
-    assert!(own.iter().all(|(worker, _)| !aside.contains(worker)));
+    assert!(own.iter().all(|(worker, _)| !set_aside.contains(worker)));
 }
 
-/// Guards against tasks that wait for the rack of their data, which is empty but kept for urgent work, in an empty pool.
+/// Guards against tasks that wait in an empty pool because the rack of their data is kept for urgent work.
 #[test]
 fn tasks_do_not_wait_for_a_rack_that_is_kept_for_urgent_work() {
     let mut site = Site::new(24, 4);
     let spec = StepSpec {
-        near_rack: Some(Arc::from(NEAR)),
+        near_rack: Some(Arc::from(NEAR_RACK)),
         ..step(4, 1)
     };
     let job = site.submit(2, "other", vec![spec]);
-    assert_begins(&mut site, job);
+    assert_starts_in_time(&mut site, job);
 }
 
-/// Guards against tasks for whole workers that stand still after a change of leader: all whole ones are kept for urgent work that does not come.
+/// Guards against tasks that need a whole worker and are stalled after a change of leader: all empty workers are kept for urgent work that does not arrive.
 #[test]
-fn room_kept_for_urgent_work_does_not_hold_whole_workers_back() {
+fn capacity_kept_for_urgent_work_does_not_stall_tasks_that_need_a_whole_worker() {
     let mut site = Site::new(40, 4);
-    pass(&mut site, QUIET_MS, &BTreeSet::new());
+    advance(&mut site, QUIET_MS, &BTreeSet::new());
     let spread = StepSpec {
         most_per_worker: Some(1),
-        ..long(step(40, 1))
+        ..with_long_run_time(step(40, 1))
     };
     site.submit(2, "other", vec![spread]);
     site.plan_and_start();
@@ -235,41 +238,42 @@
         assert!(worker.id.starts_with("w0"));
         site.end(run, EndKind::Done);
     }
-    pass(&mut site, PLAN_MS, &BTreeSet::new());
+    advance(&mut site, PLAN_INTERVAL_MS, &BTreeSet::new());
     site.take_over(2);
-    pass(&mut site, PLAN_MS, &BTreeSet::new());
+    advance(&mut site, PLAN_INTERVAL_MS, &BTreeSet::new());
     let job = site.submit(1, "other", vec![step(2, 8)]);
-    assert_begins(&mut site, job);
+    assert_starts_in_time(&mut site, job);
 }
 
-/// Guards against work behind a gang for which room is kept that services take: they are taken to end soon, and never do.
+/// Guards against work that is stalled behind a gang that needs workers which services use: the plan keeps capacity for the gang as if the services ended
+/// soon, but they never do.
 #[test]
-fn room_is_not_kept_beside_services_that_never_end() {
+fn no_capacity_is_kept_for_a_gang_that_waits_for_services() {
     let mut site = Site::new(8, 4);
-    pass(&mut site, QUIET_MS, &BTreeSet::new());
+    advance(&mut site, QUIET_MS, &BTreeSet::new());
     let service = StepSpec {
         long_running: true,
         ..step(3, 8)
     };
     site.submit(1, "other", vec![service]);
     site.plan_and_start();
-    pass(&mut site, PLAN_MS, &BTreeSet::new());
+    advance(&mut site, PLAN_INTERVAL_MS, &BTreeSet::new());
     let gang = StepSpec {
         gang: true,
         ..step(8, 8)
     };
     site.submit(1, "other", vec![gang]);
     let job = site.submit(2, "other", vec![step(4, 1)]);
-    assert_begins(&mut site, job);
+    assert_starts_in_time(&mut site, job);
 }
 
-/// Guards against tasks that avoid every worker they are allowed on, since runs of them stood still there: others in the pool are no help to them.
+/// Guards against tasks that avoid all their eligible workers because their runs stalled there: they may not run on the other workers of the pool.
 #[test]
-fn tasks_go_back_to_workers_that_they_avoid_where_no_others_are_allowed() {
+fn tasks_return_to_avoided_workers_when_no_others_are_eligible() {
     let mut site = Site::new(8, 4);
-    pass(&mut site, QUIET_MS, &BTreeSet::new());
+    advance(&mut site, QUIET_MS, &BTreeSet::new());
     let spec = StepSpec {
-        required_label: Some(Arc::from(NEAR)),
+        required_label: Some(Arc::from(NEAR_RACK)),
         ..step(2, 8)
     };
     let job = site.submit(1, "other", vec![spec]);
@@ -277,7 +281,7 @@
         site.plan_and_start();
         assert_eq!(site.open_runs().len(), 2);
         for _ in 0..20 {
-            pass(&mut site, PLAN_MS, &BTreeSet::new());
+            advance(&mut site, PLAN_INTERVAL_MS, &BTreeSet::new());
         }
         let overdue = site
             .planner
@@ -288,33 +292,34 @@
             site.end(late.run, EndKind::Stopped);
         }
     }
-    assert_begins(&mut site, job);
+    assert_starts_in_time(&mut site, job);
 }
 
-/// Guards against work that stands still since all workers that it is allowed on are set aside; by their number in the whole fleet they are few.
+/// Guards against work that is stalled because all its eligible workers are set aside, though these are few of the whole fleet.
 #[test]
-fn work_begins_on_workers_set_aside_where_no_others_are_allowed() {
+fn work_starts_on_workers_set_aside_when_no_others_are_eligible() {
     let mut site = Site::new(24, 4);
-    pass(&mut site, QUIET_MS, &BTreeSet::new());
+    advance(&mut site, QUIET_MS, &BTreeSet::new());
     let workers = site.workload.workers().take(4);
     let ids: Vec<Incarnation> = workers.map(|worker| worker.info.id.clone()).collect();
     for id in &ids {
         site.dispatcher.set_aside(site.now_ms, id);
     }
     let spec = StepSpec {
-        required_label: Some(Arc::from(NEAR)),
+        required_label: Some(Arc::from(NEAR_RACK)),
         ..step(2, 1)
     };
     let job = site.submit(1, "other", vec![spec]);
-    assert_begins(&mut site, job);
+    assert_starts_in_time(&mut site, job);
 }
 
-/// Guards against a gang that is not even looked at, since small tasks before it found no room: these begin one by one on workers that have just started.
+/// Guards against a gang that the plan does not consider because small tasks before it found no capacity: these start one by one on cold workers, which
+/// have just started.
 #[test]
-fn tasks_that_begin_one_by_one_on_cold_workers_do_not_hide_their_room() {
+fn tasks_that_start_one_by_one_on_cold_workers_leave_their_capacity_to_a_gang() {
     const COLD_MS: u64 = 10_000;
     let mut site = Site::new(8, 4);
-    pass(&mut site, QUIET_MS, &BTreeSet::new());
+    advance(&mut site, QUIET_MS, &BTreeSet::new());
     let workers = site.workload.workers();
     let ids: Vec<Incarnation> = workers.map(|worker| worker.info.id.clone()).collect();
     for id in ids {
@@ -327,14 +332,14 @@
         ..step(4, 2)
     };
     let job = site.submit(2, "other", vec![gang]);
-    assert_begins(&mut site, job);
+    assert_starts_in_time(&mut site, job);
 }
 
-/// Guards against a gang that stands still after a change of leader for as long as a lease, since workers are still silent whose leases ran out long before.
+/// Guards against a gang that waits for another lease after a change of leader, because workers whose leases expired long before are still silent.
 #[test]
-fn a_gang_lost_with_its_workers_leases_is_not_held_after_a_change_of_leader() {
+fn a_gang_whose_leases_have_expired_does_not_wait_after_a_change_of_leader() {
     let mut site = Site::new(24, 4);
-    pass(&mut site, QUIET_MS, &BTreeSet::new());
+    advance(&mut site, QUIET_MS, &BTreeSet::new());
     let gang = StepSpec {
         gang: true,
         ..step(2, 8)
@@ -343,66 +348,67 @@
     let mut silent: BTreeSet<Incarnation> = BTreeSet::new();
     for _ in 0..2 {
         site.plan_and_start();
-        pass(&mut site, PLAN_MS, &silent);
+        advance(&mut site, PLAN_INTERVAL_MS, &silent);
         let runs = site.open_runs();
         assert_eq!(runs.len(), 2);
         silent.extend(runs.iter().map(|(worker, _)| worker.clone()));
         for _ in 0..60 {
-            pass(&mut site, PLAN_MS, &silent);
+            advance(&mut site, PLAN_INTERVAL_MS, &silent);
         }
-        assert!(site.open_runs().is_empty(), "the leases have run out");
+        assert!(site.open_runs().is_empty(), "the leases have expired");
     }
-    // Not as `Site::take_over`, by which every worker is heard.
+    // `Site::take_over` is not used, since it sends heartbeats of all workers.
     site.dispatcher = Dispatcher::new(Timing::DEFAULT, 2, site.now_ms, &site.workload);
     site.planner = Planner::new();
-    let still_ms = longest_still_ms(&mut site, job, &silent);
-    assert!(still_ms < BOUND_MS, "stands still for {still_ms} ms");
+    let stalled_ms = longest_stall_ms(&mut site, job, &silent);
+    assert!(stalled_ms < STALL_LIMIT_MS, "stalled for {stalled_ms} ms");
 }
 
-/// Guards against work that stands still for ever where others take and leave the room beside it all the time.
+/// Guards against work that is stalled for ever because other work takes and releases the capacity beside it again and again.
 #[test]
-fn room_that_is_short_for_a_moment_does_not_begin_the_wait_anew() {
+fn a_short_lack_of_capacity_does_not_restart_the_stall_timer() {
     let mut site = site_with_a_run_in_each_rack();
     let job = site.submit(1, "other", vec![local_gang(4)]);
-    pass(&mut site, 1_200, &BTreeSet::new());
+    advance(&mut site, 1_200, &BTreeSet::new());
     let since_ms = site.now_ms;
-    while site.now_ms < since_ms + WATCHED_MS {
-        let short = site.submit(0, "other", vec![step(11, 8)]);
+    while site.now_ms < since_ms + OBSERVED_MS {
+        let short_job = site.submit(0, "other", vec![step(11, 8)]);
         site.plan_and_start();
-        pass(&mut site, PLAN_MS, &BTreeSet::new());
+        advance(&mut site, PLAN_INTERVAL_MS, &BTreeSet::new());
         for (_, run) in site.open_runs() {
-            if run.task.step.job == short {
+            if run.task.step.job == short_job {
                 site.end(run, EndKind::Done);
             }
         }
         for _ in 0..4 {
             site.plan_and_start();
             if site.workload.job(job).unwrap().has_open_runs() {
-                let still_ms = site.now_ms - since_ms;
-                assert!(still_ms < BOUND_MS, "stands still for {still_ms} ms");
+                let stalled_ms = site.now_ms - since_ms;
+                assert!(stalled_ms < STALL_LIMIT_MS, "stalled for {stalled_ms} ms");
                 return;
             }
-            pass(&mut site, PLAN_MS, &BTreeSet::new());
+            advance(&mut site, PLAN_INTERVAL_MS, &BTreeSet::new());
         }
     }
-    panic!("stands still for {WATCHED_MS} ms");
+    panic!("stalled for {OBSERVED_MS} ms");
 }
 
-fn near(spec: StepSpec) -> StepSpec {
+/// The step, with its data in `NEAR_RACK`.
+fn near_data(spec: StepSpec) -> StepSpec {
     StepSpec {
-        near_rack: Some(Arc::from(NEAR)),
+        near_rack: Some(Arc::from(NEAR_RACK)),
         ..spec
     }
 }
 
-/// Guards against a gang that never begins beside small work that has stood still: kept room looks full, and is taken first.
+/// Guards against a gang that never starts because stalled small tasks take the capacity kept for it: that capacity looks full, so they choose it first.
 #[test]
-fn work_that_has_stood_still_leaves_kept_room_where_there_is_other() {
+fn stalled_work_takes_kept_capacity_only_if_there_is_no_other() {
     let mut site = Site::new(24, 4);
-    pass(&mut site, QUIET_MS, &BTreeSet::new());
+    advance(&mut site, QUIET_MS, &BTreeSet::new());
     let spread = StepSpec {
         most_per_worker: Some(1),
-        ..long(step(24, 1))
+        ..with_long_run_time(step(24, 1))
     };
     site.submit(0, "other", vec![spread]);
     site.plan_and_start();
@@ -412,24 +418,26 @@
             site.end(run, EndKind::Done);
         }
     }
-    pass(&mut site, QUIET_MS, &BTreeSet::new());
-    site.submit(1, "other", vec![near(long(step(4, 7)))]);
+    advance(&mut site, QUIET_MS, &BTreeSet::new());
+    site.submit(1, "other", vec![near_data(with_long_run_time(step(4, 7)))]);
     site.plan_and_start();
-    let busy = StepSpec {
+    let whole_worker = StepSpec {
         required_label: Some(Arc::from("rack1")),
         ..step(1, 8)
     };
-    site.submit(1, "other", vec![busy]);
+    site.submit(1, "other", vec![whole_worker]);
     site.plan_and_start();
     let gang = site.submit(1, "other", vec![local_gang(4)]);
     let from_ms = site.now_ms;
     let mut small = Vec::new();
-    while site.now_ms < from_ms + BOUND_MS && !site.workload.job(gang).unwrap().has_open_runs() {
-        small.push(site.submit(2, "other", vec![near(step(1, 1))]));
+    while site.now_ms < from_ms + STALL_LIMIT_MS
+        && !site.workload.job(gang).unwrap().has_open_runs()
+    {
+        small.push(site.submit(2, "other", vec![near_data(step(1, 1))]));
         site.plan_and_start();
-        pass(&mut site, PLAN_MS, &BTreeSet::new());
+        advance(&mut site, PLAN_INTERVAL_MS, &BTreeSet::new());
     }
-    let kept = |worker: &Incarnation| {
+    let is_kept = |worker: &Incarnation| {
         let info = &site.workload.worker(worker).unwrap().info;
         &*info.rack == "rack1"
     };
@@ -438,47 +446,50 @@
         .filter(|(_, run)| small.contains(&run.task.step.job))
         .collect();
     assert!(!own.is_empty());
-    assert!(own.iter().all(|(worker, _)| !kept(worker)));
+    assert!(own.iter().all(|(worker, _)| !is_kept(worker)));
 }
 
-/// Guards against a service of which one task runs while the others wait for a rack beside an idle pool.
+/// Guards against a service of which one task runs while the others wait for a rack in an idle pool.
 #[test]
-fn a_service_does_not_miss_tasks_for_a_rack() {
+fn tasks_of_a_service_do_not_wait_for_a_rack() {
     let mut site = Site::new(24, 4);
-    pass(&mut site, QUIET_MS, &BTreeSet::new());
+    advance(&mut site, QUIET_MS, &BTreeSet::new());
     let service = |count| StepSpec {
         long_running: true,
-        ..near(long(step(count, 8)))
+        ..near_data(with_long_run_time(step(count, 8)))
     };
     site.submit(1, "other", vec![service(3)]);
     site.plan_and_start();
     let job = site.submit(1, "other", vec![service(3)]);
     let since_ms = site.now_ms;
-    let at_work = |site: &Site| {
+    let open_run_count = |site: &Site| {
         let runs = site.open_runs();
         let own = runs.iter().filter(|(_, run)| run.task.step.job == job);
         own.count()
     };
-    while at_work(&site) < 3 && site.now_ms < since_ms + WATCHED_MS {
+    while open_run_count(&site) < 3 && site.now_ms < since_ms + OBSERVED_MS {
         site.plan_and_start();
-        pass(&mut site, PLAN_MS, &BTreeSet::new());
+        advance(&mut site, PLAN_INTERVAL_MS, &BTreeSet::new());
     }
     let missed_ms = site.now_ms - since_ms;
-    assert!(missed_ms < BOUND_MS, "misses tasks for {missed_ms} ms");
+    assert!(
+        missed_ms < STALL_LIMIT_MS,
+        "tasks are missing for {missed_ms} ms"
+    );
 }
 
-/// Guards against work that stands still since one run of its job is recorded on a worker that is lost.
+/// Guards against work that is stalled because one run of its job is recorded on a lost worker.
 #[test]
 fn a_run_on_a_lost_worker_does_not_count_as_running() {
     let mut site = Site::new(24, 4);
-    pass(&mut site, QUIET_MS, &BTreeSet::new());
-    site.submit(1, "other", vec![near(long(step(31, 1)))]);
+    advance(&mut site, QUIET_MS, &BTreeSet::new());
+    site.submit(1, "other", vec![near_data(with_long_run_time(step(31, 1)))]);
     site.plan_and_start();
-    pass(&mut site, PLAN_MS, &BTreeSet::new());
-    let job = site.submit(1, "other", vec![near(long(step(2, 1)))]);
+    advance(&mut site, PLAN_INTERVAL_MS, &BTreeSet::new());
+    let job = site.submit(1, "other", vec![near_data(with_long_run_time(step(2, 1)))]);
     for _ in 0..10 {
         site.plan_and_start();
-        pass(&mut site, PLAN_MS, &BTreeSet::new());
+        advance(&mut site, PLAN_INTERVAL_MS, &BTreeSet::new());
     }
     let runs = site.open_runs().into_iter();
     let own: Vec<_> = runs.filter(|(_, run)| run.task.step.job == job).collect();
@@ -489,10 +500,10 @@
         let mut runs = site.open_runs().into_iter();
         runs.any(|(worker, run)| run.task.step.job == job && !silent.contains(&worker))
     };
-    while !runs_elsewhere(&site) && site.now_ms < since_ms + WATCHED_MS {
-        pass(&mut site, PLAN_MS, &silent);
+    while !runs_elsewhere(&site) && site.now_ms < since_ms + OBSERVED_MS {
+        advance(&mut site, PLAN_INTERVAL_MS, &silent);
         site.plan_and_start();
     }
-    let still_ms = site.now_ms - since_ms;
-    assert!(still_ms < BOUND_MS, "stands still for {still_ms} ms");
+    let stalled_ms = site.now_ms - since_ms;
+    assert!(stalled_ms < STALL_LIMIT_MS, "stalled for {stalled_ms} ms");
 }
--- a/crates/bh-workload/tests/standing_tasks.rs
+++ b/crates/bh-workload/tests/standing_tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks that may run, have room, and stand still all the same.
+//! Tasks that may run and have capacity, but are stalled because of earlier runs or starts.
 
 mod support;
 
@@ -24,51 +24,51 @@
 use support::Site;
 use support::step;
 
-/// Leases of some seconds and short stops.
+/// Timing with leases of a few seconds and short stops.
 const TIMING: Timing = Timing {
     lease_ms: 5_700,
     stop_timeout_ms: 400,
     ..Timing::DEFAULT
 };
-/// Longest time for which a task may stand still beside free room, in milliseconds.
-const STANDS_MS: u64 = 3_000;
+/// Longest time for which a task may be stalled beside free capacity, in milliseconds.
+const STALL_LIMIT_MS: u64 = 3_000;
 /// Time between two turns of the leader, in milliseconds.
 const TURN_MS: u64 = 50;
-/// Time after which no room is kept for urgent work that has not come, in milliseconds.
+/// Time without urgent work after which no capacity is kept for it, in milliseconds.
 const QUIET_MS: u64 = 60_000;
 /// Longer than any lease, in milliseconds.
 const LONG_MS: u64 = 20_000;
 
-/// How a worker treats orders.
+/// How a worker reacts to orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Manner {
-    /// Carries them out.
-    Sound,
-    /// Is not reached.
+enum Behaviour {
+    /// Carries out orders.
+    Healthy,
+    /// Orders do not reach the worker.
     Silent,
-    /// Is not reached, and its carriers give no answer in time.
+    /// Orders do not reach the worker, and the cores that carry them give no answer in time.
     BehindLostCarriers,
-    /// Carries them out, and its heartbeats reach nobody.
+    /// Carries out orders, but its heartbeats are lost.
     Unheard,
-    /// Has ended: nothing listens at its address.
+    /// The process has ended: nothing listens at its address.
     Ended,
 }
 
-/// What a worker runs and has ended.
+/// The runs of a worker and their ends.
 #[derive(Default)]
 struct Worker {
     running: BTreeSet<RunId>,
     ended: Vec<Ended>,
-    /// Number of its last end.
-    last: u64,
+    /// Number of the last end.
+    last_number: u64,
 }
 
 impl Worker {
     fn end(&mut self, run: RunId, kind: EndKind) {
         if self.running.remove(&run) {
-            self.last += 1;
+            self.last_number += 1;
             self.ended.push(Ended {
-                number: self.last,
+                number: self.last_number,
                 run,
                 kind,
                 checkpoint: None,
@@ -77,44 +77,46 @@
     }
 }
 
-/// A site whose workers carry out what they are told.
-struct Scene {
+/// A site with workers that react to orders according to their behaviour.
+struct Simulation {
     site: Site,
     workers: BTreeMap<Incarnation, Worker>,
-    manners: BTreeMap<Incarnation, Manner>,
+    /// Behaviour of the workers that are not healthy.
+    behaviours: BTreeMap<Incarnation, Behaviour>,
 }
 
-impl Scene {
-    /// A site of `workers` workers, all sound, without room kept for urgent work.
+impl Simulation {
+    /// A site of `workers` workers, all healthy, without capacity kept for urgent work.
     fn new(workers: usize) -> Self {
         let mut site = Site::new(workers, workers);
         site.advance(QUIET_MS);
         site.dispatcher = Dispatcher::new(TIMING, 1, site.now_ms, &site.workload);
-        let mut scene = Self {
+        let mut simulation = Self {
             site,
             workers: BTreeMap::new(),
-            manners: BTreeMap::new(),
+            behaviours: BTreeMap::new(),
         };
-        scene.turn();
-        scene
+        simulation.turn();
+        simulation
     }
 
-    fn manner(&self, worker: &Incarnation) -> Manner {
-        let manner = self.manners.get(worker);
-        manner.copied().unwrap_or(Manner::Sound)
+    fn behaviour(&self, worker: &Incarnation) -> Behaviour {
+        let behaviour = self.behaviours.get(worker);
+        behaviour.copied().unwrap_or(Behaviour::Healthy)
     }
 
-    fn set(&mut self, worker: &Incarnation, manner: Manner) {
-        self.manners.insert(worker.clone(), manner);
+    fn set_behaviour(&mut self, worker: &Incarnation, behaviour: Behaviour) {
+        self.behaviours.insert(worker.clone(), behaviour);
     }
 
+    /// The healthy workers send heartbeats.
     fn heartbeats(&mut self) {
         let workers: Vec<Incarnation> = self
             .site
             .workload
             .workers()
             .map(|worker| worker.info.id.clone())
-            .filter(|worker| self.manner(worker) == Manner::Sound)
+            .filter(|worker| self.behaviour(worker) == Behaviour::Healthy)
             .collect();
         for worker in workers {
             let now_ms = self.site.now_ms;
@@ -124,12 +126,13 @@
         }
     }
 
+    /// The worker carries out an order if it is reached, and answers.
     fn answer(&mut self, order: &Order) -> Answer {
-        match self.manner(&order.to.worker) {
-            Manner::Silent => return Answer::Lost,
-            Manner::BehindLostCarriers => return Answer::CarrierLost,
-            Manner::Ended => return Answer::NotListening,
-            Manner::Sound | Manner::Unheard => {}
+        match self.behaviour(&order.to.worker) {
+            Behaviour::Silent => return Answer::Lost,
+            Behaviour::BehindLostCarriers => return Answer::CarrierLost,
+            Behaviour::Ended => return Answer::NotListening,
+            Behaviour::Healthy | Behaviour::Unheard => {}
         }
         let worker = self.workers.entry(order.to.worker.clone()).or_default();
         let mut report = None;
@@ -160,7 +163,7 @@
         }
     }
 
-    /// Orders that are due are carried out, and what follows is recorded.
+    /// The workers answer the orders that are due, and the commands that follow are recorded.
     fn give_orders(&mut self) {
         for order in self.site.orders() {
             let answer = self.answer(&order);
@@ -183,13 +186,14 @@
         }
     }
 
+    /// Makes a plan and records its starts.
     fn record_plan(&mut self) {
         let starts = self.site.plan().starts;
         self.site.workload.apply(Command::Starts(starts));
         self.site.take_events();
     }
 
-    /// One turn of the leader.
+    /// One turn of the leader: time passes, orders are sent and a plan is made.
     fn turn(&mut self) {
         self.site.now_ms += TURN_MS;
         self.heartbeats();
@@ -205,8 +209,8 @@
         }
     }
 
-    /// Runs of a job that are at work, with their workers.
-    fn at_work(&self, job: JobId) -> Vec<(Incarnation, RunId)> {
+    /// Returns the runs of a job that really run, with their workers.
+    fn actual_runs(&self, job: JobId) -> Vec<(Incarnation, RunId)> {
         let runs = self
             .workers
             .iter()
@@ -214,12 +218,12 @@
         runs.filter(|(_, run)| run.task.step.job == job).collect()
     }
 
-    /// A worker that runs a member of a gang is lost with it, and the other members end for that.
-    fn lose(&mut self, worker: &Incarnation, job: JobId, manner: Manner) {
-        self.set(worker, manner);
-        for (holder, run) in self.at_work(job) {
-            if let Some(known) = self.workers.get_mut(&holder) {
-                if holder == *worker {
+    /// A worker is lost with its runs of a job; the other runs of the job end as members of a broken gang.
+    fn lose_worker(&mut self, worker: &Incarnation, job: JobId, behaviour: Behaviour) {
+        self.set_behaviour(worker, behaviour);
+        for (run_worker, run) in self.actual_runs(job) {
+            if let Some(known) = self.workers.get_mut(&run_worker) {
+                if run_worker == *worker {
                     known.running.clear();
                 } else {
                     known.end(run, EndKind::Broken);
@@ -228,7 +232,7 @@
         }
     }
 
-    /// Another core leads from now on.
+    /// Another core becomes leader.
     fn take_over(&mut self) {
         let token = self.site.dispatcher.token() + 1;
         self.site.dispatcher =
@@ -236,10 +240,10 @@
         self.site.planner = Planner::new();
     }
 
-    /// Time until the job has a run at work, in milliseconds; as long as `LONG_MS` when it has none until then.
-    fn stands_ms(&mut self, job: JobId) -> u64 {
+    /// Returns the time until a run of the job really runs, in milliseconds; at most about `LONG_MS`.
+    fn time_to_start_ms(&mut self, job: JobId) -> u64 {
         let from_ms = self.site.now_ms;
-        while self.at_work(job).is_empty() && self.site.now_ms < from_ms + LONG_MS {
+        while self.actual_runs(job).is_empty() && self.site.now_ms < from_ms + LONG_MS {
             self.turn();
         }
         self.site.now_ms - from_ms
@@ -253,177 +257,184 @@
     }]
 }
 
-/// Two attempts of a gang were lost with workers that never come back, and their leases have run out. Each new leader takes both for attempts that may
-/// have failed, and holds the gang back for another lease.
+/// Guards against a new leader that delays a gang because of attempts that are known to be lost. Two attempts of the gang were lost with workers that never
+/// return, and their leases have expired. Each new leader treated both as attempts that may have failed, and delayed the gang for another lease.
 #[test]
-fn attempts_that_lapsed_hold_no_gang_back_under_a_new_leader() {
-    let mut scene = Scene::new(12);
-    let job = scene.site.submit(1, "other", gang(3));
+fn attempts_with_expired_leases_do_not_delay_a_gang_under_a_new_leader() {
+    let mut simulation = Simulation::new(12);
+    let job = simulation.site.submit(1, "other", gang(3));
     for _ in 0..2 {
-        scene.run_for(2_000);
-        let at_work = scene.at_work(job);
-        assert_eq!(at_work.len(), 3);
-        scene.lose(&at_work[0].0, job, Manner::Silent);
+        simulation.run_for(2_000);
+        let running = simulation.actual_runs(job);
+        assert_eq!(running.len(), 3);
+        simulation.lose_worker(&running[0].0, job, Behaviour::Silent);
     }
-    scene.site.now_ms += LONG_MS;
-    scene.heartbeats();
-    // The plan of the leader before had no time to begin the gang anew.
-    while !scene.site.open_runs().is_empty() {
-        scene.site.now_ms += TURN_MS;
-        scene.heartbeats();
-        scene.give_orders();
+    simulation.site.now_ms += LONG_MS;
+    simulation.heartbeats();
+    // The previous leader makes no further plan, so it does not restart the gang.
+    while !simulation.site.open_runs().is_empty() {
+        simulation.site.now_ms += TURN_MS;
+        simulation.heartbeats();
+        simulation.give_orders();
     }
-    assert_eq!(scene.site.clone().plan().starts.len(), 3);
-    scene.take_over();
-    let stands_ms = scene.stands_ms(job);
-    assert!(stands_ms <= STANDS_MS, "stands for {stands_ms} ms");
+    assert_eq!(simulation.site.clone().plan().starts.len(), 3);
+    simulation.take_over();
+    let waited_ms = simulation.time_to_start_ms(job);
+    assert!(waited_ms <= STALL_LIMIT_MS, "stalled for {waited_ms} ms");
 }
 
-/// The lease runs out of a worker of which a gang's member was given up earlier. Were the record of that lost or made at every turn, each new leader would hold the
-/// gang back, or the log would grow; and the worker is not asked for it.
+/// Guards against losing or repeating the record of an expired lease. A member of a gang on a silent worker was given up before the worker's lease expired. If
+/// the expiry were not recorded, each new leader would delay the gang; if it were recorded at every turn, the log would grow. The silent worker gets no
+/// order for it.
 #[rstest]
-#[case::of_unknown_fate(RecordOutcome::Unknown, 0)]
+#[case::unknown_outcome(RecordOutcome::Unknown, 0)]
 #[case::not_recorded(RecordOutcome::NotRecorded, 1)]
-fn the_lapse_of_a_member_given_up_is_recorded_once(
+fn the_expired_lease_of_a_member_given_up_is_recorded_once(
     #[case] outcome: RecordOutcome,
-    #[case] again: usize,
+    #[case] repeated: usize,
 ) {
-    let mut scene = Scene::new(12);
-    let job = scene.site.submit(1, "other", gang(3));
-    scene.run_for(2_000);
-    let (worker, lost) = scene.at_work(job)[0].clone();
-    scene.lose(&worker, job, Manner::Silent);
-    scene.run_for(2_000);
-    let open = scene.site.open_runs();
-    assert!(open.iter().all(|(_, run)| *run != lost), "it is given up");
-    let site = &mut scene.site;
-    let given = |site: &mut Site| {
+    let mut simulation = Simulation::new(12);
+    let job = simulation.site.submit(1, "other", gang(3));
+    simulation.run_for(2_000);
+    let (worker, lost) = simulation.actual_runs(job)[0].clone();
+    simulation.lose_worker(&worker, job, Behaviour::Silent);
+    simulation.run_for(2_000);
+    let open = simulation.site.open_runs();
+    assert!(
+        open.iter().all(|(_, run)| *run != lost),
+        "the run is given up"
+    );
+    let site = &mut simulation.site;
+    let ends_of_lost_run = |site: &mut Site| {
         let (orders, ends) = site.dispatcher.orders(site.now_ms, &site.workload, true);
-        let asked = orders.iter().any(|order| order.to.worker == worker);
-        assert!(!asked, "a worker that is silent is asked");
+        let is_ordered = orders.iter().any(|order| order.to.worker == worker);
+        assert!(!is_ordered, "a silent worker gets an order");
         ends.iter().filter(|end| end.run == lost).count()
     };
-    assert_eq!(given(site), 0, "while the lease may last");
+    assert_eq!(ends_of_lost_run(site), 0, "the lease may not have expired");
     site.now_ms += LONG_MS;
-    assert_eq!(given(site), 1);
-    assert_eq!(given(site), 0, "it is on its way");
+    assert_eq!(ends_of_lost_run(site), 1);
+    assert_eq!(ends_of_lost_run(site), 0, "the end is being recorded");
     site.dispatcher.note_recorded(&worker, None, outcome);
-    assert_eq!(given(site), again);
+    assert_eq!(ends_of_lost_run(site), repeated);
 }
 
-/// The leader and one worker of a gang are lost together. The other members tell the next leader that the gang is broken, so the lost member has ended; but this
-/// leader has not heard that it began, and waits for the lease.
+/// Guards against a new leader that waits for the lease of a lost member though the gang is broken. The leader and one worker of the gang are lost together. The
+/// other members report to the next leader that the gang is broken, so the lost member has ended; but this leader does not know that the member had started.
 #[test]
-fn a_gang_that_broke_before_a_change_of_leader_begins_anew() {
-    let mut scene = Scene::new(12);
-    let job = scene.site.submit(1, "other", gang(3));
-    scene.run_for(9_000);
-    let at_work = scene.at_work(job);
-    scene.lose(&at_work[0].0, job, Manner::Silent);
-    scene.take_over();
-    let stands_ms = scene.stands_ms(job);
-    assert!(stands_ms <= STANDS_MS, "stands for {stands_ms} ms");
+fn a_gang_that_broke_at_a_change_of_leader_is_restarted() {
+    let mut simulation = Simulation::new(12);
+    let job = simulation.site.submit(1, "other", gang(3));
+    simulation.run_for(9_000);
+    let running = simulation.actual_runs(job);
+    simulation.lose_worker(&running[0].0, job, Behaviour::Silent);
+    simulation.take_over();
+    let waited_ms = simulation.time_to_start_ms(job);
+    assert!(waited_ms <= STALL_LIMIT_MS, "stalled for {waited_ms} ms");
 }
 
-/// The same, but the leader before has recorded the ends of the other members. They are not listed again, and nothing tells the next leader that the gang
-/// is broken.
+/// Guards against a new leader that waits for the lease of a lost member after the previous leader has recorded the ends of the other members. The workers don't
+/// report these ends again, so no report tells the new leader that the gang is broken.
 #[test]
-fn a_gang_whose_broken_members_are_recorded_begins_anew_under_a_new_leader() {
-    let mut scene = Scene::new(12);
-    let job = scene.site.submit(1, "other", gang(3));
-    scene.run_for(9_000);
-    let at_work = scene.at_work(job);
-    scene.lose(&at_work[0].0, job, Manner::Silent);
-    scene.run_for(100);
-    assert_eq!(scene.site.open_runs().len(), 1);
-    scene.take_over();
-    let stands_ms = scene.stands_ms(job);
-    assert!(stands_ms <= STANDS_MS, "stands for {stands_ms} ms");
+fn a_gang_whose_other_members_have_ended_is_restarted_under_a_new_leader() {
+    let mut simulation = Simulation::new(12);
+    let job = simulation.site.submit(1, "other", gang(3));
+    simulation.run_for(9_000);
+    let running = simulation.actual_runs(job);
+    simulation.lose_worker(&running[0].0, job, Behaviour::Silent);
+    simulation.run_for(100);
+    assert_eq!(simulation.site.open_runs().len(), 1);
+    simulation.take_over();
+    let waited_ms = simulation.time_to_start_ms(job);
+    assert!(waited_ms <= STALL_LIMIT_MS, "stalled for {waited_ms} ms");
 }
 
-/// A worker is lost, and what was to carry orders to it gives no answer in time. Its lease runs out all the same, but its run is never given up.
+/// Guards against a run that is never given up because the cores that carry orders to its lost worker give no answer in time. The worker's lease expires all the
+/// same.
 #[test]
-fn a_run_behind_lost_carriers_is_given_up_with_its_lease() {
-    let mut scene = Scene::new(4);
-    let job = scene.site.submit(1, "other", vec![step(1, 8)]);
-    scene.run_for(1_000);
-    let at_work = scene.at_work(job);
-    scene.lose(&at_work[0].0, job, Manner::BehindLostCarriers);
-    let lapse_ms = TIMING.lease_expiry_after_ms(0);
-    let stands_ms = scene.stands_ms(job);
+fn a_run_behind_lost_carriers_is_given_up_when_its_lease_expires() {
+    let mut simulation = Simulation::new(4);
+    let job = simulation.site.submit(1, "other", vec![step(1, 8)]);
+    simulation.run_for(1_000);
+    let running = simulation.actual_runs(job);
+    simulation.lose_worker(&running[0].0, job, Behaviour::BehindLostCarriers);
+    let lease_expiry_ms = TIMING.lease_expiry_after_ms(0);
+    let waited_ms = simulation.time_to_start_ms(job);
     assert!(
-        stands_ms <= lapse_ms + STANDS_MS,
-        "stands for {stands_ms} ms, the lease runs out after {lapse_ms} ms"
+        waited_ms <= lease_expiry_ms + STALL_LIMIT_MS,
+        "stalled for {waited_ms} ms, the lease expires after {lease_expiry_ms} ms"
     );
 }
 
-/// The same, and the run that is lost is one of a gang that is broken: nothing of its job runs.
+/// Guards against a gang that is never restarted because the cores that carry orders to the worker of a lost member give no answer in time. The gang is broken, so
+/// nothing of its job runs.
 #[test]
-fn a_gang_with_a_member_behind_lost_carriers_begins_anew() {
-    let mut scene = Scene::new(12);
-    let job = scene.site.submit(1, "other", gang(3));
-    scene.run_for(1_000);
-    let at_work = scene.at_work(job);
-    scene.lose(&at_work[0].0, job, Manner::BehindLostCarriers);
-    let lapse_ms = TIMING.lease_expiry_after_ms(0);
-    let stands_ms = scene.stands_ms(job);
+fn a_gang_with_a_member_behind_lost_carriers_is_restarted() {
+    let mut simulation = Simulation::new(12);
+    let job = simulation.site.submit(1, "other", gang(3));
+    simulation.run_for(1_000);
+    let running = simulation.actual_runs(job);
+    simulation.lose_worker(&running[0].0, job, Behaviour::BehindLostCarriers);
+    let lease_expiry_ms = TIMING.lease_expiry_after_ms(0);
+    let waited_ms = simulation.time_to_start_ms(job);
     assert!(
-        stands_ms <= lapse_ms + STANDS_MS,
-        "stands for {stands_ms} ms, the lease runs out after {lapse_ms} ms"
+        waited_ms <= lease_expiry_ms + STALL_LIMIT_MS,
+        "stalled for {waited_ms} ms, the lease expires after {lease_expiry_ms} ms"
     );
 }
 
-/// A worker falls silent between the plan and the record of a start. The start is never sent, so the run need not wait for the lease of the worker.
+/// Guards against waiting for the lease of a worker that falls silent between the plan and the record of a start. The start is never sent, so the task can start
+/// elsewhere at once.
 #[test]
-fn a_start_that_was_never_sent_to_a_silent_worker_is_taken_back() {
-    let mut scene = Scene::new(4);
-    let first = scene.site.submit(1, "other", vec![step(1, 4)]);
-    scene.run_for(1_000);
-    let worker = scene.at_work(first)[0].0.clone();
-    let second = scene.site.submit(1, "other", vec![step(1, 4)]);
-    let starts = scene.site.plan().starts;
+fn a_start_that_was_never_sent_to_a_silent_worker_is_withdrawn() {
+    let mut simulation = Simulation::new(4);
+    let first = simulation.site.submit(1, "other", vec![step(1, 4)]);
+    simulation.run_for(1_000);
+    let worker = simulation.actual_runs(first)[0].0.clone();
+    let second = simulation.site.submit(1, "other", vec![step(1, 4)]);
+    let starts = simulation.site.plan().starts;
     assert_eq!(starts.len(), 1);
     assert_eq!(starts[0].worker, worker, "the fullest worker is filled");
-    scene.set(&worker, Manner::Silent);
-    scene.site.now_ms += TURN_MS;
-    scene.give_orders();
-    scene.site.workload.apply(Command::Starts(starts));
-    scene.site.take_events();
-    let stands_ms = scene.stands_ms(second);
-    assert!(stands_ms <= STANDS_MS, "stands for {stands_ms} ms");
+    simulation.set_behaviour(&worker, Behaviour::Silent);
+    simulation.site.now_ms += TURN_MS;
+    simulation.give_orders();
+    simulation.site.workload.apply(Command::Starts(starts));
+    simulation.site.take_events();
+    let waited_ms = simulation.time_to_start_ms(second);
+    assert!(waited_ms <= STALL_LIMIT_MS, "stalled for {waited_ms} ms");
 }
 
-/// A worker answers, but its heartbeats do not come, and it ceases to count as heard between the plan and the record of a start. The start is held
-/// until it is heard again, which may be never.
+/// Guards against holding a start for ever because a heartbeat is missing. The worker answers, but its heartbeats are lost, and it becomes unheard between the plan
+/// and the record of a start. The start is held until the next heartbeat, which may never arrive.
 #[test]
-fn a_start_that_is_held_for_a_heartbeat_is_taken_back() {
-    let mut scene = Scene::new(4);
-    let first = scene.site.submit(1, "other", vec![step(1, 4)]);
-    scene.run_for(1_000);
-    let worker = scene.at_work(first)[0].0.clone();
-    scene.set(&worker, Manner::Unheard);
-    scene.run_for(TIMING.current_ms() - TURN_MS);
-    let second = scene.site.submit(1, "other", vec![step(1, 4)]);
-    let starts = scene.site.plan().starts;
+fn a_start_that_waits_for_a_heartbeat_is_withdrawn() {
+    let mut simulation = Simulation::new(4);
+    let first = simulation.site.submit(1, "other", vec![step(1, 4)]);
+    simulation.run_for(1_000);
+    let worker = simulation.actual_runs(first)[0].0.clone();
+    simulation.set_behaviour(&worker, Behaviour::Unheard);
+    simulation.run_for(TIMING.current_ms() - TURN_MS);
+    let second = simulation.site.submit(1, "other", vec![step(1, 4)]);
+    let starts = simulation.site.plan().starts;
     assert_eq!(starts[0].worker, worker, "the fullest worker is filled");
-    scene.site.now_ms += 2 * TURN_MS;
-    scene.heartbeats();
-    scene.site.workload.apply(Command::Starts(starts));
-    scene.site.take_events();
-    let stands_ms = scene.stands_ms(second);
-    assert!(stands_ms <= STANDS_MS, "stands for {stands_ms} ms");
+    simulation.site.now_ms += 2 * TURN_MS;
+    simulation.heartbeats();
+    simulation.site.workload.apply(Command::Starts(starts));
+    simulation.site.take_events();
+    let waited_ms = simulation.time_to_start_ms(second);
+    assert!(waited_ms <= STALL_LIMIT_MS, "stalled for {waited_ms} ms");
 }
 
-/// A process ends between its last look and a start. Nothing listens at its address, so the only send of the start never left, and the run need not
-/// wait for the lease.
+/// Guards against waiting for the lease of a worker whose process ends between its last probe and a start. Nothing listens at its address, so the only send of the
+/// start cannot have arrived, and the task can start elsewhere at once.
 #[test]
-fn a_start_that_found_nothing_listening_is_taken_back() {
-    let mut scene = Scene::new(4);
-    let job = scene.site.submit(1, "other", vec![step(1, 8)]);
-    let starts = scene.site.plan().starts;
-    scene.set(&starts[0].worker.clone(), Manner::Ended);
-    scene.site.workload.apply(Command::Starts(starts));
-    scene.site.take_events();
-    let stands_ms = scene.stands_ms(job);
-    assert!(stands_ms <= STANDS_MS, "stands for {stands_ms} ms");
+fn a_start_that_found_nothing_listening_is_withdrawn() {
+    let mut simulation = Simulation::new(4);
+    let job = simulation.site.submit(1, "other", vec![step(1, 8)]);
+    let starts = simulation.site.plan().starts;
+    simulation.set_behaviour(&starts[0].worker.clone(), Behaviour::Ended);
+    simulation.site.workload.apply(Command::Starts(starts));
+    simulation.site.take_events();
+    let waited_ms = simulation.time_to_start_ms(job);
+    assert!(waited_ms <= STALL_LIMIT_MS, "stalled for {waited_ms} ms");
 }
--- a/crates/bh-workload/tests/upkeep.rs
+++ b/crates/bh-workload/tests/upkeep.rs
@@ -1,4 +1,4 @@
-//! Waves of upkeep.
+//! Upkeep waves, which service the VMs of workers a few at a time.
 #![expect(
     clippy::unwrap_used,
     reason = "a test that meets the unexpected shall end"
@@ -29,17 +29,19 @@
 const TURN_MS: u64 = 100;
 const WITHIN_MS: u64 = 40_000;
 
-/// A site whose VMs the service below takes down and brings up again.
+/// A site with a simulated upkeep service, which takes VMs down and brings them up again.
 struct Fleet {
     site: Site,
     wave_scheduler: WaveScheduler,
-    /// When each VM that is down comes up, and what its worker is then.
+    /// VMs that are down, with the time at which each comes up and its worker from then on.
     down: BTreeMap<Arc<str>, (u64, WorkerInfo)>,
-    /// Upkeeps that were begun, by VM.
-    begun: BTreeMap<Arc<str>, u32>,
-    most_down: usize,
-    /// Every answer with this number modulo three is lost.
-    lost_answers: bool,
+    /// Number of upkeeps started on each VM.
+    upkeeps: BTreeMap<Arc<str>, u32>,
+    /// Largest number of VMs that were down at once.
+    max_down: usize,
+    /// Whether two of three answers of the service are lost.
+    loses_answers: bool,
+    /// Number of answers of the service so far.
     answers: u64,
 }
 
@@ -64,36 +66,37 @@
             site,
             wave_scheduler,
             down: BTreeMap::new(),
-            begun: BTreeMap::new(),
-            most_down: 0,
-            lost_answers: false,
+            upkeeps: BTreeMap::new(),
+            max_down: 0,
+            loses_answers: false,
             answers: 0,
         }
     }
 
-    fn is_over(&self) -> bool {
+    fn has_wave_ended(&self) -> bool {
         self.site.workload.wave(WAVE).unwrap().has_ended()
     }
 
-    /// The service takes an order.
-    fn serve(&mut self, order: &UpkeepOrder) -> UpkeepAnswer {
-        if self.down.contains_key(&order.vm) || self.begun.contains_key(&order.vm) {
+    /// The service carries out an order; the VM must be empty.
+    fn carry_out_order(&mut self, order: &UpkeepOrder) -> UpkeepAnswer {
+        if self.down.contains_key(&order.vm) || self.upkeeps.contains_key(&order.vm) {
             return UpkeepAnswer::Done;
         }
         let worker = self.site.workload.worker_on(&order.vm).unwrap();
-        assert!(worker.runs.is_empty(), "its work was thrown away");
-        let next = WorkerInfo {
+        assert!(worker.runs.is_empty(), "the VM has runs that would be lost");
+        let next_worker = WorkerInfo {
             id: worker_id(&format!("{}b", worker.info.id)),
             ..worker.info.clone()
         };
         let up_ms = self.site.now_ms + UPKEEP_MS;
-        self.down.insert(order.vm.clone(), (up_ms, next));
-        *self.begun.entry(order.vm.clone()).or_default() += 1;
-        self.most_down = self.most_down.max(self.down.len());
+        self.down.insert(order.vm.clone(), (up_ms, next_worker));
+        *self.upkeeps.entry(order.vm.clone()).or_default() += 1;
+        self.max_down = self.max_down.max(self.down.len());
         UpkeepAnswer::Done
     }
 
-    fn carry_out(&mut self, action: UpkeepAction) {
+    /// Carries out an action of the wave scheduler.
+    fn carry_out_action(&mut self, action: UpkeepAction) {
         match action {
             UpkeepAction::Record(command) => {
                 if let Command::Upkeep { vm, .. } = &command {
@@ -106,9 +109,9 @@
                 self.site.end(run, EndKind::Stopped);
             }
             UpkeepAction::Order(order) => {
-                let mut answer = self.serve(&order);
+                let mut answer = self.carry_out_order(&order);
                 self.answers += 1;
-                if self.lost_answers && !self.answers.is_multiple_of(3) {
+                if self.loses_answers && !self.answers.is_multiple_of(3) {
                     answer = UpkeepAnswer::Lost;
                 }
                 let command = self
@@ -122,6 +125,7 @@
         self.site.take_events();
     }
 
+    /// Time passes: VMs come up, the wave scheduler acts, and a plan is made.
     fn turn(&mut self) {
         self.site.advance(TURN_MS);
         let now_ms = self.site.now_ms;
@@ -145,15 +149,15 @@
         let emptied = self.wave_scheduler.emptied_workers(&self.site.workload);
         self.site.dispatcher.set_emptied(emptied);
         for action in actions {
-            self.carry_out(action);
+            self.carry_out_action(action);
         }
         self.site.heartbeats();
         self.site.plan_and_start();
     }
 }
 
-/// An operator wants four VMs serviced, with so many down at once. Each is emptied first; answers of the service are lost, and another core
-/// leads in the middle. No VM is serviced twice, never more are down than allowed, and the wave is not called over before all are up.
+/// Guards against VMs that are serviced twice, too many VMs down at once, and a wave that ends while a VM is down. An operator orders upkeep of four VMs with
+/// `most` of them down at once. Each VM is emptied first; answers of the service are lost in one case, and the leader changes in the middle.
 #[rstest]
 #[case::one_at_a_time(1, 8, false)]
 #[case::two_at_a_time(2, 8, false)]
@@ -165,16 +169,16 @@
     #[case] lost: bool,
 ) {
     let mut fleet = Fleet::new(4, most);
-    fleet.lost_answers = lost;
+    fleet.loses_answers = lost;
     if tasks > 0 {
         fleet.site.submit(2, "other", vec![step(tasks, 4)]);
     }
     fleet.site.plan_and_start();
     let mut turns = 0;
-    while !fleet.is_over() {
+    while !fleet.has_wave_ended() {
         fleet.turn();
         turns += 1;
-        assert!(turns * TURN_MS < WITHIN_MS, "late");
+        assert!(turns * TURN_MS < WITHIN_MS, "the wave takes too long");
         if turns == 100 {
             let now_ms = fleet.site.now_ms;
             fleet.site.take_over(2);
@@ -182,15 +186,18 @@
                 WaveScheduler::new(Arc::from("core-2"), 2, now_ms, &Timing::DEFAULT);
         }
     }
-    assert!(fleet.down.is_empty(), "called over while a VM is down");
-    assert_eq!(fleet.begun.len(), 4);
-    assert!(fleet.begun.values().all(|count| *count == 1));
-    assert!(fleet.most_down <= usize::try_from(most).unwrap());
+    assert!(
+        fleet.down.is_empty(),
+        "the wave has ended while a VM is down"
+    );
+    assert_eq!(fleet.upkeeps.len(), 4);
+    assert!(fleet.upkeeps.values().all(|count| *count == 1));
+    assert!(fleet.max_down <= usize::try_from(most).unwrap());
 }
 
-/// One of the VMs has left for good. It must not keep the wave from ending.
+/// Guards against a wave that never ends because one of its VMs is gone for good.
 #[test]
-fn a_vm_that_is_gone_is_passed_over() {
+fn a_vm_that_is_gone_is_skipped() {
     let mut fleet = Fleet::new(1, 1);
     let worker = fleet
         .site
@@ -221,17 +228,17 @@
                         .note_answer(now_ms, order, UpkeepAnswer::NotPart);
                 fleet.site.workload.apply(command.unwrap());
             } else {
-                fleet.carry_out(action);
+                fleet.carry_out_action(action);
             }
         }
     }
-    assert!(fleet.is_over());
+    assert!(fleet.has_wave_ended());
 }
 
-/// A VM holds a task of a service that may miss none. Its upkeep waits for as long as that lasts, whatever the time the operator gave: the
-/// callers of the service go first.
+/// Guards against stopping a service of which no task may be missing. The upkeep of its VM waits for as long as the task runs, even beyond the time that the
+/// operator has set: the callers of the service take precedence.
 #[test]
-fn a_service_that_may_miss_nobody_is_not_stopped() {
+fn a_service_of_which_no_task_may_be_missing_is_not_stopped() {
     let mut fleet = Fleet::new(1, 1);
     let service = StepSpec {
         long_running: true,
@@ -243,20 +250,20 @@
     for _ in 0..(WITHIN_MS / TURN_MS + 10) {
         fleet.turn();
     }
-    assert_eq!(fleet.begun.len(), 0);
+    assert_eq!(fleet.upkeeps.len(), 0);
     assert_eq!(fleet.site.open_runs().len(), 1);
 }
 
-/// An order that is sent again after its acknowledgement was lost must not start the wave anew.
+/// Guards against starting a wave a second time when its order is sent again after the acknowledgement was lost.
 #[test]
-fn a_wave_that_is_ordered_again_stays_one() {
+fn a_wave_that_is_ordered_again_does_not_restart() {
     let mut fleet = Fleet::new(1, 1);
-    while !fleet.is_over() {
+    while !fleet.has_wave_ended() {
         fleet.turn();
     }
     let spec = WaveSpec {
         id: WAVE,
-        vms: fleet.begun.keys().cloned().collect(),
+        vms: fleet.upkeeps.keys().cloned().collect(),
         within_ms: WITHIN_MS,
         most_at_once: 1,
     };
@@ -264,5 +271,5 @@
         .site
         .workload
         .apply(Command::StartWave { spec, now_ms: 0 });
-    assert!(fleet.is_over());
+    assert!(fleet.has_wave_ended());
 }
