--- a/crates/bh-control/tests/inherited_runs.rs
+++ b/crates/bh-control/tests/inherited_runs.rs
@@ -23,7 +23,7 @@
     let runs = site.open_runs();
 
     site.advance(100);
-    let answer = site.looked(&runs[0].0, &[]);
+    let answer = site.probe_answer(&runs[0].0, &[]);
     site.answer_for(&runs[0].0, &answer);
     site.end(runs[1].1, EndKind::Done);
     assert_eq!(
