--- a/crates/bh-workload/benches/days/day.rs
+++ b/crates/bh-workload/benches/days/day.rs
@@ -111,7 +111,7 @@
         );
         for (worker, run) in &plan.evictions {
             day.dispatcher.request_stop(worker, *run);
-            day.request_stop(*run);
+            day.stop_unit(*run);
         }
         day.start(plan.starts);
     }
@@ -204,7 +204,7 @@
     }
 
     /// Requests a stop of the unit that a run belongs to.
-    fn request_stop(&mut self, run: RunId) {
+    fn stop_unit(&mut self, run: RunId) {
         let (now_ms, stop_ms) = (self.now_ms, self.deployment.stop_ms);
         let key = self.key(run);
         if let Some(unit) = self.running.get_mut(&key) {
--- a/crates/bh-workload/tests/long_queues.rs
+++ b/crates/bh-workload/tests/long_queues.rs
@@ -100,11 +100,11 @@
     };
     let smaller = site.submit(0, "other", vec![long]);
     let plan = site.plan_and_start();
-    let started = plan
+    let started_tasks = plan
         .starts
         .iter()
         .filter(|start| start.run.task.step.job == smaller)
         .count();
-    assert_eq!(started, 20);
+    assert_eq!(started_tasks, 20);
     assert_eq!(plan.starts.len(), 20);
 }
--- a/crates/bh-workload/tests/pacing.rs
+++ b/crates/bh-workload/tests/pacing.rs
@@ -71,10 +71,10 @@
     fn tail_ms(&self) -> u64 {
         let runs = self.site.open_runs();
         let fillers = runs.iter().filter(|(_, run)| self.fills_idle(*run));
-        let added_ms: u64 = fillers
+        let total_added_ms: u64 = fillers
             .map(|(_, run)| self.added_ms * self.pace.get(run).copied().unwrap_or(100) / 100)
             .sum();
-        TAIL_ALONE_MS + added_ms
+        TAIL_ALONE_MS + total_added_ms
     }
 
     /// Answer of the worker to an order.
--- a/crates/bh-workload/tests/runnable.rs
+++ b/crates/bh-workload/tests/runnable.rs
@@ -146,7 +146,7 @@
 }
 
 /// The leader requests a stop after the start is confirmed.
-fn request_stop(site: &mut Site, worker: &Incarnation, run: RunId) {
+fn stop_run(site: &mut Site, worker: &Incarnation, run: RunId) {
     confirm_start(site, worker, run);
     site.dispatcher.request_stop(worker, run);
 }
@@ -185,7 +185,7 @@
 #[case::of_an_earlier_leader(change_leader, RunPhase::Unsure)]
 #[case::unreported(omit_from_report, RunPhase::Unreported)]
 #[case::on_a_silent_worker(silence_worker, RunPhase::Silent)]
-#[case::given_up(request_stop, RunPhase::Stopping)]
+#[case::given_up(stop_run, RunPhase::Stopping)]
 #[case::ended(end_without_record, RunPhase::Ending)]
 fn a_job_waits_for_its_recorded_run_that_is_not_at_work(
     #[case] prepare: fn(&mut Site, &Incarnation, RunId),
--- a/crates/bh-workload/tests/shrinking_workers.rs
+++ b/crates/bh-workload/tests/shrinking_workers.rs
@@ -118,7 +118,7 @@
 }
 
 /// Guards against resending a start order to a worker that has shrunk while it was unreachable. The worker answers again before its next heartbeat: the start
-/// is sent again only after that heartbeat has told its capacity.
+/// is sent again only after that heartbeat has reported its capacity.
 #[test]
 fn no_start_is_sent_again_after_a_silence_before_a_heartbeat() {
     let mut site = Site::new(1, 1);
