--- a/crates/bh-workload/tests/pacing.rs
+++ b/crates/bh-workload/tests/pacing.rs
@@ -127,8 +127,9 @@
     }
 }
 
-/// Guards against a service that is slow for too long. Tasks that only use idle processors share a worker with the service and slow it down, by little
-/// or much, until they are slowed down themselves. If that waited for the next plan or were done in small steps, it would take too long.
+/// Guards against a service that is slow for too long. Tasks that only use idle processors share a worker with the service and slow it
+/// down, by little or much, until they are slowed down themselves. If that waited for the next plan or were done in small steps, it would
+/// take too long.
 #[rstest]
 #[case::little(10)]
 #[case::some(20)]
--- a/crates/bh-workload/tests/racks.rs
+++ b/crates/bh-workload/tests/racks.rs
@@ -51,9 +51,9 @@
     assert!(site.plan().starts.is_empty(), "too late to be on time");
 }
 
-/// Guards against a gang that is late because capacity is kept for urgent work in the emptiest rack, the only one where a gang that needs a whole rack
-/// fits. The gang waits while it has time to spare, since urgent work may arrive, and takes the kept capacity when it would be late otherwise. If it
-/// could not, it would wait until urgent work has been absent for long, and be served last of all.
+/// Guards against a gang that is late because capacity is kept for urgent work in the emptiest rack, the only one where a gang that needs a
+/// whole rack fits. The gang waits while it has time to spare, since urgent work may arrive, and takes the kept capacity when it would be
+/// late otherwise. If it could not, it would wait until urgent work has been absent for long, and be served last of all.
 #[test]
 fn a_gang_takes_capacity_kept_for_urgent_work_when_that_is_its_last_chance() {
     let mut site = Site::new(4, 4);
--- a/crates/bh-workload/tests/repeated_starts.rs
+++ b/crates/bh-workload/tests/repeated_starts.rs
@@ -160,8 +160,8 @@
     assert_eq!(recorded.map(|task| task.failures), Some(1));
 }
 
-/// Guards against clearing a run of suspicion that may have crashed its worker. The worker crashes after the first send, and another incarnation answers
-/// the second send after the time that a restart takes.
+/// Guards against clearing a run of suspicion that may have crashed its worker. The worker crashes after the first send, and another
+/// incarnation answers the second send after the time that a restart takes.
 #[test]
 fn a_run_stays_suspect_when_another_incarnation_answers_its_repeated_start() {
     const RESTART_MS: u64 = 200;
--- a/crates/bh-workload/tests/restarted_workers.rs
+++ b/crates/bh-workload/tests/restarted_workers.rs
@@ -51,7 +51,6 @@
     site
 }
 
-/// Answer to a probe with a report of these runs and ends.
 fn report_answer(site: &Site, running: &[RunId], ended: &[(u64, RunId, EndKind)]) -> Answer {
     Answer::Done {
         clock_ms: Some(site.now_ms),
@@ -79,7 +78,6 @@
     }
 }
 
-/// Answer of the later incarnation, with a report of these runs and ends.
 fn restart_answer(running: &[RunId], ended: &[(u64, RunId, EndKind)]) -> Answer {
     Answer::Restarted {
         started_ms: SECOND_MS,
@@ -185,11 +183,7 @@
     );
     site.advance(100);
     answer_each_order(&mut site, |site, order| later_answer(site, order, &[run]));
-    assert_eq!(
-        state(&site, job),
-        TaskState::Open(1),
-        "the run goes on there"
-    );
+    assert_eq!(state(&site, job), TaskState::Open(1), "run not stopped");
     site.advance(100);
     answer_each_order(&mut site, |site, order| later_answer(site, order, &[]));
     assert_eq!(state(&site, job), TaskState::Waiting);
@@ -241,11 +235,7 @@
     site.advance(500);
     let answer = report_answer(&site, &[], &[]);
     let first = answer_each_order(&mut site, |_, _| answer.clone());
-    assert_eq!(
-        recorded_to(&first),
-        Some(0),
-        "the worker may have restarted"
-    );
+    assert_eq!(recorded_to(&first), Some(0), "it may have restarted");
     site.advance(100);
     let answer = report_answer(&site, &[], &[]);
     let second = answer_each_order(&mut site, |_, _| answer.clone());
@@ -342,7 +332,6 @@
     assert_eq!(task.all_crashes(), 0, "no incarnation has crashed");
 }
 
-/// Starts a task on the worker; the worker confirms the start and has not reported the run yet.
 fn start_task_without_report(site: &mut Site) -> JobId {
     let job = site.submit(0, "other", vec![step(1, 1)]);
     site.plan_and_start();
@@ -365,8 +354,7 @@
     assert_eq!((worker.info.id.started_ms, worker.runs.len()), (None, 1));
 }
 
-/// Guards against a running worker that refuses all orders because probes of an earlier incarnation, known from a delayed heartbeat, carried a higher
-/// token.
+/// Guards against a running worker that refuses all orders after probes of an earlier incarnation (from a delayed heartbeat) carried a higher token.
 #[test]
 fn probes_of_an_earlier_incarnation_do_not_fence_off_the_running_one() {
     let mut site = site();
--- a/crates/bh-workload/tests/set_aside.rs
+++ b/crates/bh-workload/tests/set_aside.rs
@@ -32,8 +32,8 @@
         .collect()
 }
 
-/// Guards against leaving most workers idle for half a minute while callers wait. If some workers refuse tasks, the others get the work. If most do, the
-/// tasks or the load are the more likely cause, and all workers are used.
+/// Guards against leaving most workers idle for half a minute while callers wait. If some workers refuse tasks, the others get the work. If
+/// most do, the tasks or the load are the more likely cause, and all workers are used.
 #[rstest]
 #[case(1, 5)]
 #[case(2, 4)]
--- a/crates/bh-workload/tests/shrinking_workers.rs
+++ b/crates/bh-workload/tests/shrinking_workers.rs
@@ -33,9 +33,9 @@
     started
 }
 
-/// Guards against overloading a worker by resending a start order. The start gets no answer, and before it is sent again the worker reports that half of
-/// its capacity is gone. The worker does not check its capacity, so the start would slow down or kill the tasks there. The run is withdrawn, and the task
-/// starts where there is capacity.
+/// Guards against overloading a worker by resending a start order. The start gets no answer, and before it is sent again the worker reports
+/// that half of its capacity is gone. The worker does not check its capacity, so the start would slow down or kill the tasks there. The run
+/// is withdrawn, and the task starts where there is capacity.
 #[test]
 fn a_start_is_not_sent_again_to_a_worker_that_has_shrunk() {
     let mut site = Site::new(1, 1);
@@ -61,9 +61,9 @@
     assert!(site.workload.job(first).unwrap().outcome.is_none());
 }
 
-/// Guards against stopping too few borrowers on a worker that is over its capacity. Two borrowers fill a worker, which shrinks to half. A guaranteed job
-/// needs that half: stopping one borrower frees nothing for it. If the shrinkage were ignored, one borrower would lose its work in vain, and the job would
-/// wait until the reservation expires, beyond its deadline.
+/// Guards against stopping too few borrowers on a worker that is over its capacity. Two borrowers fill a worker, which shrinks to half. A
+/// guaranteed job needs that half: stopping one borrower frees nothing for it. If the shrinkage were ignored, one borrower would lose its
+/// work in vain, and the job would wait until the reservation expires, beyond its deadline.
 #[test]
 fn enough_borrowers_are_stopped_on_a_worker_over_its_capacity() {
     let mut site = Site::new(1, 1);
@@ -88,8 +88,9 @@
     assert_eq!(site.plan().starts.len(), 1);
 }
 
-/// Guards against overloading a worker after a delayed heartbeat. The worker shrinks, and a heartbeat that it sent before arrives last, at another leader,
-/// which has seen no sequence numbers of its heartbeats. If that heartbeat counted, the worker would be filled to its former capacity.
+/// Guards against overloading a worker after a delayed heartbeat. The worker shrinks, and a heartbeat that it sent before arrives last, at
+/// another leader, which has seen no sequence numbers of its heartbeats. If that heartbeat counted, the worker would be filled to its
+/// former capacity.
 #[test]
 fn a_delayed_heartbeat_does_not_restore_the_former_capacity() {
     let mut site = Site::new(1, 1);
@@ -117,8 +118,8 @@
     assert_eq!(capacity_after_heartbeat(6, 6), 6);
 }
 
-/// Guards against resending a start order to a worker that has shrunk while it was unreachable. The worker answers again before its next heartbeat: the start
-/// is sent again only after that heartbeat has reported its capacity.
+/// Guards against resending a start order to a worker that has shrunk while it was unreachable. The worker answers again before its next
+/// heartbeat: the start is sent again only after that heartbeat has reported its capacity.
 #[test]
 fn no_start_is_sent_again_after_a_silence_before_a_heartbeat() {
     let mut site = Site::new(1, 1);
@@ -136,8 +137,8 @@
     assert_eq!(starts_sent(&mut site, false, &sent).len(), 1);
 }
 
-/// Guards against trusting worker information that is too old. All cores were down for longer than it is valid. The next leader probes the workers and gets
-/// answers, but some workers may have shrunk meanwhile: each gets work only after its heartbeat has arrived.
+/// Guards against trusting worker information that is too old. All cores were down for longer than it is valid. The next leader probes the
+/// workers and gets answers, but some workers may have shrunk meanwhile: each gets work only after its heartbeat has arrived.
 #[test]
 fn after_a_time_without_a_leader_workers_get_work_only_after_a_heartbeat() {
     let mut site = Site::new(2, 2);
--- a/crates/bh-workload/tests/silent_workers.rs
+++ b/crates/bh-workload/tests/silent_workers.rs
@@ -10,8 +10,8 @@
 /// Maximum time until a worker that does not answer counts as silent, in milliseconds. Urgent work has one to two seconds to spare.
 const DETECTED_WITHIN_MS: u64 = 1_300;
 
-/// Guards against placing urgent work on a worker that has become unreachable just after its last answer, or waiting for its capacity. Its heartbeats are
-/// missed only after four seconds, so the unanswered probe must show the silence earlier.
+/// Guards against placing urgent work on a worker that has become unreachable just after its last answer, or waiting for its capacity. Its
+/// heartbeats are missed only after four seconds, so the unanswered probe must show the silence earlier.
 #[test]
 fn a_silent_worker_soon_gets_no_more_work() {
     let mut site = Site::new(2, 2);
@@ -39,8 +39,8 @@
     assert_ne!(plan.starts[0].worker, silent);
 }
 
-/// Guards against a leader that spends most of its processor time on probes when hundreds of workers have work, so that everything else waits. It probes each
-/// worker less often, with a few hundred probes per second in all.
+/// Guards against a leader that spends most of its processor time on probes when hundreds of workers have work, so that everything else
+/// waits. It probes each worker less often, and sends no more than a few hundred probes per second in all.
 #[test]
 fn many_workers_are_probed_less_often() {
     const WORKERS: usize = 350;
--- a/crates/bh-workload/tests/slow_runs.rs
+++ b/crates/bh-workload/tests/slow_runs.rs
@@ -84,8 +84,9 @@
         .overdue(site.now_ms, &site.workload, &site.dispatcher)
 }
 
-/// Guards against restarting a slow task for ever. A task takes ten times as long as others of its queue. It is restarted on another worker, since the
-/// first one may be slow, and takes as long there. If it were restarted again and again, it would never end, so that happens only once.
+/// Guards against restarting a slow task for ever. A task takes ten times as long as others of its queue. It is restarted on another
+/// worker, since the first one may be slow, and takes as long there. If it were restarted again and again, it would never end, so that
+/// happens only once.
 #[test]
 fn a_task_that_is_slow_on_every_worker_is_restarted_once() {
     let mut site = site_with_known_run_time();
@@ -105,9 +106,9 @@
     assert_eq!(run_slowly(&mut site, again), Vec::new());
 }
 
-/// Guards against leaving a worker out for ever after it was slow. The connection to a worker is slow for some seconds, and runs there seem to take ten times
-/// as long. The worker gets no more work, so nothing would show that it has recovered, and the fleet would lose one worker after the other until the leader
-/// changes. After a while it gets work again.
+/// Guards against leaving a worker out for ever after it was slow. The connection to a worker is slow for some seconds, and runs there seem
+/// to take ten times as long. The worker gets no more work, so nothing would show that it has recovered, and the fleet would lose one
+/// worker after the other until the leader changes. After a while it gets work again.
 #[test]
 fn a_worker_that_was_slow_gets_work_again() {
     /// Longest time for which a worker may be left out because it was slow, in milliseconds.
@@ -149,8 +150,8 @@
     assert!(gets_work(&site, &slow), "{slow} is left out for good");
 }
 
-/// Guards against restarting a run on a cold worker. The worker has just started and has announced that it is slow for ten seconds. A task on it seems to take
-/// ten times as long as others, but becomes faster by itself; restarted elsewhere, it would end later.
+/// Guards against restarting a run on a cold worker. The worker has just started and has announced that it is slow for ten seconds. A task
+/// on it seems to take ten times as long as others, but becomes faster by itself; restarted elsewhere, it would end later.
 #[test]
 fn a_run_on_a_cold_worker_is_not_restarted() {
     let mut site = site_with_known_run_time();
--- a/crates/bh-workload/tests/standing_still.rs
+++ b/crates/bh-workload/tests/standing_still.rs
@@ -80,8 +80,8 @@
     slots >= 2 * u64::from(spec.count) && free * 2 > total
 }
 
-/// Returns the longest time for which the job has nothing running beside ample capacity until it starts, in milliseconds. The workers in `silent` answer
-/// nothing.
+/// Returns the longest time for which the job has nothing running beside ample capacity until it starts, in milliseconds. The workers in
+/// `silent` answer nothing.
 fn longest_stall_ms(site: &mut Site, job: JobId, silent: &BTreeSet<Incarnation>) -> u64 {
     let spec = site.workload.job(job).unwrap().spec.steps[0].clone();
     let until_ms = site.now_ms + OBSERVED_MS;
@@ -223,7 +223,8 @@
     assert_starts_in_time(&mut site, job);
 }
 
-/// Guards against tasks that need a whole worker and are stalled after a change of leader: all empty workers are kept for urgent work that does not arrive.
+/// Guards against tasks that need a whole worker and are stalled after a change of leader: all empty workers are kept for urgent work that
+/// does not arrive.
 #[test]
 fn capacity_kept_for_urgent_work_does_not_stall_tasks_that_need_a_whole_worker() {
     let mut site = Site::new(40, 4);
@@ -245,8 +246,8 @@
     assert_starts_in_time(&mut site, job);
 }
 
-/// Guards against work that is stalled behind a gang that needs workers which services use: the plan keeps capacity for the gang as if the services ended
-/// soon, but they never do.
+/// Guards against work that is stalled behind a gang that needs workers which services use: the plan keeps capacity for the gang as if the
+/// services ended soon, but they never do.
 #[test]
 fn no_capacity_is_kept_for_a_gang_that_waits_for_services() {
     let mut site = Site::new(8, 4);
@@ -313,8 +314,8 @@
     assert_starts_in_time(&mut site, job);
 }
 
-/// Guards against a gang that the plan does not consider because small tasks before it found no capacity: these start one by one on cold workers, which
-/// have just started.
+/// Guards against a gang that the plan does not consider because small tasks before it found no capacity: these start one by one on cold
+/// workers, which have just started.
 #[test]
 fn tasks_that_start_one_by_one_on_cold_workers_leave_their_capacity_to_a_gang() {
     const COLD_MS: u64 = 10_000;
@@ -401,7 +402,8 @@
     }
 }
 
-/// Guards against a gang that never starts because stalled small tasks take the capacity kept for it: that capacity looks full, so they choose it first.
+/// Guards against a gang that never starts because stalled small tasks take the capacity kept for it: that capacity looks full, so they
+/// choose it first.
 #[test]
 fn stalled_work_takes_kept_capacity_only_if_there_is_no_other() {
     let mut site = Site::new(24, 4);
--- a/crates/bh-workload/tests/standing_tasks.rs
+++ b/crates/bh-workload/tests/standing_tasks.rs
@@ -257,8 +257,9 @@
     }]
 }
 
-/// Guards against a new leader that delays a gang because of attempts that are known to be lost. Two attempts of the gang were lost with workers that never
-/// return, and their leases have expired. Each new leader treated both as attempts that may have failed, and delayed the gang for another lease.
+/// Guards against a new leader that delays a gang because of attempts that are known to be lost. Two attempts of the gang were lost with
+/// workers that never return, and their leases have expired. Each new leader treated both as attempts that may have failed, and delayed the
+/// gang for another lease.
 #[test]
 fn attempts_with_expired_leases_do_not_delay_a_gang_under_a_new_leader() {
     let mut simulation = Simulation::new(12);
@@ -283,9 +284,9 @@
     assert!(waited_ms <= STALL_LIMIT_MS, "stalled for {waited_ms} ms");
 }
 
-/// Guards against losing or repeating the record of an expired lease. A member of a gang on a silent worker was given up before the worker's lease expired. If
-/// the expiry were not recorded, each new leader would delay the gang; if it were recorded at every turn, the log would grow. The silent worker gets no
-/// order for it.
+/// Guards against losing or repeating the record of an expired lease. A member of a gang on a silent worker was given up before the
+/// worker's lease expired. If the expiry were not recorded, each new leader would delay the gang; if it were recorded at every turn, the
+/// log would grow. The silent worker gets no order for it.
 #[rstest]
 #[case::unknown_outcome(RecordOutcome::Unknown, 0)]
 #[case::not_recorded(RecordOutcome::NotRecorded, 1)]
@@ -319,8 +320,9 @@
     assert_eq!(ends_of_lost_run(site), repeated);
 }
 
-/// Guards against a new leader that waits for the lease of a lost member though the gang is broken. The leader and one worker of the gang are lost together. The
-/// other members report to the next leader that the gang is broken, so the lost member has ended; but this leader does not know that the member had started.
+/// Guards against a new leader that waits for the lease of a lost member though the gang is broken. The leader and one worker of the gang
+/// are lost together. The other members report to the next leader that the gang is broken, so the lost member has ended; but this leader
+/// does not know that the member had started.
 #[test]
 fn a_gang_that_broke_at_a_change_of_leader_is_restarted() {
     let mut simulation = Simulation::new(12);
@@ -333,8 +335,8 @@
     assert!(waited_ms <= STALL_LIMIT_MS, "stalled for {waited_ms} ms");
 }
 
-/// Guards against a new leader that waits for the lease of a lost member after the previous leader has recorded the ends of the other members. The workers don't
-/// report these ends again, so no report tells the new leader that the gang is broken.
+/// Guards against a new leader that waits for the lease of a lost member after the previous leader has recorded the ends of the other
+/// members. The workers don't report these ends again, so no report tells the new leader that the gang is broken.
 #[test]
 fn a_gang_whose_other_members_have_ended_is_restarted_under_a_new_leader() {
     let mut simulation = Simulation::new(12);
@@ -349,8 +351,8 @@
     assert!(waited_ms <= STALL_LIMIT_MS, "stalled for {waited_ms} ms");
 }
 
-/// Guards against a run that is never given up because the cores that carry orders to its lost worker give no answer in time. The worker's lease expires all the
-/// same.
+/// Guards against a run that is never given up because the cores that carry orders to its lost worker give no answer in time. The worker's
+/// lease expires all the same.
 #[test]
 fn a_run_behind_lost_carriers_is_given_up_when_its_lease_expires() {
     let mut simulation = Simulation::new(4);
@@ -366,8 +368,8 @@
     );
 }
 
-/// Guards against a gang that is never restarted because the cores that carry orders to the worker of a lost member give no answer in time. The gang is broken, so
-/// nothing of its job runs.
+/// Guards against a gang that is never restarted because the cores that carry orders to the worker of a lost member give no answer in time.
+/// The gang is broken, so nothing of its job runs.
 #[test]
 fn a_gang_with_a_member_behind_lost_carriers_is_restarted() {
     let mut simulation = Simulation::new(12);
@@ -383,8 +385,8 @@
     );
 }
 
-/// Guards against waiting for the lease of a worker that falls silent between the plan and the record of a start. The start is never sent, so the task can start
-/// elsewhere at once.
+/// Guards against waiting for the lease of a worker that falls silent between the plan and the record of a start. The start is never sent,
+/// so the task can start elsewhere at once.
 #[test]
 fn a_start_that_was_never_sent_to_a_silent_worker_is_withdrawn() {
     let mut simulation = Simulation::new(4);
@@ -404,8 +406,8 @@
     assert!(waited_ms <= STALL_LIMIT_MS, "stalled for {waited_ms} ms");
 }
 
-/// Guards against holding a start for ever because a heartbeat is missing. The worker answers, but its heartbeats are lost, and it becomes unheard between the plan
-/// and the record of a start. The start is held until the next heartbeat, which may never arrive.
+/// Guards against holding a start for ever because a heartbeat is missing. The worker answers, but its heartbeats are lost, and it becomes
+/// unheard between the plan and the record of a start. The start is held until the next heartbeat, which may never arrive.
 #[test]
 fn a_start_that_waits_for_a_heartbeat_is_withdrawn() {
     let mut simulation = Simulation::new(4);
@@ -425,8 +427,8 @@
     assert!(waited_ms <= STALL_LIMIT_MS, "stalled for {waited_ms} ms");
 }
 
-/// Guards against waiting for the lease of a worker whose process ends between its last probe and a start. Nothing listens at its address, so the only send of the
-/// start cannot have arrived, and the task can start elsewhere at once.
+/// Guards against waiting for the lease of a worker whose process ends between its last probe and a start. Nothing listens at its address,
+/// so the only send of the start cannot have arrived, and the task can start elsewhere at once.
 #[test]
 fn a_start_that_found_nothing_listening_is_withdrawn() {
     let mut simulation = Simulation::new(4);
--- a/crates/bh-workload/tests/upkeep.rs
+++ b/crates/bh-workload/tests/upkeep.rs
@@ -156,8 +156,9 @@
     }
 }
 
-/// Guards against VMs that are serviced twice, too many VMs down at once, and a wave that ends while a VM is down. An operator orders upkeep of four VMs with
-/// `most` of them down at once. Each VM is emptied first; answers of the service are lost in one case, and the leader changes in the middle.
+/// Guards against VMs that are serviced twice, too many VMs down at once, and a wave that ends while a VM is down. An operator orders
+/// upkeep of four VMs with `most` of them down at once. Each VM is emptied first; answers of the service are lost in one case, and the
+/// leader changes in the middle.
 #[rstest]
 #[case::one_at_a_time(1, 8, false)]
 #[case::two_at_a_time(2, 8, false)]
@@ -235,8 +236,8 @@
     assert!(fleet.has_wave_ended());
 }
 
-/// Guards against stopping a service of which no task may be missing. The upkeep of its VM waits for as long as the task runs, even beyond the time that the
-/// operator has set: the callers of the service take precedence.
+/// Guards against stopping a service of which no task may be missing. The upkeep of its VM waits for as long as the task runs, even beyond
+/// the time that the operator has set: the callers of the service take precedence.
 #[test]
 fn a_service_of_which_no_task_may_be_missing_is_not_stopped() {
     let mut fleet = Fleet::new(1, 1);
--- a/crates/bh-workload/tests/waiting_gangs.rs
+++ b/crates/bh-workload/tests/waiting_gangs.rs
@@ -47,8 +47,8 @@
     waited_ms
 }
 
-/// Guards against a late gang that is stalled after a change of leader: the new leader keeps capacity for urgent work that has not arrived, and a gang that
-/// is already late may not use it.
+/// Guards against a late gang that is stalled after a change of leader: the new leader keeps capacity for urgent work that has not arrived,
+/// and a gang that is already late may not use it.
 #[test]
 fn a_late_gang_is_not_stalled_after_a_change_of_leader() {
     let mut site = site_with_a_few_accelerators_in_use();
@@ -60,7 +60,8 @@
     assert!(waited_ms <= STALL_LIMIT_MS, "stalled for {waited_ms} ms");
 }
 
-/// Guards against a gang with time to spare that is stalled after a change of leader: capacity for the gang twice over is enough for it and for urgent work.
+/// Guards against a gang with time to spare that is stalled after a change of leader: capacity for the gang twice over is enough for it and
+/// for urgent work.
 #[test]
 fn a_gang_with_time_to_spare_is_not_stalled_after_a_change_of_leader() {
     let mut site = site_with_a_few_accelerators_in_use();
@@ -87,8 +88,8 @@
     assert!(waited_ms <= STALL_LIMIT_MS, "stalled for {waited_ms} ms");
 }
 
-/// Guards against a gang that waits for a single rack that long runs never leave, while there is capacity for it twice over on several racks. It may be spread
-/// only during a short time, in which there may be no leader.
+/// Guards against a gang that waits for a single rack that long runs never leave, while there is capacity for it twice over on several
+/// racks. It may be spread only during a short time, in which there may be no leader.
 #[test]
 fn a_gang_is_not_stalled_for_a_rack() {
     let mut site = Site::new(48, 12);
