--- a/crates/bh-workload/tests/broken_gangs.rs
+++ b/crates/bh-workload/tests/broken_gangs.rs
@@ -73,7 +73,7 @@
         let answer = match own_answer {
             Some((_, NoAnswer)) => Answer::Lost,
             Some((run, ProbeAnswer::Ended(kind))) => end_answer(site, run, kind),
-            Some((_, Running)) | None => site.looked(&order.to.worker, &[]),
+            Some((_, Running)) | None => site.probe_answer(&order.to.worker, &[]),
         };
         let command = site
             .dispatcher
--- a/crates/bh-workload/tests/delays/stalls.rs
+++ b/crates/bh-workload/tests/delays/stalls.rs
@@ -3,9 +3,9 @@
 use super::history::Finding;
 use super::history::Rule;
 use super::site::Site;
-use crate::support::standing::Standing;
-use crate::support::standing::standing;
-use crate::support::true_worker::TrueWorker;
+use crate::support::live_worker::LiveWorker;
+use crate::support::stalled_steps::StalledStep;
+use crate::support::stalled_steps::stalled_steps;
 use bh_workload::job::JobId;
 use bh_workload::job::TaskId;
 use std::collections::BTreeMap;
@@ -67,7 +67,7 @@
             return;
         }
         self.stalls.checked_ms = now_ms;
-        let found = standing(&self.record, &self.true_workers());
+        let found = stalled_steps(&self.record, &self.live_workers());
         let jobs: BTreeSet<JobId> = found
             .iter()
             .map(|stalled_step| stalled_step.step.job)
@@ -84,7 +84,7 @@
         }
     }
 
-    fn record_stall(&mut self, stalled_step: &Standing) {
+    fn record_stall(&mut self, stalled_step: &StalledStep) {
         let (now_ms, job) = (self.now_ms, stalled_step.step.job);
         let stalls = &mut self.stalls;
         let since_ms = *stalls.since_ms.entry(job).or_insert(now_ms);
@@ -119,11 +119,11 @@
     }
 
     /// Returns the workers that are up and reachable, with the runs on them.
-    fn true_workers(&self) -> Vec<TrueWorker> {
+    fn live_workers(&self) -> Vec<LiveWorker> {
         let workers = 0..self.workers.len();
         let reachable = workers.filter(|index| !self.is_disconnected(*index));
         reachable
-            .map(|index| TrueWorker {
+            .map(|index| LiveWorker {
                 info: self.info(index),
                 runs: self.workers[index].runs.keys().copied().collect(),
             })
--- a/crates/bh-workload/tests/evacuation.rs
+++ b/crates/bh-workload/tests/evacuation.rs
@@ -172,7 +172,7 @@
                 }
                 ref other => panic!("{other} to {}", order.to.worker),
             }
-            let answer = site.looked(&order.to.worker, &[]);
+            let answer = site.probe_answer(&order.to.worker, &[]);
             site.dispatcher
                 .note_answer(site.now_ms, &order, &answer, &site.workload);
         }
@@ -210,7 +210,7 @@
             stopped |= matches!(order.body, OrderBody::Stop { .. });
             let has_run = executed || !site.is_far(&order.to.worker);
             let answer = if has_run {
-                site.looked(&order.to.worker, &[])
+                site.probe_answer(&order.to.worker, &[])
             } else {
                 Answer::Done {
                     clock_ms: Some(site.now_ms),
@@ -257,7 +257,7 @@
             let repeated = matches!(order.body, OrderBody::Start { .. });
             let is_probe = matches!(order.body, OrderBody::Probe { .. });
             assert!(is_probe || repeated && !site.is_far(&order.to.worker));
-            let answer = site.looked(&order.to.worker, &[]);
+            let answer = site.probe_answer(&order.to.worker, &[]);
             site.dispatcher
                 .note_answer(site.now_ms, &order, &answer, &site.workload);
         }
