--- a/crates/beechctl/src/commands/core_late.rs
+++ b/crates/beechctl/src/commands/core_late.rs
@@ -63,7 +63,7 @@
     let row = |cause: Cause| {
         let of_rank = |rank: &u64| counts.get(&(cause, *rank)).copied().unwrap_or(0);
         let cells = ranks.iter().map(|rank| of_rank(rank).to_string());
-        let mut row = vec![cause.words().to_owned()];
+        let mut row = vec![cause.label().to_owned()];
         row.extend(cells);
         row
     };
@@ -103,14 +103,14 @@
     let parts: Vec<String> = job
         .parts
         .iter()
-        .map(|(cause, ms)| format!("{} {ms}", cause.words()))
+        .map(|(cause, ms)| format!("{} {ms}", cause.label()))
         .collect();
     vec![
         job.job.clone(),
         job.priority.to_string(),
         job.took_ms.to_string(),
         job.objective_ms.to_string(),
-        job.cause.words().to_owned(),
+        job.cause.label().to_owned(),
         parts.join(", "),
     ]
 }
--- a/crates/beechctl/src/commands/report_fragmentation.rs
+++ b/crates/beechctl/src/commands/report_fragmentation.rs
@@ -7,7 +7,7 @@
 use crate::output::table;
 use bh_protocol::Failure;
 use bh_report::FragmentationReport;
-use bh_report::shape_words;
+use bh_report::describe_shape;
 use clap::ArgMatches;
 use clap::Command;
 
@@ -33,7 +33,7 @@
             .iter()
             .map(|row| {
                 vec![
-                    shape_words(&row.shape),
+                    describe_shape(&row.shape),
                     row.usable.to_string(),
                     format!("{:.2}", row.fragmentation),
                 ]
--- a/crates/bh-report/src/burn.rs
+++ b/crates/bh-report/src/burn.rs
@@ -1,4 +1,4 @@
-//! Burn of the error budget over several windows.
+//! Burn rate of the error budgets over several windows.
 
 use crate::counters::Counters;
 use serde::Deserialize;
@@ -6,70 +6,72 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Windows of the report, in minutes: five minutes, an hour, six hours, a day, three days, thirty days.
+/// Windows of the report in minutes: five minutes, an hour, six hours, a day, three days, thirty days.
 pub const WINDOWS_MINUTES: [u64; 6] = [5, 60, 360, 1_440, 4_320, 43_200];
-/// Fast burn: at this rate two percent of a month's budget goes in an hour. Both windows must show it.
-const FAST_BURN: f64 = 14.4;
-const FAST_WINDOWS: (u64, u64) = (60, 5);
-/// Slow burn: at this rate a tenth of a month's budget goes in three days. Both windows must show it.
-const SLOW_BURN: f64 = 1.0;
-const SLOW_WINDOWS: (u64, u64) = (4_320, 360);
+/// Rate of a fast burn: two percent of a month's budget in an hour. Both windows must reach it.
+const FAST_BURN_RATE: f64 = 14.4;
+/// Long and short window of a fast burn, in minutes.
+const FAST_WINDOWS_MINUTES: (u64, u64) = (60, 5);
+/// Rate of a slow burn: a tenth of a month's budget in three days. Both windows must reach it.
+const SLOW_BURN_RATE: f64 = 1.0;
+/// Long and short window of a slow burn, in minutes.
+const SLOW_WINDOWS_MINUTES: (u64, u64) = (4_320, 360);
 
-/// Objective of one request type.
+/// Service-level objective of one request type.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Objective {
-    /// Share that must succeed in time, in parts per million.
+    /// Share of the requests that must succeed in time, in parts per million.
     pub objective_ppm: u32,
-    /// Answer time within which a request counts as good, in milliseconds.
+    /// Longest response time of a good request, in milliseconds.
     pub objective_ms: u64,
 }
 
-/// Burn over one window.
+/// Burn rate over one window.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WindowBurn {
-    /// Length in minutes.
+    /// Length of the window in minutes.
     pub minutes: u64,
-    /// Good requests.
+    /// Number of good requests.
     pub good: u64,
-    /// Bad requests.
+    /// Number of bad requests.
     pub bad: u64,
-    /// Share of bad requests over the share the objective allows: 1 uses up exactly the budget of the window.
+    /// Share of bad requests divided by the share that the objective allows: 1 uses up exactly the budget of the window.
     pub burn: f64,
 }
 
-/// Burn of one customer and request type.
+/// Burn rates of one customer and request type.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BurnRow {
-    /// Customer.
+    /// Name of the customer.
     pub customer: Arc<str>,
-    /// Request type.
+    /// Name of the request type.
     pub request_type: Arc<str>,
-    /// Its objective.
+    /// Objective of the request type.
     pub objective: Objective,
-    /// One value for each of [`WINDOWS_MINUTES`].
+    /// Burn over each of [`WINDOWS_MINUTES`].
     pub windows: Vec<WindowBurn>,
-    /// Part of the thirty days' budget that is left, from 1 down; below 0 it is overdrawn.
+    /// Remaining part of the thirty-day budget: 1 when nothing is used, below 0 when it is overspent.
     pub budget_left: f64,
-    /// Whether the budget burns fast: wake someone.
+    /// Whether the budget burns fast, so that someone must be paged.
     pub fast_burn: bool,
-    /// Whether it burns slowly but steadily: write a ticket.
+    /// Whether the budget burns slowly but steadily, so that a ticket must be opened.
     pub slow_burn: bool,
 }
 
-/// The whole report.
+/// Burn of the error budgets of all customers and request types.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BurnReport {
-    /// When it was made, in milliseconds since 1970.
+    /// Time of the report, in milliseconds since 1970.
     pub at_wall_ms: u64,
-    /// Entries whose counters are in it.
+    /// Entries whose counters the report includes.
     pub entries: Vec<Arc<str>>,
-    /// Entries that did not answer: their requests are missing.
+    /// Entries that did not answer; their requests are missing from the report.
     pub silent: Vec<Arc<str>>,
-    /// One row for each customer and request type that has counted.
+    /// One row for each customer and request type with counted requests.
     pub rows: Vec<BurnRow>,
 }
 
-/// The report at `wall_ms`. Rows whose objective is no longer in the settings are left out.
+/// Builds the report at `wall_ms`. Leaves out request types whose objective is no longer in the settings.
 pub fn report(
     counters: &Counters,
     wall_ms: u64,
@@ -99,14 +101,14 @@
     request_type: &Arc<str>,
     objective: Objective,
 ) -> BurnRow {
-    let allowed = f64::from(1_000_000 - objective.objective_ppm.min(999_999)) / 1e6;
+    let allowed_share = f64::from(1_000_000 - objective.objective_ppm.min(999_999)) / 1e6;
     let windows: Vec<WindowBurn> = WINDOWS_MINUTES
         .iter()
         .map(|minutes| {
             let tally = counters.window(wall_ms, *minutes, customer, request_type);
             let total = tally.good + tally.bad;
-            // Counts are far below 2^52.
-            let share = if total == 0 {
+            // Counts are far below 2^52, so that `f64` holds them exactly.
+            let bad_share = if total == 0 {
                 0.0
             } else {
                 tally.bad as f64 / total as f64
@@ -115,25 +117,25 @@
                 minutes: *minutes,
                 good: tally.good,
                 bad: tally.bad,
-                burn: share / allowed,
+                burn: bad_share / allowed_share,
             }
         })
         .collect();
-    let burn_over = |minutes: u64| {
+    let burn_in = |minutes: u64| {
         windows
             .iter()
             .find(|window| window.minutes == minutes)
             .map_or(0.0, |window| window.burn)
     };
-    let both =
-        |(long, short): (u64, u64), rate: f64| burn_over(long) >= rate && burn_over(short) >= rate;
+    let both_reach =
+        |(long, short): (u64, u64), rate: f64| burn_in(long) >= rate && burn_in(short) >= rate;
     BurnRow {
         customer: customer.clone(),
         request_type: request_type.clone(),
         objective,
-        budget_left: 1.0 - burn_over(WINDOWS_MINUTES[WINDOWS_MINUTES.len() - 1]),
-        fast_burn: both(FAST_WINDOWS, FAST_BURN),
-        slow_burn: both(SLOW_WINDOWS, SLOW_BURN),
+        budget_left: 1.0 - burn_in(WINDOWS_MINUTES[WINDOWS_MINUTES.len() - 1]),
+        fast_burn: both_reach(FAST_WINDOWS_MINUTES, FAST_BURN_RATE),
+        slow_burn: both_reach(SLOW_WINDOWS_MINUTES, SLOW_BURN_RATE),
         windows,
     }
 }
--- a/crates/bh-report/src/counters.rs
+++ b/crates/bh-report/src/counters.rs
@@ -1,23 +1,23 @@
-//! Good and bad requests by minute, kept for a month in steps that grow coarser.
+//! Counts of good and bad requests over thirty days: by minute at first, by hour once they are older.
 
 use serde::Deserialize;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Minutes kept one by one: the longest window that alarms look at.
-const FINE_MINUTES: u64 = 6 * 60;
-/// Minutes of a coarse step.
-const COARSE_MINUTES: u64 = 60;
-/// Minutes kept in all: thirty days.
-const KEPT_MINUTES: u64 = 30 * 24 * 60;
+/// Age in minutes up to which requests are counted by minute: the length of the slow-burn alert's short window.
+const BY_MINUTE_MINUTES: u64 = 6 * 60;
+/// Length of an older bucket in minutes.
+const BUCKET_MINUTES: u64 = 60;
+/// Age in minutes after which counts are dropped: thirty days.
+const RETENTION_MINUTES: u64 = 30 * 24 * 60;
 
-/// Requests of one step.
+/// Number of good and bad requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// Answered well and in time.
+    /// Requests that succeeded within their objective.
     pub good: u64,
-    /// All the others that count against the objective.
+    /// All other requests that count towards the objective.
     pub bad: u64,
 }
 
@@ -28,27 +28,27 @@
     }
 }
 
-/// Steps of one customer and request type, by their first minute since 1970.
-type Steps = BTreeMap<u64, Tally>;
+/// Buckets of one customer and request type, by their first minute since 1970.
+type Buckets = BTreeMap<u64, Tally>;
 
-/// Counters of all customers and request types of one entry.
+/// Request counts of one entry, by customer and request type.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counters {
-    rows: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Steps>>,
+    rows: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Buckets>>,
 }
 
 impl Counters {
-    /// No requests yet.
+    /// Creates counters without any requests.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes one request that ended at `wall_ms`.
+    /// Counts one request that ended at `wall_ms`.
     pub fn note(&mut self, wall_ms: u64, customer: &Arc<str>, request_type: &Arc<str>, good: bool) {
         let minute = wall_ms / 60_000;
-        let types = self.rows.entry(customer.clone()).or_default();
-        let steps = types.entry(request_type.clone()).or_default();
-        let tally = steps.entry(minute).or_default();
+        let by_type = self.rows.entry(customer.clone()).or_default();
+        let buckets = by_type.entry(request_type.clone()).or_default();
+        let tally = buckets.entry(minute).or_default();
         if good {
             tally.good += 1;
         } else {
@@ -56,63 +56,70 @@
         }
     }
 
-    /// Makes old steps coarser and forgets the oldest.
+    /// Merges old buckets into hours and drops those older than thirty days.
     pub fn compact(&mut self, wall_ms: u64) {
         let now = wall_ms / 60_000;
-        for steps in self.rows.values_mut().flat_map(|types| types.values_mut()) {
-            let mut next = Steps::new();
-            for (minute, tally) in std::mem::take(steps) {
+        for buckets in self
+            .rows
+            .values_mut()
+            .flat_map(|by_type| by_type.values_mut())
+        {
+            let mut compacted = Buckets::new();
+            for (minute, tally) in std::mem::take(buckets) {
                 let age = now.saturating_sub(minute);
-                if age > KEPT_MINUTES {
+                if age > RETENTION_MINUTES {
                     continue;
                 }
-                let step = if age > FINE_MINUTES {
-                    minute - minute % COARSE_MINUTES
+                let bucket = if age > BY_MINUTE_MINUTES {
+                    minute - minute % BUCKET_MINUTES
                 } else {
                     minute
                 };
-                next.entry(step).or_default().add(tally);
+                compacted.entry(bucket).or_default().add(tally);
             }
-            *steps = next;
+            *buckets = compacted;
         }
     }
 
     /// Adds the counters of another entry.
     pub fn merge(&mut self, other: &Counters) {
-        for (customer, types) in &other.rows {
-            for (request_type, steps) in types {
-                let own = self
+        for (customer, by_type) in &other.rows {
+            for (request_type, buckets) in by_type {
+                let merged = self
                     .rows
                     .entry(customer.clone())
                     .or_default()
                     .entry(request_type.clone())
                     .or_default();
-                for (minute, tally) in steps {
-                    own.entry(*minute).or_default().add(*tally);
+                for (minute, tally) in buckets {
+                    merged.entry(*minute).or_default().add(*tally);
                 }
             }
         }
     }
 
-    /// Customers and request types that have counted.
+    /// Lists each customer and request type with counted requests.
     pub fn names(&self) -> impl Iterator<Item = (&Arc<str>, &Arc<str>)> {
-        self.rows.iter().flat_map(|(customer, types)| {
-            types
+        self.rows.iter().flat_map(|(customer, by_type)| {
+            by_type
                 .keys()
                 .map(move |request_type| (customer, request_type))
         })
     }
 
-    /// Requests of the `minutes` before `wall_ms`, the minute in progress included.
+    /// Counts the requests of the last `minutes` before `wall_ms`, including the current minute.
     pub fn window(&self, wall_ms: u64, minutes: u64, customer: &str, request_type: &str) -> Tally {
         let now = wall_ms / 60_000;
         let from = now.saturating_sub(minutes - 1);
         let mut sum = Tally::default();
-        let steps = self
+        let buckets = self
             .rows
             .get(customer)
-            .and_then(|types| types.get(request_type));
-        for (_, tally) in steps.into_iter().flat_map(|steps| steps.range(from..=now)) {
+            .and_then(|by_type| by_type.get(request_type));
+        for (_, tally) in buckets
+            .into_iter()
+            .flat_map(|buckets| buckets.range(from..=now))
+        {
             sum.add(*tally);
         }
         sum
--- a/crates/bh-report/src/fragmentation.rs
+++ b/crates/bh-report/src/fragmentation.rs
@@ -1,6 +1,6 @@
-//! Fragmentation of the accelerators, as reported and as a picture.
+//! Fragmentation of the accelerators: the report and its HTML page.
 
-use crate::picture::page;
+use crate::html::page;
 use bh_protocol::shape::Adjacency;
 use bh_protocol::shape::Shape;
 use serde::Deserialize;
@@ -11,35 +11,35 @@
 /// Fragmentation of one data centre.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FragmentationReport {
-    /// Data centre.
+    /// Name of the data centre.
     pub data_centre: Arc<str>,
-    /// Accelerators of all live workers.
+    /// Number of accelerators of all live workers.
     pub accelerators: u32,
-    /// Free ones among them.
+    /// Number of free accelerators.
     pub free: u32,
-    /// Guaranteed shapes.
+    /// Number of guaranteed shapes.
     pub guaranteed: usize,
-    /// Guaranteed shapes without hardware behind them.
+    /// Number of guaranteed shapes for which the data centre has no hardware.
     pub uncovered: usize,
-    /// One row for each shape that waits or is guaranteed.
+    /// One row for each shape that a waiting job needs or a guarantee names.
     pub shapes: Vec<ShapeFragmentation>,
 }
 
 /// Fragmentation for one shape.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ShapeFragmentation {
-    /// The shape.
+    /// Shape of the gang.
     pub shape: Shape,
-    /// Free accelerators that whole copies of it could take.
+    /// Number of free accelerators that whole gangs of this shape could use.
     pub usable: u32,
-    /// The share of free accelerators that cannot serve it, from 0 to 1.
+    /// Share of the free accelerators that cannot serve this shape, from 0 to 1.
     pub fragmentation: f64,
 }
 
 const BAR_WIDTH: f64 = 260.0;
 const BAR_HEIGHT: f64 = 16.0;
 
-/// The reports as a page: for each shape, the free accelerators that it can use and those that it cannot.
+/// Renders the reports as an HTML page that shows, for each shape, the free accelerators that it can and cannot use.
 pub fn fragmentation_to_html(reports: &[FragmentationReport]) -> String {
     let mut body = String::new();
     if reports.is_empty() {
@@ -53,14 +53,14 @@
 }
 
 fn write_report(body: &mut String, report: &FragmentationReport) {
-    let (class, word) = if report.uncovered > 0 {
+    let (class, label) = if report.uncovered > 0 {
         ("fast", "guarantees without hardware")
     } else {
         ("calm", "all guarantees covered")
     };
     let _ = write!(
         body,
-        "<section><h2>{} <span class=\"flag {class}\">{word}</span><span class=\"goal\">{} of {} accelerators free; {} guaranteed shapes, {} without hardware</span></h2>",
+        "<section><h2>{} <span class=\"flag {class}\">{label}</span><span class=\"goal\">{} of {} accelerators free; {} guaranteed shapes, {} without hardware</span></h2>",
         report.data_centre, report.free, report.accelerators, report.guaranteed, report.uncovered
     );
     body.push_str("<table><tr><th>shape</th><th></th><th class=\"n\">usable</th><th class=\"n\">fragmentation</th></tr>");
@@ -69,7 +69,7 @@
         let _ = write!(
             body,
             "<tr><td>{}</td><td><svg width=\"{BAR_WIDTH}\" height=\"{BAR_HEIGHT}\" role=\"img\" aria-label=\"fragmentation {:.2}\"><rect width=\"{BAR_WIDTH}\" height=\"{BAR_HEIGHT}\" rx=\"3\" fill=\"#c3cad3\"/><rect width=\"{width:.1}\" height=\"{BAR_HEIGHT}\" rx=\"3\" fill=\"#2f8f5f\"/></svg></td><td class=\"n\">{}</td><td class=\"n\">{:.2}</td></tr>",
-            shape_words(&row.shape),
+            describe_shape(&row.shape),
             row.fragmentation,
             row.usable,
             row.fragmentation
@@ -78,12 +78,15 @@
     body.push_str("</table></section>");
 }
 
-/// A shape in words, such as `4 x 2 in one rack`.
-pub fn shape_words(shape: &Shape) -> String {
-    let place = match shape.adjacent {
+/// Describes a shape, such as `4 x 2 in one rack`.
+pub fn describe_shape(shape: &Shape) -> String {
+    let adjacency = match shape.adjacent {
         Adjacency::Worker => "on one worker",
         Adjacency::Rack => "in one rack",
         Adjacency::DataCentre => "anywhere",
     };
-    format!("{} x {} {place}", shape.tasks, shape.accelerators_per_task)
+    format!(
+        "{} x {} {adjacency}",
+        shape.tasks, shape.accelerators_per_task
+    )
 }
--- a/crates/bh-report/src/picture.rs
+++ b/crates/bh-report/src/html.rs
@@ -1,4 +1,4 @@
-//! The report as one HTML page with drawings in SVG, which needs nothing else to be shown.
+//! Renders reports as self-contained HTML pages with inline SVG charts.
 
 use crate::burn::BurnReport;
 use crate::burn::BurnRow;
@@ -7,9 +7,10 @@
 
 const BAR_WIDTH: f64 = 220.0;
 const BAR_HEIGHT: f64 = 16.0;
-/// Burn at which a bar is full. The scale is logarithmic from a hundredth to this.
-const FULL_BURN: f64 = 100.0;
-const LEAST_BURN: f64 = 0.01;
+/// Burn rate at which a bar is full. The scale is logarithmic.
+const MAX_BAR_BURN: f64 = 100.0;
+/// Burn rate at which a bar is empty.
+const MIN_BAR_BURN: f64 = 0.01;
 
 const STYLE: &str = "body{font:15px/1.45 system-ui,sans-serif;margin:2rem auto;max-width:72rem;padding:0 1rem;color:#1c2430;background:#fff}
 h1{font-size:1.5rem;margin:0 0 .25rem}p.note{color:#5b6675;margin:.25rem 0 1.5rem}
@@ -21,7 +22,7 @@
 table{border-collapse:collapse}td,th{text-align:left;padding:.2rem 1.1rem .2rem 0;font-weight:400}td svg{display:block}
 th{color:#5b6675;font-size:.85rem}th.n,td.n{text-align:right;font-variant-numeric:tabular-nums}";
 
-/// The report as a page.
+/// Renders the burn report as an HTML page.
 pub fn to_html(report: &BurnReport) -> String {
     let mut body = String::new();
     if report.rows.is_empty() {
@@ -33,7 +34,7 @@
     page("Error-budget burn", &coverage(report), &body)
 }
 
-/// A whole page that needs nothing else to be shown.
+/// Wraps `body` into a whole page without references to other files. Escapes `note`, but not `title` and `body`.
 pub(crate) fn page(title: &str, note: &str, body: &str) -> String {
     let note = escape(note);
     format!(
@@ -41,6 +42,7 @@
     )
 }
 
+/// Says which entries the report covers, and how to read the bars.
 fn coverage(report: &BurnReport) -> String {
     let mut text = match report.entries.len() {
         1 => "Counters of one entry.".to_owned(),
@@ -58,7 +60,7 @@
 }
 
 fn write_row(page: &mut String, row: &BurnRow) {
-    let (class, word) = match (row.fast_burn, row.slow_burn) {
+    let (class, label) = match (row.fast_burn, row.slow_burn) {
         (true, _) => ("fast", "fast burn"),
         (false, true) => ("slow", "slow burn"),
         (false, false) => ("calm", "within budget"),
@@ -66,11 +68,11 @@
     let goal = f64::from(row.objective.objective_ppm) / 10_000.0;
     let _ = write!(
         page,
-        "<section><h2>{} / {} <span class=\"flag {class}\">{word}</span><span class=\"goal\">{goal}% within {} ms; {}</span></h2>",
+        "<section><h2>{} / {} <span class=\"flag {class}\">{label}</span><span class=\"goal\">{goal}% within {} ms; {}</span></h2>",
         escape(&row.customer),
         escape(&row.request_type),
         row.objective.objective_ms,
-        budget(row.budget_left)
+        budget_text(row.budget_left)
     );
     page.push_str("<table><tr><th>window</th><th></th><th class=\"n\">burn</th><th class=\"n\">good</th><th class=\"n\">bad</th></tr>");
     for window in &row.windows {
@@ -80,9 +82,10 @@
 }
 
 fn write_window(page: &mut String, window: &WindowBurn) {
-    let scale = (FULL_BURN / LEAST_BURN).ln();
-    let place =
-        |burn: f64| ((burn.clamp(LEAST_BURN, FULL_BURN) / LEAST_BURN).ln() / scale) * BAR_WIDTH;
+    let scale = (MAX_BAR_BURN / MIN_BAR_BURN).ln();
+    let bar_length = |burn: f64| {
+        ((burn.clamp(MIN_BAR_BURN, MAX_BAR_BURN) / MIN_BAR_BURN).ln() / scale) * BAR_WIDTH
+    };
     let color = if window.burn >= 14.4 {
         "#b3261e"
     } else if window.burn >= 1.0 {
@@ -93,19 +96,19 @@
     let _ = write!(
         page,
         "<tr><td>{}</td><td><svg width=\"{BAR_WIDTH}\" height=\"{BAR_HEIGHT}\" role=\"img\" aria-label=\"burn {:.2}\"><rect width=\"{BAR_WIDTH}\" height=\"{BAR_HEIGHT}\" rx=\"3\" fill=\"#edf0f4\"/><rect width=\"{:.1}\" height=\"{BAR_HEIGHT}\" rx=\"3\" fill=\"{color}\"/><line x1=\"{:.1}\" x2=\"{:.1}\" y1=\"0\" y2=\"{BAR_HEIGHT}\" stroke=\"#1c2430\"/></svg></td><td class=\"n\">{:.2}</td><td class=\"n\">{}</td><td class=\"n\">{}</td></tr>",
-        words(window.minutes),
+        window_text(window.minutes),
         window.burn,
-        place(window.burn),
-        place(1.0),
-        place(1.0),
+        bar_length(window.burn),
+        bar_length(1.0),
+        bar_length(1.0),
         window.burn,
         window.good,
         window.bad
     );
 }
 
-/// What is left of the thirty days' budget, in words.
-fn budget(left: f64) -> String {
+/// Describes the remaining part of the thirty-day budget.
+fn budget_text(left: f64) -> String {
     if left >= 0.0 {
         format!("{:.1}% of the thirty-day budget left", left * 100.0)
     } else {
@@ -113,8 +116,8 @@
     }
 }
 
-/// A window's length in words.
-fn words(minutes: u64) -> String {
+/// Formats the length of a window.
+fn window_text(minutes: u64) -> String {
     match minutes {
         m if m < 60 => format!("{m} min"),
         m if m < 1_440 => format!("{} h", m / 60),
@@ -122,6 +125,7 @@
     }
 }
 
+/// Escapes the characters that have a meaning in HTML.
 fn escape(text: &str) -> String {
     text.replace('&', "&amp;")
         .replace('<', "&lt;")
--- a/crates/bh-report/src/late/cause.rs
+++ b/crates/bh-report/src/late/cause.rs
@@ -3,40 +3,40 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Where time of a job went beside the work that counted.
+/// What a job spent its time on: waiting, attempts without a result, or the work itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// The call that handed it in waited for an answer.
+    /// The call that submitted the job waited for its response.
     HandedInLate,
-    /// It waited while cores elected a leader.
+    /// The job waited while the cores elected a leader.
     NoLeader,
-    /// Room was being made for it, on workers that gave none in time.
+    /// Capacity was reserved for the job on workers that did not free it in time.
     RoomMadeInVain,
-    /// Room was being made for it.
+    /// Capacity was reserved for the job and was being freed by stopping other runs.
     RoomMade,
-    /// It waited for room.
+    /// The job waited for free capacity.
     WaitedForRoom,
-    /// A try was stopped so that others had room.
+    /// An attempt was preempted by guaranteed work.
     Displaced,
-    /// A try ended with a worker that was lost, or with its lease.
+    /// An attempt ended because its worker was lost or its lease expired.
     WorkerLost,
-    /// A try was stopped because its worker left before it could end.
+    /// An attempt was stopped because its worker would leave before the attempt could end.
     WorkerLeft,
-    /// A try was begun anew, because it stood still or was slow.
+    /// An attempt was restarted on other workers because it made no progress or was slow.
     BegunAnew,
-    /// A try failed, by its own fault or the worker's.
+    /// An attempt failed, through its own fault or its worker's.
     Failed,
-    /// Members of a try never came together, or its orders were not carried out.
+    /// An attempt never started: members of the gang were missing, or a start order was not carried out.
     NotStarted,
-    /// A try was stopped for another reason.
+    /// An attempt was stopped for another reason.
     Stopped,
-    /// The try that counted took long.
+    /// The attempt that completed the work took long.
     RanLong,
 }
 
 impl Cause {
-    /// All causes, in the order in which they are told.
+    /// All causes, in the order in which reports list them.
     pub const ALL: [Cause; 13] = [
         Cause::HandedInLate,
         Cause::NoLeader,
@@ -53,8 +53,8 @@
         Cause::RanLong,
     ];
 
-    /// The cause in a few words.
-    pub fn words(self) -> &'static str {
+    /// Short description of the cause, as reports print it.
+    pub fn label(self) -> &'static str {
         match self {
             Cause::HandedInLate => "its hand-in waited for an answer",
             Cause::NoLeader => "no core led",
--- a/crates/bh-report/src/late/job_log.rs
+++ b/crates/bh-report/src/late/job_log.rs
@@ -1,48 +1,48 @@
-//! What the lines about one job say.
+//! Collects the log lines about one job.
 
 use super::Cause;
 use super::LogLine;
 use std::collections::BTreeMap;
 
-/// One try of a step: all runs of one number.
+/// One attempt at a step: all of the step's runs with the same attempt number.
 #[derive(Clone, Debug, Default)]
-struct Try {
+struct Attempt {
     planned_ms: u64,
-    over_ms: u64,
-    /// Why it ended; `None` when it counted, or has not ended.
-    lost_by: Option<Cause>,
+    ended_ms: u64,
+    /// Why the attempt ended without a result; `None` when it completed or has not ended.
+    end_cause: Option<Cause>,
 }
 
-/// The lines about one job, put together.
+/// The history of one job, put together from its log lines.
 #[derive(Clone, Debug, Default)]
 pub(super) struct JobLog {
-    /// How long its first call waited, in milliseconds.
-    handed_in_ms: u64,
-    /// Tries by step and number.
-    tries: BTreeMap<(String, u32), Try>,
-    /// When room began to be made for it, in milliseconds since 1970, and when that was given up.
-    claims: Vec<(u64, Option<u64>)>,
-    /// Its end, as the leader told it.
-    pub over: Option<JobOver>,
+    /// Longest time that a call submitting the job waited for its response, in milliseconds.
+    submit_wait_ms: u64,
+    /// Attempts by step and attempt number.
+    attempts: BTreeMap<(String, u32), Attempt>,
+    /// Reservations: when each was made and, if it was released before the job could use it, when; both in milliseconds since 1970.
+    reservations: Vec<(u64, Option<u64>)>,
+    /// End of the job, as the leader logged it.
+    pub end: Option<JobEnd>,
 }
 
-/// The end of a job.
+/// End of a job, read from its `job over` line.
 #[derive(Clone, Debug)]
-pub(super) struct JobOver {
+pub(super) struct JobEnd {
     pub at_ms: u64,
     pub queue: String,
     pub priority: u64,
     pub took_ms: u64,
     pub objective_ms: u64,
-    /// Part of the objective that grows with the work, as a multiple of it.
+    /// Multiple of the run time that the objective allows on top of its fixed part.
     slack_factor: f64,
-    /// Fixed part of the objective in milliseconds.
+    /// Fixed part of the objective, in milliseconds.
     target_ms: u64,
 }
 
-impl JobOver {
-    /// Time within which the job was on time, in milliseconds, given that the tries that counted took `work_ms`. The leader expects it by the usual time
-    /// of the job's kind; a job that simply is longer has more time.
+impl JobEnd {
+    /// Returns the time in milliseconds within which the job should have ended, given that its completed attempts took `work_ms`. The leader logs an
+    /// objective that follows from the usual run time of such jobs; a job with more work has more time.
     pub fn objective_ms(&self, work_ms: u64) -> u64 {
         #[expect(
             clippy::cast_precision_loss,
@@ -50,71 +50,72 @@
             clippy::cast_sign_loss,
             reason = "times here are far below 2^53 ms"
         )]
-        let grown_ms = (work_ms as f64 * self.slack_factor) as u64;
-        self.objective_ms.max(grown_ms + self.target_ms)
+        let scaled_work_ms = (work_ms as f64 * self.slack_factor) as u64;
+        self.objective_ms.max(scaled_work_ms + self.target_ms)
     }
 }
 
-/// The step and the number of a run's name, `JOB.OCCURRENCE.STEP.INDEX#NUMBER`.
-fn step_and_number(run: &str) -> Option<(String, u32)> {
+/// Splits a run's name, `JOB.OCCURRENCE.STEP.INDEX#ATTEMPT`, into its step and its attempt number.
+fn step_and_attempt(run: &str) -> Option<(String, u32)> {
     let (task, number) = run.split_once('#')?;
     let (step, _) = task.rsplit_once('.')?;
     Some((step.to_owned(), number.parse().ok()?))
 }
 
 impl JobLog {
-    /// Takes a line about the job.
-    pub fn note(&mut self, line: &LogLine) {
+    /// Adds a line about the job.
+    pub fn add_line(&mut self, line: &LogLine) {
         match &*line.message {
             "job handed in" => {
-                self.handed_in_ms = self
-                    .handed_in_ms
+                self.submit_wait_ms = self
+                    .submit_wait_ms
                     .max(line.number("took_ms").unwrap_or_default());
             }
             "run planned" => {
-                if let Some(planned) = self.of_run(line) {
-                    planned.planned_ms = line.at_ms;
+                if let Some(attempt) = self.attempt_of(line) {
+                    attempt.planned_ms = line.at_ms;
                 }
             }
-            "run over" => self.note_end(line),
-            "run lost with its worker" => self.lose(line, Cause::WorkerLost),
-            "stopped to make room for guaranteed work" => self.lose(line, Cause::Displaced),
+            "run over" => self.end_run(line),
+            "run lost with its worker" => self.fail_attempt(line, Cause::WorkerLost),
+            "stopped to make room for guaranteed work" => self.fail_attempt(line, Cause::Displaced),
             "stopped since its worker leaves before it can end" => {
-                self.lose(line, Cause::WorkerLeft);
+                self.fail_attempt(line, Cause::WorkerLeft);
             }
-            "run begun anew elsewhere" => self.lose(line, Cause::BegunAnew),
-            "room is made" => self.claims.push((line.at_ms, None)),
+            "run begun anew elsewhere" => self.fail_attempt(line, Cause::BegunAnew),
+            "room is made" => self.reservations.push((line.at_ms, None)),
             "room is no longer made" => {
-                let open = self.claims.last_mut();
-                if let Some((_, given_up_ms)) = open
+                let latest = self.reservations.last_mut();
+                if let Some((_, released_ms)) = latest
                     && line.fields.get("why") != Some(&"NotWaiting")
                 {
-                    *given_up_ms = Some(line.at_ms);
+                    *released_ms = Some(line.at_ms);
                 }
             }
-            "job over" => self.over = over(line),
+            "job over" => self.end = job_end(line),
             _ => {}
         }
     }
 
-    fn of_run(&mut self, line: &LogLine) -> Option<&mut Try> {
-        let key = step_and_number(line.fields.get("run")?)?;
-        Some(self.tries.entry(key).or_default())
+    /// The attempt that the line's `run` field belongs to.
+    fn attempt_of(&mut self, line: &LogLine) -> Option<&mut Attempt> {
+        let key = step_and_attempt(line.fields.get("run")?)?;
+        Some(self.attempts.entry(key).or_default())
     }
 
-    /// The first cause that is told of a try is the one that ended it: its other members end for that.
-    fn lose(&mut self, line: &LogLine, cause: Cause) {
-        if let Some(lost) = self.of_run(line) {
-            lost.lost_by.get_or_insert(cause);
-            lost.over_ms = lost.over_ms.max(line.at_ms);
+    /// Ends an attempt without a result. The first cause that is logged counts: the other members of a gang end as its consequence.
+    fn fail_attempt(&mut self, line: &LogLine, cause: Cause) {
+        if let Some(attempt) = self.attempt_of(line) {
+            attempt.end_cause.get_or_insert(cause);
+            attempt.ended_ms = attempt.ended_ms.max(line.at_ms);
         }
     }
 
-    fn note_end(&mut self, line: &LogLine) {
+    fn end_run(&mut self, line: &LogLine) {
         let cause = match line.fields.get("end").copied() {
             Some("Done") => {
-                if let Some(done) = self.of_run(line) {
-                    done.over_ms = line.at_ms;
+                if let Some(attempt) = self.attempt_of(line) {
+                    attempt.ended_ms = line.at_ms;
                 }
                 return;
             }
@@ -123,69 +124,77 @@
             Some("NotStarted" | "Alone") => Cause::NotStarted,
             _ => Cause::Stopped,
         };
-        self.lose(line, cause);
+        self.fail_attempt(line, cause);
     }
 
-    /// Where the time of the job went, in milliseconds by cause. `elections` are the times at which a core came to lead, and since when none had.
-    pub fn parts(&self, over: &JobOver, elections: &[(u64, u64)]) -> BTreeMap<Cause, u64> {
+    /// Returns the milliseconds that the job spent on each cause. `elections` holds, for each election, since when no core led and when one began to.
+    pub fn time_by_cause(&self, end: &JobEnd, elections: &[(u64, u64)]) -> BTreeMap<Cause, u64> {
         let mut parts: BTreeMap<Cause, u64> = BTreeMap::new();
         let mut add = |cause, ms: u64| {
             if ms > 0 {
                 *parts.entry(cause).or_default() += ms;
             }
         };
-        add(Cause::HandedInLate, self.handed_in_ms);
-        let accepted_ms = over.at_ms.saturating_sub(over.took_ms);
-        let mut tries: Vec<&Try> = self.tries.values().filter(|t| t.planned_ms > 0).collect();
-        tries.sort_by_key(|t| t.planned_ms);
-        let mut free_ms = accepted_ms;
-        for one in tries {
-            self.add_wait((free_ms, one.planned_ms), elections, &mut add);
-            let over_ms = if one.over_ms > 0 {
-                one.over_ms
+        add(Cause::HandedInLate, self.submit_wait_ms);
+        let accepted_ms = end.at_ms.saturating_sub(end.took_ms);
+        let mut attempts: Vec<&Attempt> = self
+            .attempts
+            .values()
+            .filter(|attempt| attempt.planned_ms > 0)
+            .collect();
+        attempts.sort_by_key(|attempt| attempt.planned_ms);
+        let mut idle_since_ms = accepted_ms;
+        for attempt in attempts {
+            self.add_waiting_time((idle_since_ms, attempt.planned_ms), elections, &mut add);
+            let ended_ms = if attempt.ended_ms > 0 {
+                attempt.ended_ms
             } else {
-                over.at_ms
+                end.at_ms
             };
-            let from_ms = one.planned_ms.max(free_ms);
-            let ran_ms = over_ms.saturating_sub(from_ms);
-            add(one.lost_by.unwrap_or(Cause::RanLong), ran_ms);
-            free_ms = free_ms.max(over_ms);
+            let from_ms = attempt.planned_ms.max(idle_since_ms);
+            let ran_ms = ended_ms.saturating_sub(from_ms);
+            add(attempt.end_cause.unwrap_or(Cause::RanLong), ran_ms);
+            idle_since_ms = idle_since_ms.max(ended_ms);
         }
-        self.add_wait((free_ms, over.at_ms), elections, &mut add);
+        self.add_waiting_time((idle_since_ms, end.at_ms), elections, &mut add);
         parts
     }
 
-    /// Shares the time from `from_ms` to `to_ms` out, in which nothing ran.
-    fn add_wait(
+    /// Divides a time in which nothing ran, from `from_ms` to `to_ms`, among the causes. Elections come first, then reservations, then the rest.
+    fn add_waiting_time(
         &self,
         (from_ms, to_ms): (u64, u64),
         elections: &[(u64, u64)],
         add: &mut impl FnMut(Cause, u64),
     ) {
-        let within =
+        let overlap_ms =
             |begin_ms: u64, end_ms: u64| end_ms.min(to_ms).saturating_sub(begin_ms.max(from_ms));
-        let mut left_ms = to_ms.saturating_sub(from_ms);
+        let mut remaining_ms = to_ms.saturating_sub(from_ms);
         let mut take = |cause, ms: u64| {
-            let ms = ms.min(left_ms);
-            left_ms -= ms;
+            let ms = ms.min(remaining_ms);
+            remaining_ms -= ms;
             add(cause, ms);
         };
         for (since_ms, leads_ms) in elections {
-            take(Cause::NoLeader, within(*since_ms, *leads_ms));
+            take(Cause::NoLeader, overlap_ms(*since_ms, *leads_ms));
         }
-        for (claimed_ms, given_up_ms) in &self.claims {
-            let cause = match given_up_ms {
+        for (reserved_ms, released_ms) in &self.reservations {
+            let cause = match released_ms {
                 Some(_) => Cause::RoomMadeInVain,
                 None => Cause::RoomMade,
             };
-            take(cause, within(*claimed_ms, given_up_ms.unwrap_or(to_ms)));
+            take(
+                cause,
+                overlap_ms(*reserved_ms, released_ms.unwrap_or(to_ms)),
+            );
         }
         take(Cause::WaitedForRoom, u64::MAX);
     }
 }
 
-fn over(line: &LogLine) -> Option<JobOver> {
-    Some(JobOver {
+/// Reads the end of a job from its `job over` line.
+fn job_end(line: &LogLine) -> Option<JobEnd> {
+    Some(JobEnd {
         at_ms: line.at_ms,
         queue: (*line.fields.get("queue")?).to_owned(),
         priority: line.number("priority")?,
--- a/crates/bh-report/src/late/late_report.rs
+++ b/crates/bh-report/src/late/late_report.rs
@@ -1,48 +1,48 @@
-//! The jobs that were late, with the cause of each.
+//! Finds the late jobs in logs, with the cause of each.
 
 use super::Cause;
 use super::LogLine;
+use super::job_log::JobEnd;
 use super::job_log::JobLog;
-use super::job_log::JobOver;
 use serde::Deserialize;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Time between a core's last sign as the leader and the next one's, where the logs do not tell when the first was lost, in milliseconds.
+/// Shortest time without a leader that is assumed for an election, in milliseconds: the logs do not always tell when the last leader was lost.
 const USUAL_ELECTION_MS: u64 = 1_000;
-/// Characters of a job's name.
+/// Number of characters in a job's name.
 const NAME_LENGTH: usize = 16;
 
-/// One job that was late.
+/// One late job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LateJob {
-    /// Its name.
+    /// Name of the job.
     pub job: String,
-    /// Its queue.
+    /// Queue of the job.
     pub queue: String,
-    /// Rank of the queue.
+    /// Priority of the queue.
     pub priority: u64,
-    /// Time from its acceptance to its end, in milliseconds.
+    /// Time from the job's acceptance to its end, in milliseconds.
     pub took_ms: u64,
-    /// Time within which it was on time, in milliseconds.
+    /// Time within which the job should have ended, in milliseconds.
     pub objective_ms: u64,
-    /// What took most of its time beside the work, or the work itself where nothing else took as much as it was late.
+    /// Cause that took the most time beside the work itself. It is the work (`RanLong`) if no other cause explains at least half of the delay.
     pub cause: Cause,
-    /// Where its time went, in milliseconds.
+    /// Time that the job spent on each cause, in milliseconds.
     pub parts: BTreeMap<Cause, u64>,
 }
 
-/// The jobs that were late.
+/// The late jobs, and how many jobs ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LateReport {
-    /// Jobs with an objective that ended, by rank of their queue.
+    /// Number of ended jobs with an objective, by priority of their queue.
     pub ended: BTreeMap<u64, u64>,
-    /// Those that took more than so many times their objective.
+    /// Jobs that took more than the given multiple of their objective.
     pub late: Vec<LateJob>,
 }
 
 impl LateReport {
-    /// Number of late jobs, by cause and rank of their queue.
+    /// Counts the late jobs by cause and priority of their queue.
     pub fn counts(&self) -> BTreeMap<(Cause, u64), u64> {
         let mut counts = BTreeMap::new();
         for job in &self.late {
@@ -52,8 +52,8 @@
     }
 }
 
-/// Reads log lines of entries and cores, in any order, and tells the jobs that took more than `times` times their objective.
-pub fn late_report<'a>(lines: impl Iterator<Item = &'a str>, times: u64) -> LateReport {
+/// Reads log lines of entries and cores, in any order, and reports the jobs that took more than `factor` times their objective.
+pub fn late_report<'a>(lines: impl Iterator<Item = &'a str>, factor: u64) -> LateReport {
     let mut parsed: Vec<LogLine> = lines.filter_map(LogLine::parse).collect();
     parsed.sort_by_key(|line| line.at_ms);
     let mut jobs: BTreeMap<&str, JobLog> = BTreeMap::new();
@@ -64,51 +64,51 @@
             let since_ms = line.at_ms - gap_ms.max(USUAL_ELECTION_MS).min(line.at_ms);
             elections.push((since_ms, line.at_ms));
         }
-        if let Some(job) = job_of(line) {
-            jobs.entry(job).or_default().note(line);
+        if let Some(job) = job_name(line) {
+            jobs.entry(job).or_default().add_line(line);
         }
     }
     let mut report = LateReport::default();
     for (name, log) in jobs {
-        let Some(over) = log.over.as_ref().filter(|over| over.objective_ms > 0) else {
+        let Some(end) = log.end.as_ref().filter(|end| end.objective_ms > 0) else {
             continue;
         };
-        *report.ended.entry(over.priority).or_default() += 1;
-        let parts = log.parts(over, &elections);
+        *report.ended.entry(end.priority).or_default() += 1;
+        let parts = log.time_by_cause(end, &elections);
         let work_ms = parts.get(&Cause::RanLong).copied().unwrap_or(0);
-        let objective_ms = over.objective_ms(work_ms);
-        if over.took_ms > objective_ms * times {
-            report.late.push(late_job(name, over, objective_ms, parts));
+        let objective_ms = end.objective_ms(work_ms);
+        if end.took_ms > objective_ms * factor {
+            report.late.push(late_job(name, end, objective_ms, parts));
         }
     }
     report
 }
 
-fn late_job(name: &str, over: &JobOver, objective_ms: u64, parts: BTreeMap<Cause, u64>) -> LateJob {
-    let beside = parts
+fn late_job(name: &str, end: &JobEnd, objective_ms: u64, parts: BTreeMap<Cause, u64>) -> LateJob {
+    let largest_delay = parts
         .iter()
         .filter(|(cause, _)| **cause != Cause::RanLong)
         .max_by_key(|(_, ms)| **ms);
-    let late_ms = over.took_ms.saturating_sub(objective_ms);
-    let largest = beside.filter(|(_, ms)| **ms * 2 >= late_ms);
+    let late_ms = end.took_ms.saturating_sub(objective_ms);
+    let explaining = largest_delay.filter(|(_, ms)| **ms * 2 >= late_ms);
     LateJob {
         job: name.to_owned(),
-        queue: over.queue.clone(),
-        priority: over.priority,
-        took_ms: over.took_ms,
+        queue: end.queue.clone(),
+        priority: end.priority,
+        took_ms: end.took_ms,
         objective_ms,
-        cause: largest.map_or(Cause::RanLong, |(cause, _)| *cause),
+        cause: explaining.map_or(Cause::RanLong, |(cause, _)| *cause),
         parts,
     }
 }
 
-/// The job that a line is about.
-fn job_of<'a>(line: &LogLine<'a>) -> Option<&'a str> {
-    let named = ["job", "run", "step"]
+/// Returns the name of the job that a line is about.
+fn job_name<'a>(line: &LogLine<'a>) -> Option<&'a str> {
+    let name_field = ["job", "run", "step"]
         .iter()
         .find_map(|key| line.fields.get(key));
     let path = || line.fields.get("path")?.rsplit('/').next();
-    let name = match named {
+    let name = match name_field {
         Some(name) => name.get(..NAME_LENGTH)?,
         None => path()?,
     };
--- a/crates/bh-report/src/late/log_line.rs
+++ b/crates/bh-report/src/late/log_line.rs
@@ -1,27 +1,27 @@
-//! One line of a log.
+//! Parses one line of a log.
 
 use std::collections::BTreeMap;
 
-/// Ending of the part that names the place in the code, which stands before the message.
-const PLACE: &str = ".rs:";
+/// Text that marks the word with the source file and line, such as `records.rs:68`, which comes before the message.
+const SOURCE_FILE: &str = ".rs:";
 
-/// A line as text: when it was written, what it says, and its fields.
+/// A log line: its time, message and fields.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogLine<'a> {
-    /// Milliseconds since 1970.
+    /// Time of the line, in milliseconds since 1970.
     pub at_ms: u64,
-    /// The message.
+    /// Text of the message.
     pub message: String,
-    /// Values by key. A value with spaces ends at the first of them.
+    /// Values of the fields by key. A value that contains spaces is cut at the first one.
     pub fields: BTreeMap<&'a str, &'a str>,
 }
 
 impl<'a> LogLine<'a> {
-    /// Reads a line; `None` for what is none. Whatever stands before the time is left out, as a collector may have put it there.
+    /// Parses a line; returns `None` for text that is not a log line. Skips everything before the time, which a log collector may have added.
     pub fn parse(line: &'a str) -> Option<Self> {
         let mut words = line.split_whitespace();
         let at_ms = words.by_ref().find_map(parse_time_ms)?;
-        words.by_ref().find(|word| word.contains(PLACE))?;
+        words.by_ref().find(|word| word.contains(SOURCE_FILE))?;
         let mut message = Vec::new();
         let mut fields = BTreeMap::new();
         for word in words {
@@ -40,13 +40,13 @@
         })
     }
 
-    /// A field that is a number.
+    /// Returns the value of a numeric field.
     pub fn number(&self, key: &str) -> Option<u64> {
         self.fields.get(key)?.parse().ok()
     }
 }
 
-/// Milliseconds since 1970 of a time like `2026-05-11T02:02:39.036421+00:00`, in UTC.
+/// Parses a UTC time such as `2026-05-11T02:02:39.036421+00:00` into milliseconds since 1970.
 fn parse_time_ms(word: &str) -> Option<u64> {
     const MS_PER_DAY: u64 = 86_400_000;
     let (date, time) = word.split_once('T')?;
@@ -59,21 +59,21 @@
     let (second, fraction) = time.next()?.split_once('.')?;
     let second: u64 = second.parse().ok()?;
     let ms: u64 = fraction.get(..3)?.parse().ok()?;
-    let of_day_ms = ((hour * 60 + minute) * 60 + second) * 1_000 + ms;
-    Some(days_since_1970(year, month, day)? * MS_PER_DAY + of_day_ms)
+    let time_of_day_ms = ((hour * 60 + minute) * 60 + second) * 1_000 + ms;
+    Some(days_since_1970(year, month, day)? * MS_PER_DAY + time_of_day_ms)
 }
 
-/// Days from 1970-01-01 to a date of the Gregorian calendar, counted in years that begin in March: then the leap day is the last one.
+/// Returns the days from 1970-01-01 to a date of the Gregorian calendar. Counts in years that begin in March, so that a leap day is the last of its year.
 fn days_since_1970(year: u64, month: u64, day: u64) -> Option<u64> {
     /// Days from the first of March of the year 0 to 1970-01-01.
-    const TO_1970: u64 = 719_468;
+    const DAYS_TO_1970: u64 = 719_468;
     let year = if month <= 2 {
         year.checked_sub(1)?
     } else {
         year
     };
     let month_from_march = (month + 9) % 12;
-    let of_year = (153 * month_from_march + 2) / 5 + day.checked_sub(1)?;
-    let days = year * 365 + year / 4 - year / 100 + year / 400 + of_year;
-    days.checked_sub(TO_1970)
+    let day_of_year = (153 * month_from_march + 2) / 5 + day.checked_sub(1)?;
+    let days = year * 365 + year / 4 - year / 100 + year / 400 + day_of_year;
+    days.checked_sub(DAYS_TO_1970)
 }
--- a/crates/bh-report/src/late/mod.rs
+++ b/crates/bh-report/src/late/mod.rs
@@ -1,4 +1,4 @@
-//! Which jobs were late, and where their time went, as the logs of entries and cores tell it.
+//! Reports which jobs were late and what they spent their time on, from the logs of entries and cores.
 
 mod cause;
 mod job_log;
--- a/crates/bh-report/src/lib.rs
+++ b/crates/bh-report/src/lib.rs
@@ -1,11 +1,11 @@
-//! The service-level report: durable counters, error-budget burn over several windows, a picture of it, and why jobs
-//! were late.
+//! Service-level reports: request counters, error-budget burn over several windows, fragmentation of the accelerators,
+//! their HTML pages, and the causes of late jobs.
 
 mod burn;
 mod counters;
 mod fragmentation;
+mod html;
 pub mod late;
-mod picture;
 
 pub use burn::BurnReport;
 pub use burn::BurnRow;
@@ -17,6 +17,6 @@
 pub use counters::Tally;
 pub use fragmentation::FragmentationReport;
 pub use fragmentation::ShapeFragmentation;
+pub use fragmentation::describe_shape;
 pub use fragmentation::fragmentation_to_html;
-pub use fragmentation::shape_words;
-pub use picture::to_html;
+pub use html::to_html;
--- a/crates/bh-report/tests/burn.rs
+++ b/crates/bh-report/tests/burn.rs
@@ -1,4 +1,4 @@
-//! Burn of the error budget: windows, flags, merging, compaction, and the page.
+//! Error-budget burn: windows, flags, merging and compaction of counters, and the HTML pages.
 
 use bh_report::BurnReport;
 use bh_report::Counters;
@@ -23,21 +23,27 @@
         .collect()
 }
 
-/// `bad` of every thousand requests fail in each of the last `minutes`.
-fn fill(counters: &mut Counters, customer: &str, minutes: u64, bad: u64) {
-    let (customer, kind): (Arc<str>, Arc<str>) = (Arc::from(customer), Arc::from("receipt"));
+/// Counts a thousand requests in each of the last `minutes`, of which `bad` failed.
+fn add_requests(counters: &mut Counters, customer: &str, minutes: u64, bad: u64) {
+    let (customer, request_type): (Arc<str>, Arc<str>) =
+        (Arc::from(customer), Arc::from("receipt"));
     for minute in 0..minutes {
         for number in 0..1_000 {
-            counters.note(NOW_MS - minute * MINUTE_MS, &customer, &kind, number >= bad);
+            counters.note(
+                NOW_MS - minute * MINUTE_MS,
+                &customer,
+                &request_type,
+                number >= bad,
+            );
         }
     }
 }
 
-fn sample() -> BurnReport {
+fn sample_report() -> BurnReport {
     let mut counters = Counters::new();
-    fill(&mut counters, "grocers", 60, 20);
-    fill(&mut counters, "bakeries", 400, 2);
-    fill(&mut counters, "kiosks", 60, 0);
+    add_requests(&mut counters, "grocers", 60, 20);
+    add_requests(&mut counters, "bakeries", 400, 2);
+    add_requests(&mut counters, "kiosks", 60, 0);
     report(
         &counters,
         NOW_MS,
@@ -47,11 +53,11 @@
     )
 }
 
-/// Two percent of failures against an objective of a tenth of a percent burn twenty times the budget: fast. Two tenths burn
-/// twice the budget for hours: slow. None burn nothing.
+/// The objective allows 0.1 % of failures. 2 % burn the budget at twenty times its rate, which is fast; 0.2 % burn it at twice its rate for
+/// hours, which is slow; without failures nothing burns.
 #[test]
 fn windows_and_flags() {
-    let report = sample();
+    let report = sample_report();
     let row = |customer: &str| {
         report
             .rows
@@ -68,24 +74,30 @@
     assert!((row("kiosks").budget_left - 1.0).abs() < 1e-9);
 }
 
-/// Compaction makes old steps coarser and loses no request within thirty days; older ones go.
+/// Compaction merges old buckets without losing a request of the last thirty days, and drops older requests.
 #[test]
 fn compaction_keeps_the_sums() {
     let mut counters = Counters::new();
-    let (customer, kind): (Arc<str>, Arc<str>) = (Arc::from("grocers"), Arc::from("receipt"));
+    let (customer, request_type): (Arc<str>, Arc<str>) =
+        (Arc::from("grocers"), Arc::from("receipt"));
     for hours in [1, 30, 29 * 24, 40 * 24] {
-        counters.note(NOW_MS - hours * 60 * MINUTE_MS, &customer, &kind, true);
+        counters.note(
+            NOW_MS - hours * 60 * MINUTE_MS,
+            &customer,
+            &request_type,
+            true,
+        );
     }
     counters.compact(NOW_MS);
     let month = counters.window(NOW_MS, 43_200, "grocers", "receipt");
     assert_eq!(month, Tally { good: 3, bad: 0 });
 }
 
-/// Counters of several entries add up, and survive being written and read.
+/// Counters of several entries add up, and can be serialized and read back.
 #[test]
 fn counters_merge_and_round_trip() {
     let mut one = Counters::new();
-    fill(&mut one, "grocers", 2, 100);
+    add_requests(&mut one, "grocers", 2, 100);
     let bytes = serde_json::to_vec(&one).unwrap();
     let mut sum: Counters = serde_json::from_slice(&bytes).unwrap();
     assert_eq!(sum, one);
@@ -99,11 +111,11 @@
     );
 }
 
-/// The page shows every row and who did not answer, and a name cannot break out of it. `BURN_HTML=FILE` keeps the page, to
-/// be looked at.
+/// The page shows every row and the entries that did not answer, escapes names and references no other file. `BURN_HTML=FILE` writes the page to
+/// a file, to view it.
 #[test]
 fn the_page_is_self_contained() {
-    let mut report = sample();
+    let mut report = sample_report();
     report.rows[0].customer = Arc::from("<script>");
     let page = to_html(&report);
     assert!(page.contains("&lt;script&gt;") && !page.contains("<script"));
@@ -114,11 +126,11 @@
     );
     assert!(!page.contains("http://") && !page.contains("https://"));
     if let Ok(path) = std::env::var("BURN_HTML") {
-        std::fs::write(path, to_html(&sample())).unwrap();
+        std::fs::write(path, to_html(&sample_report())).unwrap();
     }
 }
 
-/// The fragmentation page shows each data centre and shape. `FRAGMENTATION_HTML=FILE` keeps it.
+/// The fragmentation page shows each data centre and shape. `FRAGMENTATION_HTML=FILE` writes the page to a file.
 #[test]
 fn the_fragmentation_page_shows_shapes() {
     use bh_protocol::shape::Adjacency;
--- a/crates/bh-report/tests/late.rs
+++ b/crates/bh-report/tests/late.rs
@@ -1,4 +1,4 @@
-//! Why jobs were late, as their logs tell it.
+//! Causes of late jobs, found in logs.
 
 use bh_report::late::Cause;
 use bh_report::late::LateReport;
@@ -8,7 +8,7 @@
 
 const JOB: &str = "5c0e7a21d94b36f8";
 
-/// A line of a core `at_ms` after a fixed time, as its collector wrote it down.
+/// A log line of a core, `at_ms` after a fixed time, with the core's name in front as a log collector adds it.
 fn line(at_ms: u64, text: &str) -> String {
     let (second, ms) = (at_ms / 1_000, at_ms % 1_000);
     format!(
@@ -16,6 +16,7 @@
     )
 }
 
+/// The start of an attempt.
 fn planned(at_ms: u64, attempt: u32) -> String {
     line(
         at_ms,
@@ -23,6 +24,7 @@
     )
 }
 
+/// The end of an attempt.
 fn ended(at_ms: u64, attempt: u32, how: &str) -> String {
     line(
         at_ms,
@@ -30,8 +32,8 @@
     )
 }
 
-/// The job was accepted a second after the fixed time, and should have taken a second.
-fn over(at_ms: u64) -> String {
+/// The end of the job, which was accepted a second after the fixed time and has an objective of one second.
+fn job_over(at_ms: u64) -> String {
     let took_ms = at_ms - 1_000;
     line(
         at_ms,
@@ -51,8 +53,8 @@
     report.late[0].cause
 }
 
-/// An engineer asks why a job took five seconds instead of one, and the logs of all cores hold one cause. Each is told by its own name, since each is mended
-/// elsewhere.
+/// A job took five seconds instead of one, for a single reason. The report must name that cause and no other, whatever the order of the lines: each
+/// cause is repaired elsewhere.
 #[rstest]
 #[case::room(&[planned(4_000, 1), ended(5_000, 1, "Done")], Cause::WaitedForRoom)]
 #[case::room_made(&[line(1_100, &format!("room is made step={JOB}.0.0 workers=2")), planned(4_000, 1), ended(5_000, 1, "Done")], Cause::RoomMade)]
@@ -65,13 +67,14 @@
 #[case::failed(&[planned(1_000, 1), ended(3_900, 1, "Failed"), planned(4_000, 2), ended(5_000, 2, "Done")], Cause::Failed)]
 #[case::ran_long(&[planned(1_000, 1), ended(5_000, 1, "Done")], Cause::RanLong)]
 fn each_cause_is_told_apart(#[case] lines: &[String], #[case] cause: Cause) {
-    let lines: Vec<String> = lines.iter().cloned().chain([over(5_000)]).collect();
+    let lines: Vec<String> = lines.iter().cloned().chain([job_over(5_000)]).collect();
     assert_eq!(only_cause(&lines), cause);
-    // Logs of several processes are not in order.
-    let turned: Vec<String> = lines.into_iter().rev().collect();
-    assert_eq!(only_cause(&turned), cause);
+    // Lines from the logs of several processes are not in order of time.
+    let reversed: Vec<String> = lines.into_iter().rev().collect();
+    assert_eq!(only_cause(&reversed), cause);
 }
 
+/// The time before the job's acceptance counts too.
 #[test]
 fn a_hand_in_that_waited_counts_though_the_job_was_not_accepted_yet() {
     let handed_in = line(
@@ -82,28 +85,29 @@
         handed_in,
         planned(1_000, 1),
         ended(3_100, 1, "Done"),
-        over(3_100),
+        job_over(3_100),
     ];
     assert_eq!(only_cause(&lines), Cause::HandedInLate);
 }
 
-/// A job that simply is longer than others of its queue has more time: its callers are promised a multiple of its work.
+/// A job with more work than others of its queue has more time: its objective grows with the work.
 #[test]
 fn a_long_job_has_more_time() {
-    let over = over(5_000) + " slack_factor=1.5 target_ms=250";
-    let at_work = [planned(1_000, 1), ended(5_000, 1, "Done"), over.clone()];
-    assert!(report(&at_work).late.is_empty());
-    let waited = [planned(3_500, 1), ended(5_000, 1, "Done"), over];
+    let end = job_over(5_000) + " slack_factor=1.5 target_ms=250";
+    let worked = [planned(1_000, 1), ended(5_000, 1, "Done"), end.clone()];
+    assert!(report(&worked).late.is_empty());
+    let waited = [planned(3_500, 1), ended(5_000, 1, "Done"), end];
     assert_eq!(only_cause(&waited), Cause::WaitedForRoom);
 }
 
-/// Jobs on time are counted and not told, nor are those with a schedule; lines of other kinds and torn ones are passed over.
+/// Jobs on time are counted but not reported, and jobs without an objective, such as scheduled ones, are ignored. So are truncated lines
+/// and lines of other kinds.
 #[test]
-fn only_late_jobs_are_told() {
-    let no_objective = over(9_000).replace("objective_ms=1000", "objective_ms=0");
+fn only_late_jobs_are_reported() {
+    let no_objective = job_over(9_000).replace("objective_ms=1000", "objective_ms=0");
     let lines = [
         planned(1_000, 1),
-        over(1_900),
+        job_over(1_900),
         "torn".to_owned(),
         line(1, "core starts core=c"),
     ];
