--- a/crates/beechctl/src/client.rs
+++ b/crates/beechctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Talks to the first entry that takes a connection.
+//! HTTP client for the first entry that accepts a connection.
 
 use bh_net::http_client::Connection;
 use bh_net::http_client::SendError;
@@ -13,10 +13,10 @@
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 
-/// Largest answer that is read, in bytes.
-const MAX_ANSWER_BYTES: u64 = 64 << 20;
+/// Size limit of a response, in bytes.
+const MAX_RESPONSE_BYTES: u64 = 64 << 20;
 
-/// Entries to ask, and how.
+/// The entries to call, with the token and timeout of each call.
 pub struct Client {
     entries: Vec<SocketAddr>,
     token: Option<String>,
@@ -24,11 +24,11 @@
 }
 
 impl Client {
-    /// As the global options say.
+    /// Creates a client from the global options.
     ///
     /// # Errors
     ///
-    /// [`Code::MalformedBody`] for an address that is no IP number and port.
+    /// [`Code::MalformedBody`] for an address that is not an IP address and a port.
     pub fn new(matches: &ArgMatches) -> Result<Client, Failure> {
         let mut entries = Vec::new();
         for text in matches.get_many::<String>("entry").into_iter().flatten() {
@@ -50,12 +50,12 @@
         })
     }
 
-    /// How long a call may take, in milliseconds.
+    /// Timeout of a call in milliseconds.
     pub fn timeout_ms(&self) -> u64 {
         self.timeout_ms
     }
 
-    /// Reads JSON.
+    /// Sends a GET request and parses the JSON response.
     ///
     /// # Errors
     ///
@@ -65,7 +65,7 @@
         parse(response.body())
     }
 
-    /// Sends JSON and reads JSON.
+    /// Sends a POST request with a JSON body and parses the JSON response.
     ///
     /// # Errors
     ///
@@ -88,8 +88,8 @@
         parse(response.body())
     }
 
-    /// Sends a request to the first entry that takes a connection. Once it is sent no other entry is tried: it may
-    /// have been acted on.
+    /// Sends a request to the first entry that accepts a connection. Once the request is sent, no other entry is tried,
+    /// since the first one may have acted on the request.
     ///
     /// # Errors
     ///
@@ -107,10 +107,10 @@
             };
             let request = self.request(method, path, body, headers, *address)?;
             let response = connection
-                .send(request, self.timeout_ms, MAX_ANSWER_BYTES)
+                .send(request, self.timeout_ms, MAX_RESPONSE_BYTES)
                 .await
-                .map_err(|error| lost(*address, error))?;
-            return check(response);
+                .map_err(|error| connection_failure(*address, error))?;
+            return check_result(response);
         }
         let tried: Vec<String> = self.entries.iter().map(SocketAddr::to_string).collect();
         Err(Failure::new(
@@ -143,11 +143,13 @@
     }
 }
 
-fn lost(address: SocketAddr, error: SendError) -> Failure {
+/// The failure for a connection that broke before the response was complete.
+fn connection_failure(address: SocketAddr, error: SendError) -> Failure {
     Failure::new(Code::Unreachable, format!("{address}: {error}"))
 }
 
-fn check(response: Response<Bytes>) -> Result<Response<Bytes>, Failure> {
+/// Turns a response whose result code is not `Done` into a failure.
+fn check_result(response: Response<Bytes>) -> Result<Response<Bytes>, Failure> {
     let code = response
         .headers()
         .get(bh_protocol::request::RESULT_CODE)
@@ -164,11 +166,11 @@
     }
 }
 
-/// Reads JSON.
+/// Parses a JSON response.
 ///
 /// # Errors
 ///
-/// [`Code::Unreachable`] when the answer is something else, such as another version's.
+/// [`Code::Unreachable`] for anything but the expected JSON, such as the response of another version.
 pub fn parse<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Failure> {
     serde_json::from_slice(bytes).map_err(|error| {
         Failure::new(
--- a/crates/beechctl/src/commands/all.rs
+++ b/crates/beechctl/src/commands/all.rs
@@ -1,4 +1,4 @@
-//! The tree of commands.
+//! The command tree, and the dispatch to the command that was given.
 
 use super::completion;
 use super::core_evacuate;
@@ -29,7 +29,7 @@
 use clap::Command;
 use clap::value_parser;
 
-/// The whole command line.
+/// Defines the command line.
 pub fn command() -> Command {
     Command::new("beechctl")
         .version(clap::crate_version!())
@@ -46,7 +46,7 @@
                 .action(ArgAction::Append)
                 .default_value("127.0.0.1:8080")
                 .value_name("IP:PORT")
-                .help("Entries to ask, in this order"),
+                .help("Entries to call; the first that accepts a connection is used"),
         )
         .arg(
             Arg::new("token")
@@ -55,7 +55,7 @@
                 .env("BEECHHOLLOW_TOKEN")
                 .hide_env_values(true)
                 .value_name("TOKEN")
-                .help("Token of the operator or caller; better given in the environment"),
+                .help("Token of the operator or caller; safer in the environment variable"),
         )
         .arg(
             Arg::new("output")
@@ -63,7 +63,7 @@
                 .global(true)
                 .value_parser(["text", "json"])
                 .default_value("text")
-                .help("Form of the result"),
+                .help("Output format"),
         )
         .arg(
             Arg::new("timeout-ms")
@@ -72,7 +72,7 @@
                 .value_parser(value_parser!(u64).range(1..))
                 .default_value("10000")
                 .value_name("MS")
-                .help("Longest wait for an answer"),
+                .help("Timeout of each call"),
         )
         .subcommand(
             Command::new("settings")
@@ -98,12 +98,12 @@
         .subcommand(status::command())
         .subcommand(
             Command::new("core")
-                .about("Asks a core of a deployment, at its metrics address given as --entry")
+                .about("Calls a core of a deployment; give its metrics address as --entry")
                 .subcommand_required(true)
                 .subcommand(core_status::command())
                 .subcommand(core_explain::command())
                 .subcommand(core_late::command())
-                .subcommand(core_evacuate::begin_command())
+                .subcommand(core_evacuate::start_command())
                 .subcommand(core_evacuate::end_command()),
         )
         .subcommand(
@@ -113,17 +113,17 @@
                 .subcommand(report_burn::command())
                 .subcommand(report_fragmentation::command()),
         )
-        .subcommand(Command::new("token").about("Works on tokens").subcommand_required(true).subcommand(token_hash::command()))
+        .subcommand(Command::new("token").about("Handles tokens").subcommand_required(true).subcommand(token_hash::command()))
         .subcommand(completion::command())
 }
 
-/// Runs the command that was given; returns the exit status.
+/// Runs the given command and returns the exit status.
 ///
 /// # Errors
 ///
-/// The failure to print.
+/// The failure of the command, which the caller prints.
 pub async fn run(client: &Client, output: &Output, matches: &ArgMatches) -> Result<u8, Failure> {
-    match path(matches).as_slice() {
+    match command_path(matches).as_slice() {
         ["settings", "apply"] => settings_apply::run(client, output, leaf(matches)).await,
         ["settings", "check"] => settings_check::run(output, leaf(matches)),
         ["settings", "diff"] => settings_diff::run(client, output, leaf(matches)).await,
@@ -139,7 +139,7 @@
         ["core", "status"] => core_status::run(client, output).await,
         ["core", "explain"] => core_explain::run(client, output, leaf(matches)).await,
         ["core", "late"] => core_late::run(output, leaf(matches)),
-        ["core", "evacuate"] => core_evacuate::begin(client, output, leaf(matches)).await,
+        ["core", "evacuate"] => core_evacuate::start(client, output, leaf(matches)).await,
         ["core", "end-evacuation"] => core_evacuate::end(client, output, leaf(matches)).await,
         ["report", "burn"] => report_burn::run(client, output, leaf(matches)).await,
         ["report", "fragmentation"] => {
@@ -151,7 +151,8 @@
     }
 }
 
-fn path(matches: &ArgMatches) -> Vec<&str> {
+/// Names of the nested subcommands that were given.
+fn command_path(matches: &ArgMatches) -> Vec<&str> {
     let mut names = Vec::new();
     let mut current = matches;
     while let Some((name, inner)) = current.subcommand() {
@@ -161,6 +162,7 @@
     names
 }
 
+/// Arguments of the innermost subcommand.
 fn leaf(matches: &ArgMatches) -> &ArgMatches {
     let mut current = matches;
     while let Some((_, inner)) = current.subcommand() {
--- a/crates/beechctl/src/commands/arguments.rs
+++ b/crates/beechctl/src/commands/arguments.rs
@@ -3,12 +3,12 @@
 use clap::Arg;
 use clap::ArgMatches;
 
-/// The text of a required argument.
+/// Returns the value of a required argument.
 pub(super) fn text<'a>(matches: &'a ArgMatches, name: &str) -> &'a str {
     matches.get_one::<String>(name).map_or("", String::as_str)
 }
 
-/// `?data_centre=` for a path, when the option is given.
+/// Returns the query `?data_centre=NAME` if the option is given, otherwise nothing.
 pub(super) fn data_centre_query(matches: &ArgMatches) -> String {
     matches
         .get_one::<String>("data-centre")
@@ -21,7 +21,7 @@
     Arg::new("data-centre")
         .long("data-centre")
         .value_name("NAME")
-        .help("Data centre; that of the entry when left out")
+        .help("Data centre; by default that of the entry")
 }
 
 /// The option that names a customer.
@@ -30,5 +30,5 @@
         .long("customer")
         .required(true)
         .value_name("NAME")
-        .help("Customer")
+        .help("Name of the customer")
 }
--- a/crates/beechctl/src/commands/completion.rs
+++ b/crates/beechctl/src/commands/completion.rs
@@ -1,4 +1,4 @@
-//! `beechctl completion SHELL`.
+//! `beechctl completion SHELL`: prints a shell completion script.
 
 use bh_protocol::Failure;
 use clap::Arg;
--- a/crates/beechctl/src/commands/core_evacuate.rs
+++ b/crates/beechctl/src/commands/core_evacuate.rs
@@ -1,4 +1,4 @@
-//! `beechctl core evacuate` and `beechctl core end-evacuation`: empties a data centre, and gives it back.
+//! `beechctl core evacuate` and `beechctl core end-evacuation`: start and end the evacuation of a data centre.
 
 use super::arguments::text as argument;
 use crate::client::Client;
@@ -11,16 +11,16 @@
 use clap::ArgMatches;
 use clap::Command;
 
-pub fn begin_command() -> Command {
+pub fn start_command() -> Command {
     Command::new("evacuate")
-        .about("Lets nothing more begin in a data centre; what runs there goes on")
+        .about("Stops new work from starting in a data centre; running work continues")
         .arg(data_centre())
         .after_help("Example:\n  beechctl core evacuate ulemiste --entry 10.1.0.22:9464")
 }
 
 pub fn end_command() -> Command {
     Command::new("end-evacuation")
-        .about("Lets work begin in a data centre again")
+        .about("Lets work start in a data centre again")
         .arg(data_centre())
         .after_help("Example:\n  beechctl core end-evacuation ulemiste --entry 10.1.0.22:9464")
 }
@@ -31,15 +31,16 @@
         .help("The data centre's name")
 }
 
-pub async fn begin(client: &Client, output: &Output, matches: &ArgMatches) -> Result<u8, Failure> {
-    order(client, output, matches, "POST").await
+pub async fn start(client: &Client, output: &Output, matches: &ArgMatches) -> Result<u8, Failure> {
+    send_order(client, output, matches, "POST").await
 }
 
 pub async fn end(client: &Client, output: &Output, matches: &ArgMatches) -> Result<u8, Failure> {
-    order(client, output, matches, "DELETE").await
+    send_order(client, output, matches, "DELETE").await
 }
 
-async fn order(
+/// Sends the order with `method` and prints the resulting state of the evacuation.
+async fn send_order(
     client: &Client,
     output: &Output,
     matches: &ArgMatches,
@@ -47,14 +48,14 @@
 ) -> Result<u8, Failure> {
     let path = format!("/v1/evacuations/{}", argument(matches, "DATA_CENTRE"));
     let response = client.call(method, &path, Bytes::new(), &[]).await?;
-    let ordered: EvacuationStatus = parse(response.body())?;
-    output.show(&ordered, text);
+    let status: EvacuationStatus = parse(response.body())?;
+    output.show(&status, text);
     Ok(0)
 }
 
-fn text(ordered: &EvacuationStatus) -> String {
-    let name = &ordered.data_centre;
-    if ordered.is_evacuated {
+fn text(status: &EvacuationStatus) -> String {
+    let name = &status.data_centre;
+    if status.is_evacuated {
         format!("nothing more begins in {name}; `beechctl core status` tells what still runs there")
     } else {
         format!("work may begin in {name} again")
--- a/crates/beechctl/src/commands/core_explain.rs
+++ b/crates/beechctl/src/commands/core_explain.rs
@@ -1,4 +1,4 @@
-//! `beechctl core explain`: why a job of a deployment is where it is.
+//! `beechctl core explain`: why a job of a deployment waits, and where its runs are.
 
 use super::arguments::text as argument;
 use crate::client::Client;
@@ -19,11 +19,11 @@
 
 pub fn command() -> Command {
     Command::new("explain")
-        .about("Tells why a job waits, and where its runs are; ask the core that leads")
+        .about("Explains why a job waits and where its runs are; call the leading core")
         .arg(
             Arg::new("JOB")
                 .required(true)
-                .help("The job's name, sixteen hexadecimal digits"),
+                .help("Name of the job, 16 hexadecimal digits"),
         )
         .after_help("Example:\n  beechctl core explain 5c0e7a21d94b36f8 --entry 10.1.0.22:9464")
 }
@@ -73,16 +73,17 @@
         step.done.to_string(),
         step.failures.to_string(),
         step.crashes.to_string(),
-        step.wait.as_ref().map_or("-".to_owned(), wait_text) + &holder_text(step),
+        step.wait.as_ref().map_or("-".to_owned(), wait_text) + &blocking_run_text(step),
     ]
 }
 
-fn holder_text(step: &StepReport) -> String {
-    step.held_by.as_ref().map_or(String::new(), |holder| {
-        let phase = phase_text(holder.phase);
+/// Describes the run that blocks the step.
+fn blocking_run_text(step: &StepReport) -> String {
+    step.held_by.as_ref().map_or(String::new(), |blocking| {
+        let phase = phase_text(blocking.phase);
         format!(
             " (run {} on {}, for {} ms: {phase})",
-            holder.run, holder.worker, holder.held_ms
+            blocking.run, blocking.worker, blocking.held_ms
         )
     })
 }
@@ -100,10 +101,10 @@
     }
 }
 
-/// A core of an older version tells no phase.
+/// Describes the state of a run. Cores of older versions report no phase, only whether the run is being stopped.
 fn state_text(run: &RunReport) -> String {
-    let otherwise = if run.is_stopping { "stopping" } else { "runs" };
-    run.phase.map_or(otherwise, phase_text).to_owned()
+    let without_phase = if run.is_stopping { "stopping" } else { "runs" };
+    run.phase.map_or(without_phase, phase_text).to_owned()
 }
 
 fn unusable_text(why: UnusableReason) -> &'static str {
--- a/crates/beechctl/src/commands/core_status.rs
+++ b/crates/beechctl/src/commands/core_status.rs
@@ -1,4 +1,4 @@
-//! `beechctl core status`: what a core of a deployment is and holds.
+//! `beechctl core status`: the role and state of a core of a deployment.
 
 use crate::client::Client;
 use crate::output::Output;
@@ -10,7 +10,7 @@
 
 pub fn command() -> Command {
     Command::new("status")
-        .about("Shows a core's role, its record and the room on the workers")
+        .about("Shows a core's role and state, and the free capacity of the workers")
         .after_help("Example:\n  beechctl core status --entry 10.1.0.22:9464")
 }
 
@@ -35,7 +35,7 @@
         (false, true) => "votes",
         (false, false) => "observes",
     };
-    let heard = report
+    let last_contact = report
         .heard_ms_ago
         .map_or("never".to_owned(), |ms| format!("{ms} ms ago"));
     let waves: Vec<String> = report.waves.iter().map(u64::to_string).collect();
@@ -43,7 +43,7 @@
     let rows = [
         ("role", role.to_owned()),
         ("leader", report.leader.clone().unwrap_or("-".to_owned())),
-        ("leader heard", heard),
+        ("leader heard", last_contact),
         ("term", report.term.to_string()),
         ("voters", report.voters.join(",")),
         ("applied", report.applied.to_string()),
--- a/crates/beechctl/src/commands/job_list.rs
+++ b/crates/beechctl/src/commands/job_list.rs
@@ -1,4 +1,4 @@
-//! `beechctl job list`: a customer's jobs.
+//! `beechctl job list`: lists the jobs of a customer.
 
 use super::arguments::customer_option;
 use super::arguments::data_centre_option;
@@ -28,12 +28,12 @@
         data_centre_query(matches)
     );
     let jobs: Vec<Status> = client.get(&path).await?;
-    output.show(&jobs, |jobs| rows(jobs));
+    output.show(&jobs, |jobs| job_table(jobs));
     Ok(0)
 }
 
-/// Jobs as a table.
-pub fn rows(jobs: &[Status]) -> String {
+/// Formats jobs as a table.
+pub fn job_table(jobs: &[Status]) -> String {
     let rows: Vec<Vec<String>> = jobs
         .iter()
         .map(|status| {
--- a/crates/beechctl/src/commands/job_status.rs
+++ b/crates/beechctl/src/commands/job_status.rs
@@ -1,10 +1,10 @@
-//! `beechctl job status`: reads a job back, or follows it to its end.
+//! `beechctl job status`: shows the status of a job, and can wait until the job runs or ends.
 
 use super::arguments::customer_option;
 use super::arguments::data_centre_option;
 use super::arguments::data_centre_query;
 use super::arguments::text;
-use super::job_list::rows;
+use super::job_list::job_table;
 use crate::client::Client;
 use crate::output::Output;
 use bh_net::Clock;
@@ -21,12 +21,12 @@
 use std::io::IsTerminal;
 use std::io::Write;
 
-/// Time between looks while following, in milliseconds.
+/// Interval between status requests while waiting, in milliseconds.
 const POLL_MS: u64 = 200;
 
 pub fn command() -> Command {
     Command::new("status")
-        .about("Reads a job back")
+        .about("Shows the status of a job")
         .arg(
             Arg::new("JOB")
                 .required(true)
@@ -38,7 +38,7 @@
             Arg::new("wait")
                 .long("wait")
                 .action(ArgAction::SetTrue)
-                .help("Follow the job to its end, at most --timeout-ms"),
+                .help("Wait until the job ends, at most --timeout-ms"),
         )
         .arg(
             Arg::new("wait-running")
@@ -56,33 +56,33 @@
         text(matches, "customer"),
         data_centre_query(matches)
     );
-    let (to_end, to_running) = (matches.get_flag("wait"), matches.get_flag("wait-running"));
+    let (until_ended, until_running) = (matches.get_flag("wait"), matches.get_flag("wait-running"));
     let clock = Clock::new();
     loop {
         let status: Status = client.get(&path).await?;
-        let reached = status.phase.is_final() || (to_running && status.running);
-        let waits = (to_end || to_running) && !reached;
-        if waits && clock.now_ms() < client.timeout_ms() {
-            progress(output, &status);
+        let reached = status.phase.is_final() || (until_running && status.running);
+        let must_wait = (until_ended || until_running) && !reached;
+        if must_wait && clock.now_ms() < client.timeout_ms() {
+            show_progress(output, &status);
             sleep_ms(POLL_MS).await;
             continue;
         }
-        end_progress(output);
-        output.show(&status, |status| rows(std::slice::from_ref(status)));
-        return exit_status(&status, waits);
+        clear_progress(output);
+        output.show(&status, |status| job_table(std::slice::from_ref(status)));
+        return exit_status(&status, must_wait);
     }
 }
 
-fn exit_status(status: &Status, gave_up: bool) -> Result<u8, Failure> {
+fn exit_status(status: &Status, timed_out: bool) -> Result<u8, Failure> {
     match status.phase {
         Phase::Failed => Ok(Code::JobFailed.exit_status()),
         Phase::Cancelled => Ok(Code::Cancelled.exit_status()),
-        _ if gave_up => Ok(Code::Unreachable.exit_status()),
+        _ if timed_out => Ok(Code::Unreachable.exit_status()),
         _ => Ok(0),
     }
 }
 
-fn progress(output: &Output, status: &Status) {
+fn show_progress(output: &Output, status: &Status) {
     if !output.is_json() && std::io::stderr().is_terminal() {
         eprint!(
             "\r\x1b[Kjob {}: {:?}, {} s old. {}",
@@ -95,7 +95,7 @@
     }
 }
 
-fn end_progress(output: &Output) {
+fn clear_progress(output: &Output) {
     if !output.is_json() && std::io::stderr().is_terminal() {
         eprint!("\r\x1b[K");
     }
--- a/crates/beechctl/src/commands/mod.rs
+++ b/crates/beechctl/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands: one a file, named after it.
+//! The commands. Each has a file of its own, named after it.
 
 mod all;
 mod arguments;
--- a/crates/beechctl/src/commands/report_burn.rs
+++ b/crates/beechctl/src/commands/report_burn.rs
@@ -1,4 +1,4 @@
-//! `beechctl report burn`: how fast the error budgets burn.
+//! `beechctl report burn`: burn rates of the error budgets.
 
 use crate::client::Client;
 use crate::output::Output;
@@ -12,7 +12,7 @@
 
 pub fn command() -> Command {
     Command::new("burn")
-        .about("Shows the burn of the error budgets over several windows")
+        .about("Shows the burn rates of the error budgets over several windows")
         .arg(html_option())
         .after_help("Example:\n  beechctl report burn --html burn.html")
 }
@@ -24,15 +24,15 @@
     Ok(0)
 }
 
-/// The option that names a file for the picture.
+/// The option that names the file for the HTML page.
 pub(super) fn html_option() -> Arg {
     Arg::new("html")
         .long("html")
         .value_name("FILE")
-        .help("Write the report as a page with a picture")
+        .help("Also write the report to an HTML page with charts")
 }
 
-/// Writes the page when the option is given.
+/// Writes the HTML page if the option is given.
 pub(super) fn write_page(
     matches: &ArgMatches,
     page: impl FnOnce() -> String,
--- a/crates/beechctl/src/commands/report_fragmentation.rs
+++ b/crates/beechctl/src/commands/report_fragmentation.rs
@@ -1,4 +1,4 @@
-//! `beechctl report fragmentation`: which free accelerators cannot serve which shape.
+//! `beechctl report fragmentation`: how many free accelerators each shape cannot use.
 
 use super::report_burn::html_option;
 use super::report_burn::write_page;
--- a/crates/beechctl/src/commands/request.rs
+++ b/crates/beechctl/src/commands/request.rs
@@ -18,8 +18,8 @@
         .about("Sends a short request and prints the whole answer")
         .arg(customer_option())
         .arg(Arg::new("type").long("type").required(true).value_name("NAME").help("Request type"))
-        .arg(Arg::new("key").long("key").value_name("KEY").help("Idempotency key: a resend with it never runs twice"))
-        .arg(Arg::new("body").long("body").value_name("TEXT").help("Body; standard input when left out"))
+        .arg(Arg::new("key").long("key").value_name("KEY").help("Idempotency key; a request that is sent again with the same key runs only once"))
+        .arg(Arg::new("body").long("body").value_name("TEXT").help("Body; by default standard input"))
         .after_help("Example:\n  beechctl request --customer lumen --type receipt --key r-17 --body '{\"till\":4}'")
 }
 
--- a/crates/beechctl/src/commands/settings_apply.rs
+++ b/crates/beechctl/src/commands/settings_apply.rs
@@ -1,4 +1,4 @@
-//! `beechctl settings apply FILE`: makes the file's settings the ones in force.
+//! `beechctl settings apply FILE`: puts the settings in a file into force.
 
 use super::arguments::text;
 use super::settings_check::load;
@@ -16,12 +16,12 @@
 use clap::value_parser;
 use std::sync::Arc;
 
-/// Resends of a change whose answer was lost; the change id makes them harmless.
-const RESENDS: usize = 3;
+/// Number of resends of a change whose outcome is unknown. They are safe, since the change id makes the change idempotent.
+const MAX_RESENDS: usize = 3;
 
 pub fn command() -> Command {
     Command::new("apply")
-        .about("Makes the settings in a file the ones in force")
+        .about("Puts the settings in a file into force")
         .arg(Arg::new("FILE").required(true))
         .arg(Arg::new("team").long("team").value_name("NAME").help("Replace only this team's subtree"))
         .arg(
@@ -29,9 +29,9 @@
                 .long("base-revision")
                 .value_parser(value_parser!(u64))
                 .value_name("N")
-                .help("Revision the file was made against; the one in force now when left out"),
+                .help("Revision that the file is based on; by default the one in force"),
         )
-        .arg(Arg::new("change-id").long("change-id").value_name("ID").help("Id of the change; a resend with it gets the first answer"))
+        .arg(Arg::new("change-id").long("change-id").value_name("ID").help("Id of the change; sending a change again with the same id returns the first result"))
         .after_help("Examples:\n  beechctl settings apply settings.yaml\n  beechctl settings apply bakery.yaml --team bakery --base-revision 12")
 }
 
@@ -71,8 +71,8 @@
 }
 
 async fn send(client: &Client, change: &Change) -> Result<Accepted, Failure> {
-    let mut last = Failure::new(Code::Unreachable, "the change was not sent");
-    for _ in 0..=RESENDS {
+    let mut last_failure = Failure::new(Code::Unreachable, "the change was not sent");
+    for _ in 0..=MAX_RESENDS {
         match client.post("/v1/settings", change).await {
             Err(failure)
                 if matches!(
@@ -80,10 +80,10 @@
                     Code::Unreachable | Code::OutcomeUnknown | Code::NoQuorum
                 ) =>
             {
-                last = failure
+                last_failure = failure
             }
             result => return result,
         }
     }
-    Err(last)
+    Err(last_failure)
 }
--- a/crates/beechctl/src/commands/settings_check.rs
+++ b/crates/beechctl/src/commands/settings_check.rs
@@ -1,4 +1,4 @@
-//! `beechctl settings check FILE`: every mistake at once, without asking any entry.
+//! `beechctl settings check FILE`: reports every mistake in a file, without calling an entry.
 
 use super::arguments::text;
 use crate::output::Output;
@@ -43,7 +43,7 @@
     }
 }
 
-/// Reads a settings file; prints every mistake and returns the exit status when there is one.
+/// Reads a settings file. If the file has mistakes, prints them all and returns the exit status.
 ///
 /// # Errors
 ///
@@ -52,16 +52,16 @@
     let bytes = std::fs::read(path)
         .map_err(|error| Failure::new(Code::UnreadableFile, format!("{path}: {error}")))?;
     Ok(Settings::parse(path, &bytes).map_err(|problems| {
-        show(output, problems);
+        print_problems(output, problems);
         Code::InvalidSettings.exit_status()
     }))
 }
 
-fn show(output: &Output, problems: Vec<Problem>) {
+fn print_problems(output: &Output, problems: Vec<Problem>) {
     if output.is_json() {
         let rows: Vec<_> = problems
             .iter()
-            .map(|p| json!({ "code": p.code.number(), "file": &*p.file, "line": p.line, "column": p.column, "label": p.label, "help": p.help }))
+            .map(|problem| json!({ "code": problem.code.number(), "file": &*problem.file, "line": problem.line, "column": problem.column, "label": problem.label, "help": problem.help }))
             .collect();
         eprintln!(
             "{}",
--- a/crates/beechctl/src/commands/settings_diff.rs
+++ b/crates/beechctl/src/commands/settings_diff.rs
@@ -1,4 +1,4 @@
-//! `beechctl settings diff FILE`: what applying the file would change.
+//! `beechctl settings diff FILE`: shows what applying a file would change.
 
 use super::arguments::text;
 use super::settings_check::load;
@@ -33,17 +33,18 @@
         new = only_team(new, team);
     }
     let differences = diff::between(&old, &new)?;
-    output.show(&differences, |rows| lines(revision, rows));
+    output.show(&differences, |rows| diff_text(revision, rows));
     Ok(0)
 }
 
+/// Reduces the settings to one team, without the system settings.
 fn only_team(mut settings: Settings, team: &str) -> Settings {
     settings.teams.retain(|name, _| **name == *team);
     settings.system = Default::default();
     settings
 }
 
-fn lines(revision: u64, rows: &[Difference]) -> String {
+fn diff_text(revision: u64, rows: &[Difference]) -> String {
     if rows.is_empty() {
         return format!("no difference to revision {revision}");
     }
--- a/crates/beechctl/src/commands/settings_get.rs
+++ b/crates/beechctl/src/commands/settings_get.rs
@@ -1,4 +1,4 @@
-//! `beechctl settings get`: the settings in force, as YAML that can be edited and applied.
+//! `beechctl settings get`: prints the settings in force as YAML, to edit and apply.
 
 use crate::client::Client;
 use crate::output::Output;
@@ -23,7 +23,7 @@
     Ok(0)
 }
 
-/// Revision and YAML of what the entry has in force.
+/// Fetches the revision and YAML of the settings that the entry has in force.
 pub async fn fetch(client: &Client) -> Result<(u64, String), Failure> {
     let response = client
         .call("GET", "/v1/settings", Bytes::new(), &[])
@@ -33,13 +33,13 @@
         .get("x-revision")
         .and_then(|value| value.to_str().ok()?.parse().ok());
     let revision =
-        revision.ok_or_else(|| Failure::new(Code::Unreachable, "the answer names no revision"))?;
+        revision.ok_or_else(|| Failure::new(Code::Unreachable, "the response has no revision"))?;
     let yaml = String::from_utf8(response.body().to_vec())
         .map_err(|_| Failure::new(Code::Unreachable, "the settings are not UTF-8"))?;
     Ok((revision, yaml))
 }
 
-/// What the entry has in force, parsed.
+/// Fetches and parses the settings that the entry has in force, with their revision.
 pub async fn fetch_settings(client: &Client) -> Result<(u64, Settings), Failure> {
     let (revision, yaml) = fetch(client).await?;
     let settings = Settings::parse("in force", yaml.as_bytes()).map_err(|_| {
--- a/crates/beechctl/src/commands/settings_in_force.rs
+++ b/crates/beechctl/src/commands/settings_in_force.rs
@@ -1,4 +1,4 @@
-//! `beechctl settings in-force`: which revision each entry has in force.
+//! `beechctl settings in-force`: shows the settings revision that each entry has in force.
 
 use crate::client::Client;
 use crate::output::Output;
@@ -9,7 +9,7 @@
 
 pub fn command() -> Command {
     Command::new("in-force")
-        .about("Shows the revision in force on every entry, its age, and who is cut off or silent")
+        .about("Shows the settings revision in force on each entry, its age, and which entries are cut off or silent")
         .after_help("Example:\n  beechctl settings in-force")
 }
 
--- a/crates/beechctl/src/commands/status.rs
+++ b/crates/beechctl/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `beechctl status`: what an entry is and does.
+//! `beechctl status`: the groups, links and load of an entry.
 
 use crate::client::Client;
 use crate::output::Output;
--- a/crates/beechctl/src/commands/target_list.rs
+++ b/crates/beechctl/src/commands/target_list.rs
@@ -1,4 +1,4 @@
-//! `beechctl target list`: the targets of a data centre.
+//! `beechctl target list`: lists the targets of a data centre.
 
 use super::arguments::data_centre_option;
 use super::arguments::data_centre_query;
--- a/crates/beechctl/src/commands/token_hash.rs
+++ b/crates/beechctl/src/commands/token_hash.rs
@@ -1,4 +1,4 @@
-//! `beechctl token hash`: reads a token from standard input, so that it is in no process list.
+//! `beechctl token hash`: hashes a token from standard input, which keeps the token out of process lists.
 
 use bh_protocol::Code;
 use bh_protocol::Failure;
--- a/crates/beechctl/src/main.rs
+++ b/crates/beechctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line for operators and callers of beechhollow.
+//! Command-line client for operators and callers of beechhollow.
 
 mod client;
 mod commands;
@@ -16,7 +16,7 @@
         bh_net::runtime::run(1, run).unwrap_or_else(|error| {
             Err(bh_protocol::Failure::new(
                 bh_protocol::Code::Internal,
-                format!("no event loop: {error}"),
+                format!("the event loop does not start: {error}"),
             ))
         })
     });
--- a/crates/beechctl/src/output.rs
+++ b/crates/beechctl/src/output.rs
@@ -1,4 +1,4 @@
-//! What is printed, as text for people or JSON for programs.
+//! Prints results as text for people or as JSON for programs.
 
 use bh_protocol::Failure;
 use clap::ArgMatches;
@@ -6,13 +6,13 @@
 use serde::Serialize;
 use std::process::ExitCode;
 
-/// Prints results.
+/// Prints results in the format that the user chose.
 pub struct Output {
     json: bool,
 }
 
 impl Output {
-    /// As `--output` says.
+    /// Creates an output in the format of `--output`.
     pub fn new(matches: &ArgMatches) -> Self {
         Self {
             json: matches
@@ -21,12 +21,12 @@
         }
     }
 
-    /// Whether the reader is a program.
+    /// Whether results are printed as JSON.
     pub fn is_json(&self) -> bool {
         self.json
     }
 
-    /// Prints `value` as JSON, or what `text` makes of it.
+    /// Prints `value` as JSON, or as the text that `text` returns.
     pub fn show<T: Serialize>(&self, value: &T, text: impl FnOnce(&T) -> String) {
         if self.json {
             println!(
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Prints a failure; returns its exit status.
+    /// Prints a failure and returns its exit status.
     pub fn fail(&self, failure: Failure) -> ExitCode {
         let status = failure.code.exit_status();
         if self.json {
@@ -53,7 +53,7 @@
     }
 }
 
-/// Columns of text, each as wide as its widest cell.
+/// Formats a table with columns as wide as their widest cell.
 pub fn table(head: &[&str], rows: &[Vec<String>]) -> String {
     let mut widths: Vec<usize> = head.iter().map(|cell| cell.len()).collect();
     for row in rows {
--- a/crates/beechhollow/src/check_config.rs
+++ b/crates/beechhollow/src/check_config.rs
@@ -1,4 +1,4 @@
-//! `beechhollow check-config FILE`: says what is wrong with an entry's file, without starting.
+//! `beechhollow check-config FILE`: reports the mistakes in the file of an entry or a core, without starting it.
 
 use bh_control::config::is_deployment_config;
 use bh_control::config::problems;
@@ -41,7 +41,7 @@
     }
 }
 
-/// Checks the file of an entry or a core of a deployment; `None` when it is not one.
+/// Checks the file of an entry or a core of a deployment. Returns `None` for any other file.
 fn check_deployment(path: &str) -> Option<ExitCode> {
     let bytes = std::fs::read(path).ok()?;
     if !is_deployment_config(&bytes) {
@@ -54,7 +54,7 @@
     }
     let mut status = ExitCode::SUCCESS;
     for problem in problems {
-        status = report(Failure::new(
+        status = print_failure(Failure::new(
             Code::BadConfigFile,
             format!("{path}: {problem}"),
         ));
@@ -62,10 +62,10 @@
     Some(status)
 }
 
-/// Reads an entry's file; prints every mistake and returns the exit status when there is one.
+/// Reads an entry's file. If the file has mistakes, prints them all and returns the exit status.
 pub fn load(path: &str) -> Result<EntryConfig, ExitCode> {
     let bytes = std::fs::read(path).map_err(|error| {
-        report(Failure::new(
+        print_failure(Failure::new(
             Code::UnreadableFile,
             format!("{path}: {error}"),
         ))
@@ -78,8 +78,8 @@
     })
 }
 
-/// Prints a failure; returns its exit status.
-pub fn report(failure: Failure) -> ExitCode {
+/// Prints a failure and returns its exit status.
+pub fn print_failure(failure: Failure) -> ExitCode {
     let status = failure.code.exit_status();
     eprintln!("{:?}", Report::new(failure));
     ExitCode::from(status)
--- a/crates/beechhollow/src/main.rs
+++ b/crates/beechhollow/src/main.rs
@@ -1,4 +1,4 @@
-//! The entry process of beechhollow: run on every entry VM.
+//! The process that runs an entry or a core, on its VM.
 
 mod check_config;
 mod process;
--- a/crates/beechhollow/src/process.rs
+++ b/crates/beechhollow/src/process.rs
@@ -1,6 +1,6 @@
-//! What the subcommands that run a process have in common.
+//! Code shared by the subcommands that run a process.
 
-use crate::check_config::report;
+use crate::check_config::print_failure;
 use bh_net::runtime;
 use bh_protocol::Code;
 use bh_protocol::Failure;
@@ -9,7 +9,7 @@
 use std::future::Future;
 use std::process::ExitCode;
 
-/// The option that names the process's file.
+/// The option that names the process's configuration file.
 pub fn config_argument() -> Arg {
     Arg::new("config")
         .long("config")
@@ -19,24 +19,24 @@
         .help("The process's YAML file")
 }
 
-/// The file that was named.
+/// Path of the configuration file.
 pub fn config_path(arguments: &ArgMatches) -> &str {
     arguments
         .get_one::<String>("config")
         .map_or("", String::as_str)
 }
 
-/// Runs `main` to its end and turns its result into an exit status.
+/// Runs `main` on the event loop until it ends, and returns the exit status.
 pub fn run_to_end(
     disk_threads: usize,
     main: impl Future<Output = Result<(), Failure>>,
 ) -> ExitCode {
     match runtime::run(disk_threads, main) {
         Ok(Ok(())) => ExitCode::SUCCESS,
-        Ok(Err(failure)) => report(failure),
-        Err(error) => report(Failure::new(
+        Ok(Err(failure)) => print_failure(failure),
+        Err(error) => print_failure(Failure::new(
             Code::Internal,
-            format!("no event loop: {error}"),
+            format!("the event loop does not start: {error}"),
         )),
     }
 }
--- a/crates/beechhollow/src/run.rs
+++ b/crates/beechhollow/src/run.rs
@@ -1,4 +1,4 @@
-//! `beechhollow run --config FILE`: runs the entry until SIGTERM.
+//! `beechhollow run --config FILE`: runs an entry until SIGTERM.
 
 use crate::check_config::load;
 use crate::process::config_argument;
@@ -8,7 +8,7 @@
 use clap::Command;
 use std::process::ExitCode;
 
-/// Helper threads for disk syncs: one for each group an entry usually has.
+/// Threads for disk syncs: one for each group that an entry usually has.
 const DISK_THREADS: usize = 2;
 
 pub fn command() -> Command {
--- a/crates/beechhollow/src/serve.rs
+++ b/crates/beechhollow/src/serve.rs
@@ -1,6 +1,6 @@
 //! `beechhollow serve --config FILE`: runs an entry or a core of a deployment until SIGTERM.
 
-use crate::check_config::report;
+use crate::check_config::print_failure;
 use crate::process::config_argument;
 use crate::process::config_path;
 use crate::process::run_to_end;
@@ -10,7 +10,7 @@
 use clap::Command;
 use std::process::ExitCode;
 
-/// Helper threads for disk syncs: the one replica of a core has one journal.
+/// Threads for disk syncs: a core has one replica with one journal.
 const DISK_THREADS: usize = 1;
 
 pub fn command() -> Command {
@@ -23,7 +23,7 @@
 pub fn main(arguments: &ArgMatches) -> ExitCode {
     let config = match LocalConfig::load(config_path(arguments)) {
         Ok(config) => config,
-        Err(failure) => return report(failure),
+        Err(failure) => return print_failure(failure),
     };
     logging::start(config.log_json);
     let main = bh_control::run(config, bh_platform::dialect());
--- a/crates/bh-report/src/late/job_log.rs
+++ b/crates/bh-report/src/late/job_log.rs
@@ -77,12 +77,14 @@
                 }
             }
             "run over" => self.end_run(line),
-            "run lost with its worker" => self.fail_attempt(line, Cause::WorkerLost),
-            "stopped to make room for guaranteed work" => self.fail_attempt(line, Cause::Displaced),
+            "run lost with its worker" => self.end_without_result(line, Cause::WorkerLost),
+            "stopped to make room for guaranteed work" => {
+                self.end_without_result(line, Cause::Displaced)
+            }
             "stopped since its worker leaves before it can end" => {
-                self.fail_attempt(line, Cause::WorkerLeft);
+                self.end_without_result(line, Cause::WorkerLeft);
             }
-            "run begun anew elsewhere" => self.fail_attempt(line, Cause::BegunAnew),
+            "run begun anew elsewhere" => self.end_without_result(line, Cause::BegunAnew),
             "room is made" => self.reservations.push((line.at_ms, None)),
             "room is no longer made" => {
                 let latest = self.reservations.last_mut();
@@ -104,7 +106,7 @@
     }
 
     /// Ends an attempt without a result. The first cause that is logged counts: the other members of a gang end as its consequence.
-    fn fail_attempt(&mut self, line: &LogLine, cause: Cause) {
+    fn end_without_result(&mut self, line: &LogLine, cause: Cause) {
         if let Some(attempt) = self.attempt_of(line) {
             attempt.end_cause.get_or_insert(cause);
             attempt.ended_ms = attempt.ended_ms.max(line.at_ms);
@@ -124,7 +126,7 @@
             Some("NotStarted" | "Alone") => Cause::NotStarted,
             _ => Cause::Stopped,
         };
-        self.fail_attempt(line, cause);
+        self.end_without_result(line, cause);
     }
 
     /// Returns the milliseconds that the job spent on each cause. `elections` holds, for each election, since when no core led and when one began to.
--- a/crates/bh-report/src/late/late_report.rs
+++ b/crates/bh-report/src/late/late_report.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 /// Shortest time without a leader that is assumed for an election, in milliseconds: the logs do not always tell when the last leader was lost.
-const USUAL_ELECTION_MS: u64 = 1_000;
+const MIN_ELECTION_MS: u64 = 1_000;
 /// Number of characters in a job's name.
 const NAME_LENGTH: usize = 16;
 
@@ -61,7 +61,7 @@
     for line in &parsed {
         if line.message == "leads" {
             let gap_ms = line.number("gap_ms").unwrap_or(0);
-            let since_ms = line.at_ms - gap_ms.max(USUAL_ELECTION_MS).min(line.at_ms);
+            let since_ms = line.at_ms - gap_ms.max(MIN_ELECTION_MS).min(line.at_ms);
             elections.push((since_ms, line.at_ms));
         }
         if let Some(job) = job_name(line) {
