--- a/crates/beechctl/tests/cli.rs
+++ b/crates/beechctl/tests/cli.rs
@@ -1,4 +1,4 @@
-//! What a person types, and what comes back, as far as it needs no entry. `scripts/demo.sh` drives the rest.
+//! The commands that need no entry. `scripts/demo.sh` covers the rest.
 
 use rstest::rstest;
 use std::io::Write;
@@ -51,7 +51,7 @@
     );
 }
 
-/// A file with several mistakes: each is printed with its line and help, as text and as JSON, and the status says so.
+/// Each mistake of a settings file is printed with its line and help, as text and as JSON, and sets the exit status.
 #[test]
 fn settings_check_lists_every_mistake() {
     let folder = tempfile::tempdir().unwrap();
@@ -78,7 +78,7 @@
     assert!(output.status.success() && text(&output.stdout).contains("is valid"));
 }
 
-/// A missing file, an address that is none, and entries that are not there have each their own status and code.
+/// A missing file, an invalid address and unreachable entries each have their own exit status and result code.
 #[rstest]
 #[case(&["settings", "check", "/no/such/file"], 8, "BH501")]
 #[case(&["status", "--entry", "vm1:8080"], 2, "BH107")]
@@ -102,7 +102,7 @@
     );
 }
 
-/// A token is read from standard input, so that it stands in no list of processes, and only its digest is printed.
+/// The token is read from standard input, which keeps it out of process lists, and only its digest is printed.
 #[test]
 fn tokens_are_hashed_from_standard_input() {
     let mut child = Command::new(env!("CARGO_BIN_EXE_beechctl"))
--- a/crates/beechhollow/tests/operating.rs
+++ b/crates/beechhollow/tests/operating.rs
@@ -1,4 +1,4 @@
-//! What operators hold in their hands: metrics, reports, logs and the configuration check.
+//! Interfaces for operators: metrics, reports, logs and the configuration check.
 
 mod support;
 
@@ -10,13 +10,13 @@
 use std::time::Duration;
 use std::time::Instant;
 use support::BINARY;
-use support::SOON;
-use support::prepare;
+use support::TIMEOUT;
+use support::apply_first_settings;
 use support::request;
 use support::settings;
 
-/// One entry with settings in force and these lines more in its file.
-fn single(extra: &str) -> Cluster {
+/// Starts one entry with the additional configuration lines `extra`, and puts settings into force.
+fn single_entry_cluster(extra: &str) -> Cluster {
     let mut cluster = Cluster::new(BINARY, vec![EntryOptions::new("a1", "a")]).with_extra(extra);
     cluster.start_all();
     cluster.wait_ready();
@@ -24,8 +24,8 @@
     cluster
 }
 
-/// An entry starts again while its own data centre has a quorum and the settings have none. It can't tell which settings are in force, and is not
-/// ready until it can: the balancer would send callers there, who would be told that their customers are unknown.
+/// An entry restarts while its own data centre has a quorum but the settings group has none. It cannot know which settings are in force, and must not be
+/// ready until it does: otherwise the load balancer sends callers there, and they are told that their customers are unknown.
 #[test]
 fn an_entry_is_ready_only_once_it_knows_the_settings() {
     let names = [
@@ -38,12 +38,12 @@
     let options = names.map(|(name, data_centre)| EntryOptions::new(name, data_centre));
     let mut cluster = Cluster::new(BINARY, options.into());
     cluster.start_all();
-    prepare(&cluster);
+    apply_first_settings(&cluster);
     for name in ["a3", "b1", "b2", "a1"] {
         cluster.kill(name);
     }
     let left = cluster.http("a2");
-    cluster.wait_until("no settings leader is left", SOON, || {
+    cluster.wait_until("no settings leader is left", TIMEOUT, || {
         http_raw::get(left, "/v1/status").json()["in_force"]["cut_off"] == true
     });
     cluster.start("a1");
@@ -54,7 +54,7 @@
         let mut confirmed = groups.filter(|view| view["name"] == group);
         confirmed.any(|view| !view["confirmed_ms"].is_null())
     };
-    cluster.wait_until("its data centre has a leader", SOON, || {
+    cluster.wait_until("the data centre has a leader", TIMEOUT, || {
         confirmed(&status(), "jobs/a")
     });
     let seen = status();
@@ -62,12 +62,12 @@
     assert_eq!(seen["ready"], false, "{seen}");
     assert_eq!(http_raw::get(address, "/readyz").status, 503);
     cluster.start("b1");
-    cluster.wait_until("ready", SOON, || status()["ready"] == true);
+    cluster.wait_until("ready", TIMEOUT, || status()["ready"] == true);
     let answer = request(&cluster, "a1", "read", None, "x");
     assert_eq!(answer.code(), Some(200), "{answer:?}");
 }
 
-/// Metrics arrive at the StatsD address, with the request's customer, type and code.
+/// Metrics arrive at the StatsD address, tagged with the request's customer, type and result code.
 #[test]
 fn metrics_arrive_over_udp() {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -78,9 +78,9 @@
         "statsd_address: {}\ntarget_lease_ms: 1500\n",
         socket.local_addr().unwrap()
     );
-    let cluster = single(&extra);
-    let _worker = worker_of_one(&cluster);
-    cluster.wait_until("a request is answered", SOON, || {
+    let cluster = single_entry_cluster(&extra);
+    let _worker = start_worker(&cluster);
+    cluster.wait_until("a request is answered", TIMEOUT, || {
         request(&cluster, "a1", "read", None, "x").code() == Some(0)
     });
     let wanted = [
@@ -90,15 +90,15 @@
     ];
     let mut text = String::new();
     let start = Instant::now();
-    while !wanted.iter().all(|line| text.contains(line)) && start.elapsed() < SOON {
+    while !wanted.iter().all(|line| text.contains(line)) && start.elapsed() < TIMEOUT {
         let mut buffer = [0; 2_048];
         if let Ok(count) = socket.recv(&mut buffer) {
             text.push_str(&String::from_utf8_lossy(&buffer[..count]));
             text.push('\n');
         }
     }
-    let found = wanted.iter().all(|line| text.contains(line));
-    assert!(found, "{text}");
+    let all_found = wanted.iter().all(|line| text.contains(line));
+    assert!(all_found, "{text}");
     assert!(
         text.contains("customer:lumen")
             && text.contains("type:read")
@@ -107,42 +107,42 @@
     );
 }
 
-/// One worker, owned by the entry.
-fn worker_of_one(cluster: &Cluster) -> bh_testkit::Worker {
+/// Starts one worker, and waits until the entry owns it.
+fn start_worker(cluster: &Cluster) -> bh_testkit::Worker {
     let options = bh_testkit::worker::WorkerOptions::new("w0", "a", "r0", cluster.entries_of("a"));
     let worker = bh_testkit::Worker::start(options);
-    cluster.wait_until("its slots", SOON, || {
+    cluster.wait_until("its slots", TIMEOUT, || {
         http_raw::get(cluster.http("a1"), "/v1/status").json()["slots"] == 8
     });
     worker
 }
 
-/// The counters of the service-level report are kept over a restart, and the page shows each row.
+/// The counters of the burn report survive a restart, and its HTML page shows each row.
 #[test]
 fn the_burn_report_survives_a_restart() {
-    let mut cluster = single("target_lease_ms: 1500\n");
-    let _worker = worker_of_one(&cluster);
-    cluster.wait_until("a request is answered", SOON, || {
+    let mut cluster = single_entry_cluster("target_lease_ms: 1500\n");
+    let _worker = start_worker(&cluster);
+    cluster.wait_until("a request is answered", TIMEOUT, || {
         request(&cluster, "a1", "read", None, "x").code() == Some(0)
     });
-    let good = |cluster: &Cluster| {
+    let good_requests = |cluster: &Cluster| {
         let report = http_raw::get(cluster.http("a1"), "/v1/reports/burn").json();
         report["rows"][0]["windows"][0]["good"].as_u64()
     };
-    let before = good(&cluster);
+    let before = good_requests(&cluster);
     assert!(
         before >= Some(1),
         "{}",
         http_raw::get(cluster.http("a1"), "/v1/reports/burn").text()
     );
     cluster.signal("a1", "TERM");
-    assert_eq!(cluster.wait_for_exit("a1", SOON), Some(0));
+    assert_eq!(cluster.wait_for_exit("a1", TIMEOUT), Some(0));
     cluster.start("a1");
     cluster.wait_ready();
-    cluster.wait_until("settings are back", SOON, || {
+    cluster.wait_until("settings are back", TIMEOUT, || {
         cluster.revision("a1") == Some(1)
     });
-    assert_eq!(good(&cluster), before);
+    assert_eq!(good_requests(&cluster), before);
     let page = http_raw::get(cluster.http("a1"), "/v1/reports/burn?format=html").text();
     assert!(
         page.contains("lumen / read") && page.contains("<svg"),
@@ -150,7 +150,7 @@
     );
 }
 
-/// `check-config` reports every mistake with its line and ends with the documented status; a proper file passes.
+/// `check-config` reports every mistake with its line, and exits with the documented status.
 #[test]
 fn check_config_reports_every_mistake() {
     let folder = std::env::temp_dir().join(format!("bh-check-{}", std::process::id()));
@@ -172,11 +172,11 @@
     }
 }
 
-/// A log line names what it is about, as JSON when asked; tokens are in no line.
+/// With `log_format: json` every log line is valid JSON, and no line contains a token.
 #[test]
 fn logs_are_json_and_hold_no_token() {
-    let cluster = single("log_format: json\nlog_level: debug\n");
-    cluster.wait_until("the change is logged", SOON, || {
+    let cluster = single_entry_cluster("log_format: json\nlog_level: debug\n");
+    cluster.wait_until("the change is logged", TIMEOUT, || {
         cluster.logs().contains("settings changed")
     });
     let logs = cluster.logs();
--- a/crates/beechhollow/tests/refusals.rs
+++ b/crates/beechhollow/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! Every refusal is one clear numbered answer that says whether the request ran.
+//! Refusals: each has a result code and says whether the request ran.
 
 mod support;
 
@@ -8,10 +8,10 @@
 use std::io::Write;
 use std::net::TcpStream;
 use support::request;
-use support::small_system;
-use support::workers;
+use support::small_cluster;
+use support::start_workers;
 
-/// Heads that no proper client sends, and the code each is refused with.
+/// Malformed request heads, with the result code of their refusal.
 fn malformed_heads() -> Vec<(&'static str, Vec<u8>, u32)> {
     let path = "/v1/customers/lumen/requests/read";
     let head = |lines: &str| format!("POST {path} HTTP/1.1\r\nhost: x\r\n{lines}\r\n").into_bytes();
@@ -58,12 +58,12 @@
     ]
 }
 
-/// A caller sends what cannot be read, or could be read in two ways, and gets a numbered refusal at once; nothing of it
-/// reaches a worker. Unknown names, wrong methods and large bodies are refused alike.
+/// Requests that are malformed or ambiguous are refused at once with a result code, and never reach a worker. The same holds
+/// for unknown names, wrong methods and large bodies.
 #[test]
 fn malformed_and_unknown_are_refused_by_number() {
-    let cluster = small_system();
-    let workers = workers(&cluster, 2);
+    let cluster = small_cluster();
+    let workers = start_workers(&cluster, 2);
     let address = cluster.http("a1");
     for (what, bytes, code) in malformed_heads() {
         let answer = http_raw::send_bytes(address, &bytes, LIMIT);
@@ -92,12 +92,12 @@
     );
 }
 
-/// Two requests sent back to back on one connection are both answered, in order; a chunked body is read whole; a caller
-/// that waits for `100 Continue` gets it.
+/// Two pipelined requests on one connection are answered in order, a chunked body is read to its end, and a caller that
+/// waits for `100 Continue` gets it.
 #[test]
 fn connections_are_reused_and_bodies_are_read_whole() {
-    let cluster = small_system();
-    let _workers = workers(&cluster, 2);
+    let cluster = small_cluster();
+    let _workers = start_workers(&cluster, 2);
     let mut stream = TcpStream::connect(cluster.http("a1")).unwrap();
     stream.set_read_timeout(Some(LIMIT)).unwrap();
     let one = |body: &str| {
@@ -125,8 +125,7 @@
     assert!(answer.text().ends_with("ran: body"), "{answer:?}");
 }
 
-/// A caller that sends its head byte by byte, or nothing, holds its connection no longer than the idle time; others are
-/// served all the while.
+/// A caller that does not finish its request head is disconnected after the idle timeout, and others are served meanwhile.
 #[test]
 fn slow_senders_are_closed() {
     let mut cluster = bh_testkit::Cluster::new(
@@ -144,11 +143,11 @@
     assert!(matches!(closed, Ok(0)), "{closed:?}");
 }
 
-/// There is no target at all. The caller hears so by number, with the time for a resend, long before its deadline of four
-/// seconds: holding the answer back would only keep it from asking elsewhere.
+/// Without any target, a request is refused with a result code and a time for the retry, long before its deadline of four
+/// seconds: a late answer would only keep the caller from trying elsewhere.
 #[test]
 fn without_any_target_the_refusal_comes_soon() {
-    let cluster = small_system();
+    let cluster = small_cluster();
     let start = std::time::Instant::now();
     let answer = request(&cluster, "a1", "read", None, "x");
     assert_eq!(
@@ -164,11 +163,11 @@
     );
 }
 
-/// The entry must hold no io_uring descriptor and start no process: the machines it runs on forbid both.
+/// The entry must not use io_uring or start processes, since the machines on which it runs forbid both.
 #[test]
 fn the_entry_uses_epoll_and_has_no_child() {
-    let cluster = small_system();
-    let _workers = workers(&cluster, 2);
+    let cluster = small_cluster();
+    let _workers = start_workers(&cluster, 2);
     assert_eq!(request(&cluster, "a1", "read", None, "x").code(), Some(0));
     let pid = cluster.pid("a1").unwrap();
     let links: Vec<String> = std::fs::read_dir(format!("/proc/{pid}/fd"))
--- a/crates/beechhollow/tests/runs_once.rs
+++ b/crates/beechhollow/tests/runs_once.rs
@@ -1,4 +1,4 @@
-//! Workers on the wire that do more than the core hears of: what runs there must not run elsewhere as well.
+//! Simulated workers whose answers are lost on the way to the core. What runs on such a worker must not run on another one too.
 #![expect(
     clippy::unwrap_used,
     reason = "a test that meets the unexpected shall end"
@@ -28,114 +28,120 @@
 use support::LeadingCore;
 use support::Process;
 use support::entry_config;
-use support::leading_core;
 use support::metric;
-use support::wait_for;
+use support::start_leading_core;
+use support::wait_for_listener;
 
 const WORKERS: usize = 5;
 const MAX_ATTEMPTS: u32 = 2;
 /// Name of the job under test.
 const JOB: &str = "00000000000000aa";
-/// Jobs that keep a task each on every worker. So workers are asked again and again what runs there, and the second one leaves a connection to each that
-/// is kept open.
-const COMPANIONS: [&str; 2] = ["00000000000000b1", "00000000000000b2"];
-/// Jobs with a task on every worker that end at once. Their recorded ends use up the first end numbers of each worker.
+/// Jobs that keep one task each on every worker. Because of them the core probes the workers repeatedly, and the second job leaves a kept-alive
+/// connection to each worker.
+const BACKGROUND_JOBS: [&str; 2] = ["00000000000000b1", "00000000000000b2"];
+/// Jobs with one task on every worker that ends at once. Their recorded ends use up the first end numbers of each worker.
 const EARLIER_JOBS: [&str; 3] = ["00000000000000c1", "00000000000000c2", "00000000000000c3"];
 const KEY: &str = "Bearer key";
-const WAIT: Duration = Duration::from_secs(3);
-const START: Duration = Duration::from_secs(20);
-/// Within this time everything under test has happened: starts follow each other within a second or two.
-const PLAY: Duration = Duration::from_secs(12);
-const HEARTBEAT: Duration = Duration::from_millis(300);
-const TURN: Duration = Duration::from_millis(10);
-
-/// What becomes of a run under test.
+/// Timeout of one HTTP call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+/// Limit for each step of the setup.
+const SETUP_TIMEOUT: Duration = Duration::from_secs(20);
+/// Limit for the job under test. It leaves time for every start, since these follow each other within a second or two.
+const SCENARIO_TIMEOUT: Duration = Duration::from_secs(12);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+
+/// Behavior of a run under test, and of its worker.
 #[derive(Clone, Copy)]
-struct Script {
-    works_for: Duration,
-    how: &'static str,
-    then: Then,
+struct RunBehavior {
+    duration: Duration,
+    /// How the run ends, as the worker reports it.
+    end: &'static str,
+    reaction: Reaction,
 }
 
-/// What the worker does once it has begun a run under test.
+/// What the worker does once it has started a run under test.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Then {
-    /// It answers.
-    Answers,
-    /// Its connection breaks, and it is busy when the start comes again.
-    BreaksOff,
-    /// It answers, and says soon after that it ends. It hears no acknowledgement, and goes on.
-    Leaves,
+enum Reaction {
+    /// Answers.
+    Answer,
+    /// Breaks the connection without an answer, and refuses the repeated start as busy.
+    BreakConnection,
+    /// Answers, and soon announces that it leaves. It ignores the acknowledgement and keeps its runs going.
+    Leave,
 }
 
-/// The runs under test in the order in which they begin.
-type Plot = fn(begun: usize) -> Script;
+/// Behavior of each run under test, by the number of runs that were started before it.
+type Scenario = fn(started: usize) -> RunBehavior;
 
-const AT_ONCE: Script = Script {
-    works_for: Duration::from_millis(100),
-    how: "done",
-    then: Then::Answers,
+/// A run that ends at once.
+const SHORT_RUN: RunBehavior = RunBehavior {
+    duration: Duration::from_millis(100),
+    end: "done",
+    reaction: Reaction::Answer,
 };
 
-/// A long run, two that fail at once, and one that has nothing against it.
-fn broken_connections(begun: usize) -> Script {
-    let repeated = |works_ms, how| Script {
-        works_for: Duration::from_millis(works_ms),
-        how,
-        then: Then::BreaksOff,
+/// One long run and two that fail at once, each with a broken connection, and then runs that succeed.
+fn broken_connections(started: usize) -> RunBehavior {
+    let unanswered = |duration_ms, end| RunBehavior {
+        duration: Duration::from_millis(duration_ms),
+        end,
+        reaction: Reaction::BreakConnection,
     };
-    match begun {
-        0 => repeated(4_000, "done"),
-        1 | 2 => repeated(10, "failed"),
-        _ => AT_ONCE,
+    match started {
+        0 => unanswered(4_000, "done"),
+        1 | 2 => unanswered(10, "failed"),
+        _ => SHORT_RUN,
     }
 }
 
-/// A run on a worker that ends after it.
-fn unheard_leave(begun: usize) -> Script {
-    match begun {
-        0 => Script {
-            works_for: Duration::from_secs(3),
-            how: "done",
-            then: Then::Leaves,
+/// A run on a worker that leaves while the run goes on.
+fn unacknowledged_leave(started: usize) -> RunBehavior {
+    match started {
+        0 => RunBehavior {
+            duration: Duration::from_secs(3),
+            end: "done",
+            reaction: Reaction::Leave,
         },
-        _ => AT_ONCE,
+        _ => SHORT_RUN,
     }
 }
 
-/// A run that takes longer than a look at its worker.
-fn one_second(_: usize) -> Script {
-    Script {
-        works_for: Duration::from_secs(1),
-        ..AT_ONCE
+/// A run that takes longer than a probe of its worker.
+fn one_second(_: usize) -> RunBehavior {
+    RunBehavior {
+        duration: Duration::from_secs(1),
+        ..SHORT_RUN
     }
 }
 
-/// Task and number of the run.
+/// Task and attempt number of a run.
 type Run = (String, u64);
 
+/// State of one simulated worker.
 struct Worker {
     /// Start time in milliseconds since 1970.
     started_ms: u64,
-    /// Zero of the worker's clock.
+    /// Instant at which the worker's clock was zero.
     clock_zero: Instant,
-    /// Sequence number of its last heartbeat.
+    /// Sequence number of the last heartbeat.
     sequence: u64,
     /// Highest number of an acknowledged end.
     acknowledged_to: u64,
-    /// What runs, until when, and how it ends.
+    /// Current runs, with the time at which each ends and how.
     running: BTreeMap<Run, (Instant, &'static str)>,
-    /// Ends that are not known to be recorded: number, run, and how.
+    /// Ended runs whose end is not acknowledged yet: number of the end, run, and how it ended.
     ended: Vec<(u64, Run, &'static str)>,
-    ends: u64,
-    /// Starts that it still refuses as busy.
-    refusals: u32,
-    /// Whether it has said that it ends.
-    left: bool,
+    /// Number of the last end.
+    last_end: u64,
+    /// Number of starts that the worker will refuse as busy.
+    pending_refusals: u32,
+    /// Whether the worker has announced that it leaves.
+    is_leaving: bool,
 }
 
 impl Worker {
-    /// A worker that starts now and runs nothing.
+    /// Creates a worker that starts now and runs nothing.
     fn new() -> Self {
         let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
         Self {
@@ -145,9 +151,9 @@
             acknowledged_to: 0,
             running: BTreeMap::new(),
             ended: Vec::new(),
-            ends: 0,
-            refusals: 0,
-            left: false,
+            last_end: 0,
+            pending_refusals: 0,
+            is_leaving: false,
         }
     }
 
@@ -155,167 +161,177 @@
         u64::try_from(self.clock_zero.elapsed().as_millis()).unwrap()
     }
 
-    fn end(&mut self, run: &Run, how: &'static str) {
+    fn end_run(&mut self, run: &Run, end: &'static str) {
         if self.running.remove(run).is_some() {
-            self.ends += 1;
-            self.ended.push((self.ends, run.clone(), how));
+            self.last_end += 1;
+            self.ended.push((self.last_end, run.clone(), end));
         }
     }
 
-    fn pass(&mut self) {
+    fn end_due_runs(&mut self) {
         let now = Instant::now();
-        let over = self.running.iter().filter(|(_, (until, _))| now >= *until);
-        let over: Vec<_> = over.map(|(run, (_, how))| (run.clone(), *how)).collect();
-        for (run, how) in over {
-            self.end(&run, how);
+        let due = self.running.iter().filter(|(_, (until, _))| now >= *until);
+        let due: Vec<_> = due.map(|(run, (_, end))| (run.clone(), *end)).collect();
+        for (run, end) in due {
+            self.end_run(&run, end);
         }
     }
 }
 
-/// All workers, and what was seen of the job under test.
-struct World {
-    plot: Plot,
+/// All workers, and what they saw of the job under test.
+struct Simulation {
+    scenario: Scenario,
+    /// Control address of the core.
     control: SocketAddr,
-    began: Instant,
+    start_time: Instant,
     workers: Vec<Worker>,
-    begun: usize,
-    failed: u32,
-    /// Tasks with an acknowledged end as done.
-    done: BTreeSet<String>,
+    /// Number of started runs of the job under test.
+    started_runs: usize,
+    /// Number of failed runs of the job under test.
+    failed_runs: u32,
+    /// Tasks that were acknowledged as done.
+    done_tasks: BTreeSet<String>,
+    /// Starts that must not have happened.
     problems: Vec<String>,
     events: Vec<String>,
 }
 
-impl World {
-    fn note(&mut self, event: String) {
-        let at_ms = self.began.elapsed().as_millis();
+impl Simulation {
+    fn log_event(&mut self, event: String) {
+        let at_ms = self.start_time.elapsed().as_millis();
         self.events.push(format!("{at_ms} ms: {event}"));
     }
 
-    fn pass(&mut self) {
+    fn end_due_runs(&mut self) {
         for index in 0..self.workers.len() {
             let before = self.workers[index].ended.len();
-            self.workers[index].pass();
-            let over = self.workers[index].ended.split_off(before);
-            self.workers[index].ended.extend_from_slice(&over);
-            for (_, run, how) in over {
-                self.note(format!("{run:?} ends {how} on worker {index}"));
-                self.failed += u32::from(run.0.starts_with(JOB) && how == "failed");
+            self.workers[index].end_due_runs();
+            let newly_ended = self.workers[index].ended.split_off(before);
+            self.workers[index].ended.extend_from_slice(&newly_ended);
+            for (_, run, end) in newly_ended {
+                self.log_event(format!("{run:?} ends {end} on worker {index}"));
+                self.failed_runs += u32::from(run.0.starts_with(JOB) && end == "failed");
             }
         }
     }
 
-    /// Carries a start out; `None` when its connection breaks.
+    /// Carries out a start order. Returns the answer, or `None` if the connection breaks.
     fn start(&mut self, index: usize, run: Run) -> Option<(u16, Value)> {
-        if self.workers[index].refusals > 0 {
-            self.workers[index].refusals -= 1;
-            self.note(format!("{run:?} is refused by worker {index}"));
+        if self.workers[index].pending_refusals > 0 {
+            self.workers[index].pending_refusals -= 1;
+            self.log_event(format!("{run:?} is refused by worker {index}"));
             return Some((503, json!({})));
         }
-        let done = Some((200, json!({ "clockMs": self.workers[index].clock_ms() })));
+        let accepted = Some((200, json!({ "clockMs": self.workers[index].clock_ms() })));
         if self.workers[index].running.contains_key(&run) {
-            return done;
+            return accepted;
         }
         if !run.0.starts_with(JOB) {
             let is_earlier = EARLIER_JOBS.iter().any(|job| run.0.starts_with(job));
-            let works_for = if is_earlier {
-                AT_ONCE.works_for
+            let duration = if is_earlier {
+                SHORT_RUN.duration
             } else {
-                START + PLAY
+                SETUP_TIMEOUT + SCENARIO_TIMEOUT
             };
-            let until = Instant::now() + works_for;
+            let until = Instant::now() + duration;
             self.workers[index].running.insert(run, (until, "done"));
-            return done;
+            return accepted;
         }
-        self.note(format!("{run:?} begins on worker {index}"));
-        self.check_begin(&run);
-        let script = (self.plot)(self.begun);
-        self.begun += 1;
-        let until = Instant::now() + script.works_for;
-        self.workers[index].running.insert(run, (until, script.how));
-        match script.then {
-            Then::Answers => done,
-            Then::BreaksOff => {
-                self.workers[index].refusals = 1;
+        self.log_event(format!("{run:?} starts on worker {index}"));
+        self.check_start(&run);
+        let behavior = (self.scenario)(self.started_runs);
+        self.started_runs += 1;
+        let until = Instant::now() + behavior.duration;
+        self.workers[index]
+            .running
+            .insert(run, (until, behavior.end));
+        match behavior.reaction {
+            Reaction::Answer => accepted,
+            Reaction::BreakConnection => {
+                self.workers[index].pending_refusals = 1;
                 None
             }
-            Then::Leaves => {
+            Reaction::Leave => {
                 self.leave(index);
-                done
+                accepted
             }
         }
     }
 
-    /// Says that the worker drains and ends; nobody waits for the answers.
+    /// Announces that the worker drains and leaves, and ignores the answers.
     fn leave(&mut self, index: usize) {
-        self.workers[index].left = true;
+        self.workers[index].is_leaving = true;
         let control = self.control;
         thread::spawn(move || {
-            thread::sleep(2 * HEARTBEAT);
+            thread::sleep(2 * HEARTBEAT_INTERVAL);
             let path = format!("/-/instances/{}", worker_id(index));
-            http_raw::send(control, "DELETE", &path, &[], &[], WAIT);
+            http_raw::send(control, "DELETE", &path, &[], &[], CALL_TIMEOUT);
         });
     }
 
-    fn check_begin(&mut self, run: &Run) {
+    /// Records a problem if `run` must not start now.
+    fn check_start(&mut self, run: &Run) {
         let all = self.workers.iter().flat_map(|worker| worker.running.keys());
         if let Some(other) = all.into_iter().find(|other| other.0 == run.0) {
             self.problems
-                .push(format!("{run:?} begins while {other:?} runs"));
+                .push(format!("{run:?} starts while {other:?} runs"));
         }
-        if self.done.contains(&run.0) {
+        if self.done_tasks.contains(&run.0) {
             self.problems
-                .push(format!("{run:?} begins after its task was done"));
+                .push(format!("{run:?} starts after its task was done"));
         }
-        if self.failed >= MAX_ATTEMPTS {
-            self.problems
-                .push(format!("{run:?} begins after {} failed runs", self.failed));
+        if self.failed_runs >= MAX_ATTEMPTS {
+            self.problems.push(format!(
+                "{run:?} starts after {} failed runs",
+                self.failed_runs
+            ));
         }
     }
 
-    /// Crashes all workers and restarts them under the same ids.
+    /// Crashes all workers and restarts them with the same ids.
     fn restart_all(&mut self) {
         for index in 0..self.workers.len() {
-            self.note(format!("worker {index} restarts"));
+            self.log_event(format!("worker {index} restarts"));
             self.workers[index] = Worker::new();
         }
     }
 
+    /// Builds the worker's report. `cursor` is the highest end number that the core acknowledges.
     fn report(&mut self, index: usize, cursor: u64) -> Value {
         let worker = &mut self.workers[index];
         worker.acknowledged_to = worker.acknowledged_to.max(cursor);
-        let (acknowledged, left) = std::mem::take(&mut worker.ended)
+        let (acknowledged, unacknowledged) = std::mem::take(&mut worker.ended)
             .into_iter()
             .partition(|(number, _, _)| *number <= cursor);
-        worker.ended = left;
+        worker.ended = unacknowledged;
         let acknowledged: Vec<(u64, Run, &str)> = acknowledged;
         let done = acknowledged
             .into_iter()
-            .filter(|(_, _, how)| *how == "done");
-        self.done.extend(done.map(|(_, run, _)| run.0));
+            .filter(|(_, _, end)| *end == "done");
+        self.done_tasks.extend(done.map(|(_, run, _)| run.0));
         let running = worker.running.keys();
         let running: Vec<Value> = running
             .map(|(task, attempt)| json!([task, attempt, "", 1, 0]))
             .collect();
         let ended = worker.ended.iter();
         let ended: Vec<Value> = ended
-            .map(|(number, (task, attempt), how)| json!([number, task, attempt, how, ""]))
+            .map(|(number, (task, attempt), end)| json!([number, task, attempt, end, ""]))
             .collect();
         json!({ "born": worker.started_ms, "clockMs": worker.clock_ms(), "running": running, "finished": ended })
     }
 }
 
-/// The worker `index`, as its connections see it.
+/// Serves the connections of worker `index` and sends its heartbeats.
 #[derive(Clone)]
-struct Served {
+struct WorkerServer {
     index: usize,
     address: SocketAddr,
-    world: Arc<Mutex<World>>,
+    simulation: Arc<Mutex<Simulation>>,
 }
 
-impl Served {
-    fn world(&self) -> MutexGuard<'_, World> {
-        self.world.lock().unwrap()
+impl WorkerServer {
+    fn simulation(&self) -> MutexGuard<'_, Simulation> {
+        self.simulation.lock().unwrap()
     }
 
     fn serve(&self, mut stream: TcpStream) {
@@ -343,46 +359,46 @@
             (task, body["attempt"].as_u64().unwrap())
         };
         match path {
-            "/-/run-start" => self.world().start(self.index, run()),
+            "/-/run-start" => self.simulation().start(self.index, run()),
             "/-/run-stop" => {
-                let mut world = self.world();
-                world.workers[self.index].end(&run(), "stopped");
-                let clock_ms = world.workers[self.index].clock_ms();
+                let mut simulation = self.simulation();
+                simulation.workers[self.index].end_run(&run(), "stopped");
+                let clock_ms = simulation.workers[self.index].clock_ms();
                 Some((200, json!({ "clockMs": clock_ms })))
             }
             _ => {
-                let waits = Duration::from_millis(body["waitMs"].as_u64().unwrap_or(0));
-                let until = Instant::now() + waits;
+                let max_wait = Duration::from_millis(body["waitMs"].as_u64().unwrap_or(0));
+                let until = Instant::now() + max_wait;
                 let cursor = body["ackCursor"].as_u64().unwrap_or(0);
                 loop {
-                    let mut world = self.world();
-                    world.pass();
-                    let report = world.report(self.index, cursor);
-                    drop(world);
-                    let listed = report["finished"].as_array().unwrap().len();
-                    if listed > 0 || Instant::now() >= until {
+                    let mut simulation = self.simulation();
+                    simulation.end_due_runs();
+                    let report = simulation.report(self.index, cursor);
+                    drop(simulation);
+                    let ended_count = report["finished"].as_array().unwrap().len();
+                    if ended_count > 0 || Instant::now() >= until {
                         return Some((200, report));
                     }
-                    thread::sleep(TURN);
+                    thread::sleep(POLL_INTERVAL);
                 }
             }
         }
     }
 
-    fn beat(&self, control: SocketAddr) {
+    fn send_heartbeats(&self, control: SocketAddr) {
         loop {
-            let (started_ms, clock_ms, sequence, left) = {
-                let mut world = self.world();
-                let worker = &mut world.workers[self.index];
+            let (started_ms, clock_ms, sequence, is_leaving) = {
+                let mut simulation = self.simulation();
+                let worker = &mut simulation.workers[self.index];
                 worker.sequence += 1;
                 (
                     worker.started_ms,
                     worker.clock_ms(),
                     worker.sequence,
-                    worker.left,
+                    worker.is_leaving,
                 )
             };
-            let state = if left { "draining" } else { "ready" };
+            let state = if is_leaving { "draining" } else { "ready" };
             let body = json!({
                 "born": started_ms, "service": "pool", "address": self.address.to_string(), "zone": "dc", "version": "v1", "slots": 8, "state": state,
                 "coldRemainingMs": 0, "capacity": {"cpu": 16_000, "requestMemoryMb": 65_536, "gpu": 8}, "labels": ["a", "rack"],
@@ -395,9 +411,9 @@
                 &path,
                 &[],
                 body.to_string().as_bytes(),
-                WAIT,
+                CALL_TIMEOUT,
             );
-            thread::sleep(HEARTBEAT);
+            thread::sleep(HEARTBEAT_INTERVAL);
         }
     }
 }
@@ -406,6 +422,7 @@
     format!("i-{index}")
 }
 
+/// Reads one request, and returns its path and JSON body.
 fn read_request(stream: &mut TcpStream) -> Option<(String, Value)> {
     let mut bytes = Vec::new();
     let mut chunk = [0; 4 << 10];
@@ -430,52 +447,60 @@
     }
 }
 
-/// Starts the workers, which live as long as the test's process.
-fn start_workers(control: SocketAddr, plot: Plot) -> Arc<Mutex<World>> {
-    let world = Arc::new(Mutex::new(World {
-        plot,
+/// Starts the workers, which run until the test process ends.
+fn start_workers(control: SocketAddr, scenario: Scenario) -> Arc<Mutex<Simulation>> {
+    let simulation = Arc::new(Mutex::new(Simulation {
+        scenario,
         control,
-        began: Instant::now(),
+        start_time: Instant::now(),
         workers: (0..WORKERS).map(|_| Worker::new()).collect(),
-        begun: 0,
-        failed: 0,
-        done: BTreeSet::new(),
+        started_runs: 0,
+        failed_runs: 0,
+        done_tasks: BTreeSet::new(),
         problems: Vec::new(),
         events: Vec::new(),
     }));
     for (index, address) in ports::free(WORKERS).into_iter().enumerate() {
-        let served = Served {
+        let server = WorkerServer {
             index,
             address,
-            world: world.clone(),
+            simulation: simulation.clone(),
         };
         let listener = TcpListener::bind(address).unwrap();
-        let accepting = served.clone();
+        let accepting = server.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let served = accepting.clone();
-                thread::spawn(move || served.serve(stream));
+                let connection_server = accepting.clone();
+                thread::spawn(move || connection_server.serve(stream));
             }
         });
-        thread::spawn(move || served.beat(control));
+        thread::spawn(move || server.send_heartbeats(control));
     }
-    world
+    simulation
 }
 
-fn until(what: &str, limit: Duration, mut test: impl FnMut() -> bool) {
-    let end = Instant::now() + limit;
-    while !test() {
-        assert!(Instant::now() < end, "not within {limit:?}: {what}");
-        thread::sleep(TURN);
+fn wait_until(what: &str, limit: Duration, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + limit;
+    while !condition() {
+        assert!(Instant::now() < deadline, "not within {limit:?}: {what}");
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
 fn call(address: SocketAddr, method: &str, path: &str, body: &Value) -> http_raw::RawAnswer {
     let headers = [("authorization", KEY), ("deadline-ms", "3000")];
     let body = body.to_string();
-    http_raw::send(address, method, path, &headers, body.as_bytes(), WAIT)
+    http_raw::send(
+        address,
+        method,
+        path,
+        &headers,
+        body.as_bytes(),
+        CALL_TIMEOUT,
+    )
 }
 
+/// Rules with one queue, and one tenant that is guaranteed all accelerators.
 fn rules() -> Value {
     json!({"version": 1, "routes": [{"name": "queue", "host": "127.0.0.1", "pathPrefix": "/queue/", "kind": "non_idempotent", "timeoutMs": 3_000,
             "targetLatencyMs": 1_000, "priority": 0, "service": "pool", "maxAttempts": MAX_ATTEMPTS, "slackFactor": 3.0, "public": false}],
@@ -483,23 +508,24 @@
         "tenants": [{"name": "t", "apiKeys": ["key"], "guaranteed": {"gpu": 8 * WORKERS}}]})
 }
 
-fn job(count: usize, most_on_worker: usize) -> Value {
+/// A job of one step with `count` tasks. `max_per_worker` is its anti-affinity value.
+fn job(count: usize, max_per_worker: usize) -> Value {
     json!({"spec": "text", "steps": [{"count": count, "cpu": 1_000, "requestMemoryMb": 1_024, "gpu": 1, "estimatedMs": 4_000,
-        "antiAffinity": most_on_worker}]})
+        "antiAffinity": max_per_worker}]})
 }
 
-/// Plays `plot` with a job of one task; returns what was seen, and the core.
-fn play(name: &str, plot: Plot) -> (Arc<Mutex<World>>, LeadingCore) {
-    play_with_setup(name, plot, |_, _| {})
+/// Runs a job of one task under `scenario`. Returns the simulation and the core.
+fn run_scenario(name: &str, scenario: Scenario) -> (Arc<Mutex<Simulation>>, LeadingCore) {
+    run_scenario_with_setup(name, scenario, |_, _| {})
 }
 
-/// As [`play`]; calls `setup` before the job is handed in, with a function that hands in further jobs.
-fn play_with_setup(
+/// Like [`run_scenario`], but calls `setup` before the job is submitted, with a function that submits further jobs.
+fn run_scenario_with_setup(
     name: &str,
-    plot: Plot,
-    setup: impl Fn(&Mutex<World>, &dyn Fn(&str, Value)),
-) -> (Arc<Mutex<World>>, LeadingCore) {
-    let core = leading_core(&format!("{name}-core"), "");
+    scenario: Scenario,
+    setup: impl Fn(&Mutex<Simulation>, &dyn Fn(&str, Value)),
+) -> (Arc<Mutex<Simulation>>, LeadingCore) {
+    let core = start_leading_core(&format!("{name}-core"), "");
     let control = core.control;
     let addresses = ports::free(3);
     let entry = entry_config(
@@ -507,91 +533,95 @@
         core.peer_port,
     );
     let _entry = Process::start(&format!("{name}-entry"), &entry);
-    wait_for(addresses[0]);
-    until("the rules are taken", START, || {
+    wait_for_listener(addresses[0]);
+    wait_until("the rules are accepted", SETUP_TIMEOUT, || {
         call(control, "PUT", "/-/config", &rules()).status == 200
     });
-    let world = start_workers(control, plot);
-    let hand_in = |name: &str, job: Value| {
+    let simulation = start_workers(control, scenario);
+    let submit = |name: &str, job: Value| {
         let path = format!("/queue/{name}");
-        until("the job is accepted", START, || {
+        wait_until("the job is accepted", SETUP_TIMEOUT, || {
             call(addresses[0], "POST", &path, &job).status == 200
         });
     };
-    for (others, companion) in COMPANIONS.into_iter().enumerate() {
-        hand_in(companion, job(WORKERS, 1));
-        until("every worker has its task", START, || {
-            let world = world.lock().unwrap();
-            let mut workers = world.workers.iter();
-            workers.all(|worker| worker.running.len() > others)
+    for (submitted_before, name) in BACKGROUND_JOBS.into_iter().enumerate() {
+        submit(name, job(WORKERS, 1));
+        wait_until("every worker has its task", SETUP_TIMEOUT, || {
+            let simulation = simulation.lock().unwrap();
+            let mut workers = simulation.workers.iter();
+            workers.all(|worker| worker.running.len() > submitted_before)
         });
     }
-    setup(&world, &hand_in);
-    hand_in(JOB, job(1, 0));
-    let is_over = || {
+    setup(&simulation, &submit);
+    submit(JOB, job(1, 0));
+    let has_ended = || {
         let state = call(addresses[0], "GET", &format!("/queue/{JOB}"), &Value::Null);
         let state = state.json()["state"].clone();
         state == "completed" || state == "failed"
     };
-    until("the job is over", PLAY, is_over);
-    (world, core)
+    wait_until("the job has ended", SCENARIO_TIMEOUT, has_ended);
+    (simulation, core)
 }
 
-fn assert_kept(world: &World) {
-    let events = world.events.join("\n");
+fn assert_no_problems(simulation: &Simulation) {
+    let events = simulation.events.join("\n");
     assert!(
-        world.problems.is_empty(),
+        simulation.problems.is_empty(),
         "{}\n{events}",
-        world.problems.join("\n")
+        simulation.problems.join("\n")
     );
 }
 
-/// Seen: a caller's task ran twice at once, and was begun again after its last allowed failure.
-///
-/// Course: the worker carries a start out and the kept connection breaks before the answer. The core sends the start again over a new one,
-/// and the worker, busy by then, refuses it. The task began elsewhere at once, and the failure of the first run counted for nothing.
-/// Cause: of an order that goes out twice only the second answer was known, so its refusal was taken to mean that the run never began.
-/// Proof: the worker's own list of runs, here; before the repair the second to fourth run began beside the first, in ten of ten plays.
+/// Guards against running a task twice at once, and after its last allowed failure. A worker carries out a start, but the kept-alive connection breaks
+/// before the answer. The core sends the start again over a new connection, and the worker, busy by then, refuses it. The refusal was taken to mean
+/// that the run never started, so the task started elsewhere at once, and the failure of the first run was not counted. The worker's own list of runs
+/// shows the fault: the second to fourth run started beside the first, in ten of ten executions.
 #[test]
 fn a_start_that_is_refused_when_it_comes_again_may_have_begun() {
-    let (world, core) = play("repeated-starts", broken_connections);
-    let world = world.lock().unwrap();
-    assert_kept(&world);
-    assert!(world.begun > 1, "nothing was begun again");
+    let (simulation, core) = run_scenario("repeated-starts", broken_connections);
+    let simulation = simulation.lock().unwrap();
+    assert_no_problems(&simulation);
+    assert!(simulation.started_runs > 1, "nothing was started again");
     let repeated = metric(core.metrics, "orders_repeated_total");
     assert!(repeated > Some(0), "no order was sent again");
 }
 
-/// A worker says that it ends and hears no acknowledgement, so that it goes on for seconds. Were its word taken for the end of what runs there, its
-/// task would begin elsewhere beside it.
+/// A worker announces that it leaves, but gets no acknowledgement and keeps running for seconds. If the announcement counted as the end of its runs,
+/// the task would start elsewhere at the same time.
 #[test]
 fn a_worker_that_leaves_unheard_runs_on() {
-    let (world, _core) = play("unheard-leave", unheard_leave);
-    assert_kept(&world.lock().unwrap());
+    let (simulation, _core) = run_scenario("unheard-leave", unacknowledged_leave);
+    assert_no_problems(&simulation.lock().unwrap());
 }
 
-/// Guards against repeating a task that is done: a worker that restarts under the same id numbers its ends from 1 again, and these ends were mistaken for
-/// recorded ones.
+/// Guards against repeating a task that is done. A worker that restarts with the same id numbers its ends from 1 again, and these ends were mistaken
+/// for ends that were already recorded.
 #[test]
 fn ends_of_a_worker_that_starts_again_under_its_id_count() {
-    let (world, _core) = play_with_setup("restarted", one_second, |world, hand_in| {
-        for name in EARLIER_JOBS {
-            hand_in(name, job(WORKERS, 1));
-        }
-        let earlier = u64::try_from(EARLIER_JOBS.len()).unwrap();
-        until("the earlier ends are acknowledged", START, || {
-            let world = world.lock().unwrap();
-            let mut workers = world.workers.iter();
-            workers.all(|worker| worker.acknowledged_to >= earlier)
-        });
-        world.lock().unwrap().restart_all();
-        until("the companions run again", START, || {
-            let world = world.lock().unwrap();
-            let mut workers = world.workers.iter();
-            workers.all(|worker| worker.running.len() == COMPANIONS.len())
+    let (simulation, _core) =
+        run_scenario_with_setup("restarted", one_second, |simulation, submit| {
+            for name in EARLIER_JOBS {
+                submit(name, job(WORKERS, 1));
+            }
+            let earlier = u64::try_from(EARLIER_JOBS.len()).unwrap();
+            wait_until("the earlier ends are acknowledged", SETUP_TIMEOUT, || {
+                let simulation = simulation.lock().unwrap();
+                let mut workers = simulation.workers.iter();
+                workers.all(|worker| worker.acknowledged_to >= earlier)
+            });
+            simulation.lock().unwrap().restart_all();
+            wait_until("the background jobs run again", SETUP_TIMEOUT, || {
+                let simulation = simulation.lock().unwrap();
+                let mut workers = simulation.workers.iter();
+                workers.all(|worker| worker.running.len() == BACKGROUND_JOBS.len())
+            });
         });
-    });
-    let world = world.lock().unwrap();
-    assert_kept(&world);
-    assert_eq!(world.begun, 1, "{}", world.events.join("\n"));
+    let simulation = simulation.lock().unwrap();
+    assert_no_problems(&simulation);
+    assert_eq!(
+        simulation.started_runs,
+        1,
+        "{}",
+        simulation.events.join("\n")
+    );
 }
--- a/crates/beechhollow/tests/serve.rs
+++ b/crates/beechhollow/tests/serve.rs
@@ -1,4 +1,4 @@
-//! The processes of a deployment, as an operator starts and stops them.
+//! Starting, observing and stopping the processes of a deployment.
 
 mod support;
 
@@ -9,20 +9,20 @@
 use std::time::Instant;
 use support::Process;
 use support::entry_config;
-use support::leading_core;
 use support::metric;
-use support::wait_for;
+use support::start_leading_core;
+use support::wait_for_listener;
 
-/// Calls that are each refused with a log line: more than the pipe and the queue of lines hold together.
+/// Number of calls that are refused, each with a log line: more lines than the pipe and the log queue hold together.
 const REFUSED_CALLS: usize = 8_000;
 
-/// An entry is told to stop. Its log, read to the end, must say that it started, drained and ended: an engineer who finds the last line
-/// missing would take it for a crash. Its metrics are served until then.
+/// The log of an entry that gets SIGTERM must say that it started, drained and ended. If the last line were missing, the end would look like a
+/// crash. The entry serves its metrics until it gets the signal.
 #[test]
 fn the_last_lines_of_a_process_are_written() {
     let addresses = ports::free(4);
     let mut process = Process::start("last-lines", &entry_config(&addresses, 1));
-    wait_for(addresses[0]);
+    wait_for_listener(addresses[0]);
     let refused = http_raw::get(addresses[0], "/queue/00000000000000ab");
     assert_eq!(refused.status, 503);
     assert_eq!(metric(addresses[2], "calls_unavailable_total"), Some(1));
@@ -36,45 +36,44 @@
     }
 }
 
-/// An entry of a data centre that is cut off is not ready, and the balancer leads new connections past it; those that are open stay. Its
-/// callers must be told to open new ones, or they are refused on the old ones until they give up.
+/// When an entry's data centre is cut off, the entry is not ready and the load balancer sends new connections elsewhere, but open connections stay.
+/// Callers must be told to close these, or they are refused on them until they give up.
 #[test]
 fn an_entry_that_is_not_ready_keeps_no_connection() {
     let addresses = ports::free(4);
     let _process = Process::start("not-ready", &entry_config(&addresses, 1));
-    wait_for(addresses[0]);
+    wait_for_listener(addresses[0]);
     let request = b"GET /queue/00000000000000ab HTTP/1.1\r\nhost: x\r\n\r\n";
     let refused = http_raw::send_bytes(addresses[0], request, Duration::from_secs(5));
     assert_eq!(refused.status, 503);
     assert_eq!(refused.header("connection"), Some("close"));
 }
 
-/// Whoever reads the log stands still, and the pipe fills up. Callers must not notice: a process that waited for its log would answer
-/// nobody. What is left out is counted, and the process still ends when told to.
+/// The reader of the log hangs, and the pipe fills up. A process that waits for its log would answer no caller. Instead it drops log lines and counts
+/// them, and still ends on SIGTERM.
 #[test]
 fn a_log_that_nobody_reads_stops_no_caller() {
     let addresses = ports::free(4);
     let mut process = Process::start("unread-log", &entry_config(&addresses, 1));
-    wait_for(addresses[0]);
-    let began = Instant::now();
+    wait_for_listener(addresses[0]);
+    let start = Instant::now();
     for _ in 0..REFUSED_CALLS {
         assert_eq!(
             http_raw::get(addresses[0], "/q/00000000000000ab").status,
             503
         );
     }
-    assert!(began.elapsed() < Duration::from_secs(60));
+    assert!(start.elapsed() < Duration::from_secs(60));
     let dropped = metric(addresses[2], "log_lines_dropped").unwrap();
     assert!(dropped > 0, "no line was left out");
     process.terminate();
     assert!(process.child.wait().unwrap().success());
 }
 
-/// A core forms a group of its own and leads. An engineer sees that from outside, in its metrics and in the answers to operators; for a job
-/// that is not there the answer carries a numbered code.
+/// A core that forms a group of its own shows in its metrics and its status that it leads. For an unknown job the answer has a result code.
 #[test]
 fn a_core_tells_what_it_is() {
-    let core = leading_core("core", "");
+    let core = start_leading_core("core", "");
     let metrics = core.metrics;
     assert_eq!(metric(metrics, "voters"), Some(1));
     assert_eq!(metric(metrics, "workers"), Some(0));
@@ -85,20 +84,21 @@
     assert!(job.text().contains("\"code\":113"), "{}", job.text());
 }
 
-/// An operator evacuates a data centre by the product's own interface and reads that back, from outside the platform too; a name that the deployment does not have is
-/// told at once, and nothing is recorded. Sent twice, or ended without a beginning, an order is acknowledged all the same.
+/// An operator starts and ends the evacuation of a data centre, through the product's own interface or the platform's, and sees it in the metrics and the
+/// status. An unknown data centre is refused and nothing is recorded. Orders are idempotent: one that is sent twice, or ends what never started, is
+/// acknowledged.
 #[test]
 fn a_core_takes_evacuations() {
     const WAIT: Duration = Duration::from_secs(10);
-    let core = leading_core("evacuations", "data_centres: 'dc,other'\n");
+    let core = start_leading_core("evacuations", "data_centres: 'dc,other'\n");
     let (control, metrics) = (core.control, core.metrics);
     let send =
         |address, method: &str, path: &str| http_raw::send(address, method, path, &[], &[], WAIT);
     let ended = send(metrics, "DELETE", "/v1/evacuations/other");
     assert_eq!(ended.status, 200);
     for _ in 0..2 {
-        let begun = send(metrics, "POST", "/v1/evacuations/other");
-        assert_eq!(begun.status, 200, "{}", begun.text());
+        let started = send(metrics, "POST", "/v1/evacuations/other");
+        assert_eq!(started.status, 200, "{}", started.text());
     }
     assert_eq!(metric(metrics, "data_centres_evacuated"), Some(1));
     let status = http_raw::get(metrics, "/v1/status").text();
--- a/crates/beechhollow/tests/settings.rs
+++ b/crates/beechhollow/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings under races, cuts, restarts and lost disks.
+//! Settings under concurrent changes, network partitions, restarts and lost disks.
 #![expect(
     clippy::unwrap_used,
     reason = "a test that meets the unexpected shall end"
@@ -19,26 +19,27 @@
 use std::time::Duration;
 use std::time::Instant;
 use support::BINARY;
-use support::SOON;
+use support::TIMEOUT;
+use support::apply_first_settings;
 use support::entries;
-use support::prepare;
 use support::settings;
 
-fn micros(start: Instant) -> u64 {
+/// Microseconds since `start`.
+fn elapsed_us(start: Instant) -> u64 {
     u64::try_from(start.elapsed().as_micros()).unwrap()
 }
 
-/// One operator: reads, changes, resends once in a while, notes what it saw.
-fn operate(
+/// One operator: reads the revision, sends each change twice, and records the answers.
+fn run_operator(
     cluster: &Cluster,
     entry: &str,
     number: usize,
     start: Instant,
-    until: &AtomicBool,
+    stop: &AtomicBool,
     seen: &Mutex<Vec<ChangeSeen>>,
 ) {
     let mut count = 0;
-    while !until.load(Ordering::SeqCst) {
+    while !stop.load(Ordering::SeqCst) {
         let Some(base_revision) = cluster.revision(entry) else {
             thread::sleep(Duration::from_millis(20));
             continue;
@@ -47,7 +48,7 @@
         let change_id = format!("op{number}-{count}");
         let yaml = settings(&format!("op{number}: {{weight: {}}}", count % 900 + 1));
         for _ in 0..2 {
-            let sent = micros(start);
+            let sent = elapsed_us(start);
             let answer = cluster.apply(entry, &change_id, base_revision, &yaml);
             let result = match answer.code() {
                 Some(0) => answer.json()["revision"].as_u64().map(Ok),
@@ -58,7 +59,7 @@
                 change_id: change_id.clone(),
                 base_revision,
                 sent,
-                answered: micros(start),
+                answered: elapsed_us(start),
                 answer: result,
             };
             seen.lock().unwrap().push(change);
@@ -66,15 +67,16 @@
     }
 }
 
-fn watch(
+/// Reads the revision of an entry again and again, and records what it saw.
+fn read_revisions(
     cluster: &Cluster,
     entry: &str,
     start: Instant,
-    until: &AtomicBool,
+    stop: &AtomicBool,
     seen: &Mutex<Vec<ReadSeen>>,
 ) {
-    while !until.load(Ordering::SeqCst) {
-        let at = micros(start);
+    while !stop.load(Ordering::SeqCst) {
+        let at = elapsed_us(start);
         if let Some(revision) = cluster.revision(entry) {
             seen.lock().unwrap().push(ReadSeen {
                 entry: entry.to_owned(),
@@ -86,25 +88,25 @@
     }
 }
 
-/// Four operators race with equal numbers through four entries and resend every change, while entries are killed,
-/// frozen, isolated and started again. Each race has one winner, a resend gets the first answer, no entry ever goes
-/// back, and at the end every entry has the newest revision in force.
+/// Four operators change the same base revisions through four entries and resend every change, while entries are killed,
+/// frozen, cut off and restarted. One change per base revision wins, a resend gets the first answer, no entry goes back
+/// to an older revision, and in the end every entry has the newest revision in force.
 #[test]
 fn racing_operators_under_faults() {
     let mut cluster = Cluster::new(BINARY, entries())
         .with_links()
         .with_extra("snapshot_entries: 64\n");
     cluster.start_all();
-    prepare(&cluster);
-    let (start, until) = (Instant::now(), AtomicBool::new(false));
+    apply_first_settings(&cluster);
+    let (start, stop) = (Instant::now(), AtomicBool::new(false));
     let (changes, reads) = (Mutex::new(Vec::new()), Mutex::new(Vec::new()));
     let names = cluster.names();
-    // Operators and faults share the cluster: faults go through signals and links, which need no exclusive access.
+    // The operators share the cluster with the faults, which use signals and links and so need no exclusive access.
     thread::scope(|scope| {
         for (number, name) in names.iter().enumerate() {
-            let (cluster, until, changes, reads) = (&cluster, &until, &changes, &reads);
-            scope.spawn(move || operate(cluster, name, number, start, until, changes));
-            scope.spawn(move || watch(cluster, name, start, until, reads));
+            let (cluster, stop, changes, reads) = (&cluster, &stop, &changes, &reads);
+            scope.spawn(move || run_operator(cluster, name, number, start, stop, changes));
+            scope.spawn(move || read_revisions(cluster, name, start, stop, reads));
         }
         for round in 0..3 {
             let victim = format!("a{}", round % 3 + 1);
@@ -119,7 +121,7 @@
             cluster.isolate(&isolated, false);
         }
         thread::sleep(Duration::from_millis(1_000));
-        until.store(true, Ordering::SeqCst);
+        stop.store(true, Ordering::SeqCst);
     });
     let changes = changes.into_inner().unwrap();
     let newest = changes
@@ -134,17 +136,17 @@
         Vec::<String>::new()
     );
     for name in &names {
-        cluster.wait_until("the newest revision in force", SOON, || {
+        cluster.wait_until("the newest revision in force", TIMEOUT, || {
             cluster.revision(name) >= Some(newest)
         });
     }
-    // All entries die at once and come back: what was accepted is still in force, and a resend is still known.
+    // After a crash and restart of all entries, accepted changes are still in force and a resend still gets the first answer.
     for name in &names {
         cluster.kill(name);
     }
     cluster.start_all();
     for name in &names {
-        cluster.wait_until("the newest revision after a restart", SOON, || {
+        cluster.wait_until("the newest revision after a restart", TIMEOUT, || {
             cluster.revision(name) >= Some(newest)
         });
     }
@@ -160,27 +162,27 @@
         .unwrap();
     let count: usize = first.change_id.split('-').nth(1).unwrap().parse().unwrap();
     let yaml = settings(&format!("op{number}: {{weight: {}}}", count % 900 + 1));
-    cluster.wait_until("a leader after the restart", SOON, || {
+    cluster.wait_until("a leader after the restart", TIMEOUT, || {
         let again = cluster.apply("a2", &first.change_id, first.base_revision, &yaml);
         again.code() == Some(0)
             && again.json()["revision"].as_u64() == first.answer.and_then(Result::ok)
     });
 }
 
-/// An entry that is isolated keeps the settings it had, says that it is cut off, refuses a change as not run, and has
-/// the newest in force soon after it is back.
+/// An entry that is cut off keeps its settings, reports that it is cut off, and refuses changes as not run. Soon after it is
+/// connected again, it has the newest settings in force.
 #[test]
 fn an_isolated_entry_serves_on_and_refuses_changes() {
     let mut cluster = Cluster::new(BINARY, entries()).with_links();
     cluster.start_all();
-    prepare(&cluster);
+    apply_first_settings(&cluster);
     cluster.isolate("a1", true);
-    cluster.wait_until("a1 says it is cut off", SOON, || {
+    cluster.wait_until("a1 says it is cut off", TIMEOUT, || {
         bh_testkit::http_raw::get(cluster.http("a1"), "/v1/status").json()["in_force"]["cut_off"]
             == true
     });
     assert_eq!(cluster.revision("a1"), Some(1));
-    cluster.wait_until("the others accept a change", SOON, || {
+    cluster.wait_until("the others accept a change", TIMEOUT, || {
         cluster.apply("a2", "during", 1, &settings("x: {}")).code() == Some(0)
     });
     let refused = cluster.apply("a1", "refused", 1, &settings("y: {}"));
@@ -196,13 +198,13 @@
     });
 }
 
-/// A voter's disk is lost: it comes back empty, under a new identity, catches up by snapshot and is voted in again. Then
-/// a second VM is lost for good. What was accepted stays in force, and new changes are accepted by the two that remain.
+/// A voter loses its disk, comes back empty under a new identity, catches up from a snapshot and becomes a voter again. Then
+/// a second VM is lost for good. Accepted changes stay in force, and the two remaining voters accept new ones.
 #[test]
 fn a_second_vm_lost_right_after_a_repair() {
     let mut cluster = Cluster::new(BINARY, entries()).with_extra("snapshot_entries: 32\n");
     cluster.start_all();
-    prepare(&cluster);
+    apply_first_settings(&cluster);
     for revision in 1..100 {
         let yaml = settings(&format!("x: {{weight: {revision}}}"));
         assert_eq!(
@@ -215,7 +217,7 @@
     cluster.kill("a1");
     std::fs::remove_dir_all(cluster.data_folder("a1")).unwrap();
     cluster.start("a1");
-    cluster.wait_until("a1 has caught up", SOON, || {
+    cluster.wait_until("a1 has caught up", TIMEOUT, || {
         cluster.revision("a1") == Some(100)
     });
     let role = |name: &str| {
@@ -225,19 +227,19 @@
             .unwrap_or("")
             .to_owned()
     };
-    cluster.wait_until("a1 votes again", SOON, || {
+    cluster.wait_until("a1 votes again", TIMEOUT, || {
         role("a1") == "voter" || role("a1") == "leader"
     });
     cluster.kill("a2");
-    cluster.wait_until("a change after the second loss", SOON, || {
+    cluster.wait_until("a change after the second loss", TIMEOUT, || {
         cluster.apply("a3", "after", 100, &settings("z: {}")).code() == Some(0)
     });
-    cluster.wait_until("in force on a1", SOON, || {
+    cluster.wait_until("in force on a1", TIMEOUT, || {
         cluster.revision("a1") == Some(101)
     });
 }
 
-/// A team's operator changes its own subtree and no other; a token that is no longer in the settings changes nothing.
+/// A team's operator can change only the team's own subtree, and an unknown token can change nothing.
 #[test]
 fn operators_change_only_their_own_subtree() {
     let mut cluster = Cluster::new(BINARY, vec![bh_testkit::EntryOptions::new("a1", "a")]);
@@ -294,6 +296,7 @@
     assert_eq!(cluster.revision("a1"), Some(2));
 }
 
+/// SHA-256 of a token in hexadecimal digits.
 fn sha256(token: &str) -> Option<String> {
     let output = std::process::Command::new("sh")
         .arg("-c")
@@ -309,10 +312,10 @@
     )
 }
 
-/// Two data centres are cut off from each other. Each goes on placing jobs and answering requests on its own targets; the
-/// one with the majority of the settings' voters accepts changes, the other keeps what it had and refuses them as not
-/// run, as it refuses non-idempotent requests whose record is kept on the other side. When the cut is mended the
-/// newest settings are in force everywhere.
+/// Two data centres are cut off from each other. Each keeps placing jobs and answering requests on its own targets. The one
+/// with the majority of the settings' voters accepts changes. The other keeps its settings and refuses changes as not run,
+/// as well as non-idempotent requests whose record is kept on the other side. After the partition ends, the newest settings
+/// are in force everywhere.
 #[test]
 fn a_data_centre_that_is_cut_off_serves_on() {
     let names = [
@@ -330,7 +333,7 @@
         .with_links()
         .with_extra("target_lease_ms: 1500\n");
     cluster.start_all();
-    prepare(&cluster);
+    apply_first_settings(&cluster);
     let start = |name: &str, centre: &str| {
         let options =
             bh_testkit::worker::WorkerOptions::new(name, centre, "r", cluster.entries_of(centre));
@@ -340,11 +343,11 @@
     let slots = |name: &str| {
         bh_testkit::http_raw::get(cluster.http(name), "/v1/status").json()["slots"].as_u64()
     };
-    cluster.wait_until("owners on both sides", SOON, || {
+    cluster.wait_until("owners on both sides", TIMEOUT, || {
         slots("a1").max(slots("a2")).max(slots("a3")) == Some(8)
             && slots("b1").max(slots("b2")) == Some(8)
     });
-    let cut = |on: bool| {
+    let set_partition = |on: bool| {
         for (from, _) in names.iter().filter(|(_, centre)| *centre == "a") {
             for (to, _) in names.iter().filter(|(_, centre)| *centre == "b") {
                 cluster.link(from, to).set_cut(on);
@@ -352,12 +355,12 @@
             }
         }
     };
-    cut(true);
-    cluster.wait_until("b says it is cut off", SOON, || {
+    set_partition(true);
+    cluster.wait_until("b says it is cut off", TIMEOUT, || {
         bh_testkit::http_raw::get(cluster.http("b1"), "/v1/status").json()["in_force"]["cut_off"]
             == true
     });
-    cluster.wait_until("a accepts a change", SOON, || {
+    cluster.wait_until("a accepts a change", TIMEOUT, || {
         cluster.apply("a1", "during", 1, &settings("x: {}")).code() == Some(0)
     });
     let refused = cluster.apply("b2", "refused", 1, &settings("y: {}"));
@@ -367,18 +370,18 @@
         "{refused:?}"
     );
     for entry in ["a2", "b1", "b2"] {
-        cluster.wait_until("requests are served on both sides", SOON, || {
+        cluster.wait_until("requests are served on both sides", TIMEOUT, || {
             support::request(&cluster, entry, "read", None, "x").code() == Some(0)
         });
     }
     let path = "/v1/customers/crumb/jobs?data_centre=b";
     let body = serde_json::json!({ "key": "cut", "shape": "one", "request_type": "train", "declared_ms": 10, "payload": "run_ms=100" });
-    cluster.wait_until("a job is taken in b", SOON, || {
+    cluster.wait_until("a job is accepted in b", TIMEOUT, || {
         bh_testkit::http_raw::post(cluster.http("b1"), path, &[], body.to_string().as_bytes())
             .code()
             == Some(0)
     });
-    cluster.wait_until("and runs to its end", SOON, || {
+    cluster.wait_until("and runs to its end", TIMEOUT, || {
         bh_testkit::http_raw::get(
             cluster.http("b2"),
             "/v1/customers/crumb/jobs/1?data_centre=b",
@@ -397,9 +400,9 @@
         booked.contains(&Some(0)) && booked.contains(&Some(203)),
         "{booked:?}"
     );
-    cut(false);
+    set_partition(false);
     for (name, _) in names {
-        cluster.wait_until("the newest settings everywhere", SOON, || {
+        cluster.wait_until("the newest settings everywhere", TIMEOUT, || {
             cluster.revision(name) == Some(2)
         });
     }
--- a/crates/beechhollow/tests/soak.rs
+++ b/crates/beechhollow/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A short run of the soak: real processes, faults from outside, the promises checked meanwhile.
+//! Short soak tests: real processes under injected faults, with the service's guarantees checked throughout.
 
 use bh_soak::FaultKinds;
 use bh_soak::Load;
@@ -9,23 +9,24 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Too few for a leader that talks to the four workers of the soak itself.
+/// Descriptor limit that is too low for a leader to connect to the soak's four workers itself.
 const FEW_DESCRIPTORS: usize = 40;
 
-/// Callers hand in and take back jobs, an operator changes the rules, while cores and entries are killed, paused, stalled again and again, told to stop, cut off and
-/// emptied, and workers crash, fall silent, fail what they start, break connections, refuse and answer late. Nothing runs twice or after its last allowed failure, nothing refused runs, no rules go back, and every accepted job ends. The same where
-/// cores have so few descriptors that they share the workers: then the core that carries an order may be lost as well as the one that gives it.
+/// Callers submit and cancel jobs and an operator changes the rules, while cores and entries are killed, paused, stalled repeatedly, stopped, cut off and
+/// emptied, and workers crash, fall silent, fail runs, break connections, refuse orders and answer late. No task runs twice or after its last allowed
+/// failure, no refused job runs, rules never go back to an older version, and every accepted job ends. The same must hold if cores have so few descriptors
+/// that they share the workers: then the core that relays an order may be lost as well as the core that gives it.
 #[rstest]
 #[case(11, None)]
 #[case(12, None)]
 #[case(13, Some(FEW_DESCRIPTORS))]
 #[case(14, Some(FEW_DESCRIPTORS))]
 fn promises_hold_under_faults(#[case] seed: u64, #[case] descriptors: Option<usize>) {
-    check(seed, options(descriptors, FaultKinds::All));
+    run_and_check(seed, options(descriptors, FaultKinds::All));
 }
 
-/// Workers carry orders out, close the connection without an answer and refuse what is sent again: what an order that was sent twice may have
-/// begun is not begun elsewhere. Seen to fail by a second send of which only the refusal was known.
+/// Workers carry out orders, close the connection without an answer and refuse the repeated order. A run that the first order may have started must not
+/// start elsewhere. This failed when only the refusal of the second order was taken into account.
 #[rstest]
 #[case(22, None)]
 #[case(33, Some(FEW_DESCRIPTORS))]
@@ -33,11 +34,11 @@
     #[case] seed: u64,
     #[case] descriptors: Option<usize>,
 ) {
-    check(seed, options(descriptors, FaultKinds::RefusalsOnly));
+    run_and_check(seed, options(descriptors, FaultKinds::RefusalsOnly));
 }
 
-/// Gangs and wide steps while one leader after the other is killed, frozen, cut off, told to stop or emptied: guards against accepted jobs that
-/// have nothing running for 3 s once the group is calm, though there is room for them.
+/// Gangs and steps with many tasks, while one leader after the other is killed, frozen, cut off, stopped or emptied. Guards against accepted jobs that
+/// have nothing running for 3 s, although the group is stable again and has free capacity for them.
 #[test]
 fn no_job_stands_still_after_leaders_are_lost() {
     let options = Options {
@@ -59,9 +60,10 @@
         without_evacuations: true,
         ..options(None, FaultKinds::Leaders)
     };
-    check(44, options);
+    run_and_check(44, options);
 }
 
+/// Options that the tests have in common.
 fn options(descriptors: Option<usize>, kinds: FaultKinds) -> Options {
     Options {
         fault_duration: Duration::from_secs(12),
@@ -72,7 +74,8 @@
     }
 }
 
-fn check(seed: u64, options: Options) {
+/// Runs the soak, and fails on any problem.
+fn run_and_check(seed: u64, options: Options) {
     let binary = Path::new(env!("CARGO_BIN_EXE_beechhollow"));
     let report = run(binary, seed, &options);
     assert!(
--- a/crates/beechhollow/tests/support/mod.rs
+++ b/crates/beechhollow/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of whole systems share.
+//! Helpers shared by the tests of whole clusters.
 #![allow(
     dead_code,
     unused_imports,
@@ -22,14 +22,15 @@
 pub use processes::LeadingCore;
 pub use processes::Process;
 pub use processes::entry_config;
-pub use processes::leading_core;
 pub use processes::metric;
-pub use processes::wait_for;
+pub use processes::start_leading_core;
+pub use processes::wait_for_listener;
 
 pub const BINARY: &str = env!("CARGO_BIN_EXE_beechhollow");
-pub const SOON: Duration = Duration::from_secs(20);
+/// Limit for waiting on a condition that should hold soon.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Settings of the tests: two customers of one team, one with a guarantee.
+/// Settings for the tests: one team with two customers, one of them with a guarantee, and an optional further customer.
 pub fn settings(extra_customer: &str) -> String {
     format!(
         "system:
@@ -55,14 +56,15 @@
     )
 }
 
-/// Three entries in one data centre and one in another, all ready, with settings in force.
-pub fn small_system() -> Cluster {
+/// Starts three entries in one data centre and one in another, and waits until they are ready with settings in force.
+pub fn small_cluster() -> Cluster {
     let mut cluster = Cluster::new(BINARY, entries()).with_extra("target_lease_ms: 1500\n");
     cluster.start_all();
-    prepare(&cluster);
+    apply_first_settings(&cluster);
     cluster
 }
 
+/// Options of three entries in data centre `a`, and one in `b` without a disk.
 pub fn entries() -> Vec<EntryOptions> {
     vec![
         EntryOptions::new("a1", "a"),
@@ -72,21 +74,21 @@
     ]
 }
 
-/// Waits for the entries and applies the settings.
-pub fn prepare(cluster: &Cluster) {
+/// Waits until the entries are ready, and puts the settings into force on all of them.
+pub fn apply_first_settings(cluster: &Cluster) {
     cluster.wait_ready();
-    cluster.wait_until("the first settings accepted", SOON, || {
+    cluster.wait_until("the first settings accepted", TIMEOUT, || {
         cluster.apply("a1", "first", 0, &settings("")).code() == Some(0)
     });
     for name in cluster.names() {
-        cluster.wait_until("settings in force everywhere", SOON, || {
+        cluster.wait_until("settings in force everywhere", TIMEOUT, || {
             cluster.revision(&name) == Some(1)
         });
     }
 }
 
-/// Workers `w0`, `w1`, ... of data centre `a`, two to a rack, announced and owned.
-pub fn workers(cluster: &Cluster, count: usize) -> Vec<Worker> {
+/// Starts workers `w0`, `w1`, ... in data centre `a`, two per rack, and waits until all have an owner.
+pub fn start_workers(cluster: &Cluster, count: usize) -> Vec<Worker> {
     let workers: Vec<Worker> = (0..count)
         .map(|index| {
             let rack = format!("r{}", index / 2);
@@ -98,18 +100,18 @@
             ))
         })
         .collect();
-    wait_owned(cluster, count);
+    wait_for_owners(cluster, count);
     workers
 }
 
-/// Waits until `count` targets have an owner, and every entry of their data centre knows the slots that the owners hold: an owner is
-/// recorded before its lease is in force, and the others are told after that.
-pub fn wait_in_force(cluster: &Cluster, count: usize) {
+/// Waits until `count` targets have an owner and every entry of their data centre knows the owners' free slots. This is later than the
+/// owner's record: the owner's lease takes effect after it, and the other entries hear of the slots after that.
+pub fn wait_for_known_slots(cluster: &Cluster, count: usize) {
     const SLOTS: u64 = 8;
-    wait_owned(cluster, count);
+    wait_for_owners(cluster, count);
     let wanted = SLOTS * u64::try_from(count).unwrap_or(u64::MAX);
     for name in ["a1", "a2", "a3"] {
-        cluster.wait_until("all slots known", SOON, || {
+        cluster.wait_until("all slots known", TIMEOUT, || {
             let status = http_raw::get(cluster.http(name), "/v1/status").json();
             let peers = status["peers"].as_array().into_iter().flatten();
             let of_peers: u64 = peers.filter_map(|peer| peer["free_slots"].as_u64()).sum();
@@ -119,9 +121,9 @@
 }
 
 /// Waits until `count` targets have an owner.
-pub fn wait_owned(cluster: &Cluster, count: usize) {
+pub fn wait_for_owners(cluster: &Cluster, count: usize) {
     let address = cluster.http("b1");
-    cluster.wait_until("all targets owned", SOON, || {
+    cluster.wait_until("all targets owned", TIMEOUT, || {
         let targets = http_raw::get(address, "/v1/targets?data_centre=a").json();
         targets
             .as_array()
@@ -129,16 +131,17 @@
     });
 }
 
-pub fn fault(change: impl FnOnce(&mut Faults)) -> Faults {
+/// Builds faults from the defaults with `change` applied.
+pub fn faults(change: impl FnOnce(&mut Faults)) -> Faults {
     let mut faults = Faults::default();
     change(&mut faults);
     faults
 }
 
-/// Waits until every group has a leader, as the entries that take part in it see it.
-pub fn wait_led(cluster: &Cluster) {
+/// Waits until every entry knows a leader for each of its groups.
+pub fn wait_for_leaders(cluster: &Cluster) {
     for name in cluster.names() {
-        cluster.wait_until("all groups led", SOON, || {
+        cluster.wait_until("all groups led", TIMEOUT, || {
             let status = http_raw::get(cluster.http(&name), "/v1/status").json();
             let groups = status["groups"].as_array();
             groups.is_some_and(|groups| groups.iter().all(|group| !group["leader"].is_null()))
@@ -146,58 +149,60 @@
     }
 }
 
-/// What an entry logs when a write to its journal took long.
+/// Text that an entry logs when a write to its journal took long.
 pub const SLOW_DISK: &str = "slow write to the journal";
-/// What an entry logs when its groups decided nothing for a while: its disk was slow, or a leader had lost its quorum.
-const UNDECIDED: [&str; 2] = [SLOW_DISK, "no longer leader"];
+/// Texts that an entry logs when its groups committed nothing for a while: its disk was slow, or a leader had lost its quorum.
+const COMMIT_STALL_TEXTS: [&str; 2] = [SLOW_DISK, "no longer leader"];
 
-/// Whether the entries' logs say that a group decided nothing for a while.
-pub fn was_undecided(cluster: &Cluster) -> bool {
-    UNDECIDED.iter().any(|line| cluster.has_logged(line))
+/// Whether the entries' logs say that a group committed nothing for a while.
+pub fn had_commit_stall(cluster: &Cluster) -> bool {
+    COMMIT_STALL_TEXTS
+        .iter()
+        .any(|line| cluster.has_logged(line))
 }
 
-/// A caller of one request.
+/// A caller that sends one request until the answer is final.
 #[derive(Default)]
 pub struct Caller {
     was_refused: bool,
 }
 
 impl Caller {
-    /// Whether the caller sends the request again, with the same key, as the answer's help says.
+    /// Whether the caller must send the request again with the same key, as the answer's help says.
     ///
-    /// While there are sound targets a request is refused as not run for two reasons only, and both need a group that decided nothing for a while: its
-    /// record could not be kept in time (BH203), or the grants of all targets have run out (BH200). The entries' logs must show that; a refusal
-    /// without it is a fault. A refused beginning may have been recorded all the same; until it is taken back the request counts as in
-    /// progress (BH401).
-    pub fn sends_again(&mut self, cluster: &Cluster, answer: &RawAnswer) -> bool {
+    /// While there are healthy targets, a request is refused as not run for two reasons only: its record could not be committed in time (BH203), or
+    /// the grants of all targets have expired (BH200). Both need a group that committed nothing for a while, and the entries' logs must show that; a
+    /// refusal without it is a fault. The start of a refused request may be recorded all the same; until the record is taken back, the request counts
+    /// as in progress (BH401).
+    pub fn must_retry(&mut self, cluster: &Cluster, answer: &RawAnswer) -> bool {
         if self.was_refused && answer.code() == Some(401) {
             return true;
         }
         if answer.header("x-ran") != Some("no") {
             return false;
         }
-        let may_be = matches!(answer.code(), Some(200 | 203));
-        assert!(may_be, "{answer:?}\n{}", cluster.logs());
+        let is_allowed = matches!(answer.code(), Some(200 | 203));
+        assert!(is_allowed, "{answer:?}\n{}", cluster.logs());
         let what = format!("a log that says why it was refused: {answer:?}");
-        cluster.wait_until(&what, SOON, || was_undecided(cluster));
+        cluster.wait_until(&what, TIMEOUT, || had_commit_stall(cluster));
         self.was_refused = true;
         true
     }
 }
 
-/// Sends a short request of customer `lumen` until its caller has an answer that is final.
-pub fn request_to_end(
+/// Sends a short request of customer `lumen` until the answer is final.
+pub fn request_with_retries(
     cluster: &Cluster,
     entry: &str,
-    kind: &str,
+    request_type: &str,
     key: Option<&str>,
     body: &str,
 ) -> RawAnswer {
     let mut caller = Caller::default();
-    let until = Instant::now() + SOON;
+    let until = Instant::now() + TIMEOUT;
     loop {
-        let answer = request(cluster, entry, kind, key, body);
-        if !caller.sends_again(cluster, &answer) || Instant::now() >= until {
+        let answer = request(cluster, entry, request_type, key, body);
+        if !caller.must_retry(cluster, &answer) || Instant::now() >= until {
             return answer;
         }
         let retry_after_ms = answer
@@ -211,11 +216,11 @@
 pub fn request(
     cluster: &Cluster,
     entry: &str,
-    kind: &str,
+    request_type: &str,
     key: Option<&str>,
     body: &str,
 ) -> RawAnswer {
-    let path = format!("/v1/customers/lumen/requests/{kind}");
+    let path = format!("/v1/customers/lumen/requests/{request_type}");
     let headers: Vec<(&str, &str)> = key
         .map(|key| ("idempotency-key", key))
         .into_iter()
@@ -240,7 +245,7 @@
         .unwrap_or_else(|| panic!("not submitted: {}\n{}", answer.text(), cluster.logs()))
 }
 
-/// A job as read back through an entry.
+/// Reads the status of a job through an entry.
 pub fn job(cluster: &Cluster, entry: &str, customer: &str, number: u64) -> serde_json::Value {
     http_raw::get(
         cluster.http(entry),
@@ -249,9 +254,9 @@
     .json()
 }
 
-/// Waits until a job reports a phase, or is running.
+/// Waits until a job is in the phase `wanted`, or until it runs if `wanted` is `running`.
 pub fn wait_job(cluster: &Cluster, entry: &str, customer: &str, number: u64, wanted: &str) {
-    cluster.wait_until(&format!("job {number} {wanted}"), SOON, || {
+    cluster.wait_until(&format!("job {number} {wanted}"), TIMEOUT, || {
         let status = job(cluster, entry, customer, number);
         if wanted == "running" {
             status["running"] == true
--- a/crates/beechhollow/tests/support/processes.rs
+++ b/crates/beechhollow/tests/support/processes.rs
@@ -1,4 +1,4 @@
-//! Processes of a deployment, started as an operator does.
+//! Starts the processes of a deployment as an operator does.
 #![expect(
     clippy::unwrap_used,
     reason = "a test that meets the unexpected shall end"
@@ -17,15 +17,15 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// A process of this run, ended with the test.
+/// A running process, which is killed when the test ends.
 pub struct Process {
-    /// The process.
+    /// Handle of the process.
     pub child: Child,
     folder: PathBuf,
 }
 
 impl Process {
-    /// Starts a process from the text of its file.
+    /// Starts a process with `config` as its configuration file. `FOLDER` in it stands for the process's data folder.
     pub fn start(name: &str, config: &str) -> Self {
         let folder =
             std::env::temp_dir().join(format!("beechhollow-{name}-{}", std::process::id()));
@@ -42,26 +42,26 @@
         Self { child, folder }
     }
 
-    /// Tells it to stop.
+    /// Sends SIGTERM to the process.
     pub fn terminate(&self) {
-        let stopped = Command::new("kill")
+        let sent = Command::new("kill")
             .arg(self.child.id().to_string())
             .status()
             .unwrap();
-        assert!(stopped.success());
+        assert!(sent.success());
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended, which is as well.
+        // Fails if the process has already ended, which is fine.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// The file of an entry at these addresses: callers, readiness, metrics, and the control address of a core whose links are at `peer_port`.
+/// Configuration of an entry. `addresses` are those for callers, readiness and metrics, and the control address of a core whose links use `peer_port`.
 pub fn entry_config(addresses: &[SocketAddr], peer_port: u16) -> String {
     format!(
         "name: entry\nrole: entry\ndata_centre: dc\nip: 127.0.0.1\npeer_port: {peer_port}\ncallers_address: {}\nreadiness_address: {}\n\
@@ -70,8 +70,8 @@
     )
 }
 
-/// Waits until `address` is listened on.
-pub fn wait_for(address: SocketAddr) {
+/// Waits until a process listens on `address`.
+pub fn wait_for_listener(address: SocketAddr) {
     let until = Instant::now() + Duration::from_secs(10);
     while TcpStream::connect(address).is_err() {
         assert!(Instant::now() < until, "{address} is not listened on");
@@ -79,7 +79,7 @@
     }
 }
 
-/// The value of a metric.
+/// Reads the value of a metric.
 pub fn metric(address: SocketAddr, name: &str) -> Option<u64> {
     let text = http_raw::get(address, "/metrics").text();
     let line = text
@@ -88,34 +88,34 @@
     line.split(' ').nth(1)?.parse().ok()
 }
 
-/// A core that leads.
+/// A core that leads its group.
 pub struct LeadingCore {
     /// The process.
     pub process: Process,
-    /// Where it takes operators and workers.
+    /// Address for operators and workers.
     pub control: SocketAddr,
-    /// Where it serves its metrics.
+    /// Address of the metrics.
     pub metrics: SocketAddr,
-    /// Port of its links.
+    /// Port for links to other processes.
     pub peer_port: u16,
 }
 
-/// Starts a core with `more` in its file, and waits until it leads.
-pub fn leading_core(name: &str, more: &str) -> LeadingCore {
+/// Starts a core with the additional lines `extra_config`, and waits until it leads.
+pub fn start_leading_core(name: &str, extra_config: &str) -> LeadingCore {
     let addresses = ports::free(3);
     let config = format!(
         "name: core\nrole: core\ndata_centre: dc\nip: 127.0.0.1\npeer_port: {}\ncontrol_address: {}\nmetrics_address: {}\n\
-         data_folder: FOLDER\nmay_form: true\nseeds: '{}'\ngrace_s: 1\n{more}",
+         data_folder: FOLDER\nmay_form: true\nseeds: '{}'\ngrace_s: 1\n{extra_config}",
         addresses[2].port(),
         addresses[0],
         addresses[1],
         addresses[0],
     );
     let process = Process::start(name, &config);
-    wait_for(addresses[1]);
+    wait_for_listener(addresses[1]);
     let until = Instant::now() + Duration::from_secs(20);
     while metric(addresses[1], "leads") != Some(1) {
-        assert!(Instant::now() < until, "it does not lead");
+        assert!(Instant::now() < until, "the core does not lead");
         thread::sleep(Duration::from_millis(50));
     }
     LeadingCore {
