--- a/crates/beechhollow/benches/control.rs
+++ b/crates/beechhollow/benches/control.rs
@@ -1,6 +1,6 @@
-//! What replication costs and how fast it recovers: eight entries as processes.
+//! Cost and recovery time of replication, with eight entries as processes.
 //!
-//! `cargo bench -p beechhollow --bench control [-- PART]`, PART one of failover, in-force, sync, restart, idle.
+//! `cargo bench -p beechhollow --bench control [-- PART]`, where PART is one of failover, in-force, sync, restart and idle.
 
 use bh_testkit::Cluster;
 use bh_testkit::EntryOptions;
@@ -19,9 +19,12 @@
 use std::time::Instant;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_beechhollow");
-const SOON: Duration = Duration::from_secs(30);
+/// Limit for waiting on a condition that should hold soon.
+const TIMEOUT: Duration = Duration::from_secs(30);
+/// Number of concurrent operators, each with a team of its own.
 const OPERATORS: usize = 32;
 
+/// Settings with one team per operator, and customers of this weight.
 fn settings(weight: u64) -> String {
     let mut yaml =
         format!("system: {{administrator_tokens_sha256: [{ADMINISTRATOR_SHA256}]}}\nteams:\n");
@@ -34,9 +37,9 @@
     yaml
 }
 
-/// Eight entries over three data centres; five of them have a disk.
-fn eight(links: bool, extra: &str) -> Cluster {
-    let place = [
+/// Starts eight entries in three data centres, five of them with a disk, and puts settings into force.
+fn start_eight_entries(links: bool, extra: &str) -> Cluster {
+    let entries = [
         ("k1", "kadaka"),
         ("k2", "kadaka"),
         ("k3", "kadaka"),
@@ -46,7 +49,7 @@
         ("u2", "ulemiste"),
         ("u3", "ulemiste"),
     ];
-    let options = place.iter().map(|(name, centre)| {
+    let options = entries.iter().map(|(name, centre)| {
         let options = EntryOptions::new(name, centre);
         if matches!(*name, "k3" | "m2" | "u3") {
             options.with_no_disk()
@@ -60,27 +63,28 @@
     }
     cluster.start_all();
     cluster.wait_ready();
-    cluster.wait_until("the first settings", SOON, || {
+    cluster.wait_until("the first settings", TIMEOUT, || {
         cluster.apply("k1", "first", 0, &settings(1)).code() == Some(0)
     });
     for name in cluster.names() {
-        cluster.wait_until("in force", SOON, || cluster.revision(&name) == Some(1));
+        cluster.wait_until("in force", TIMEOUT, || cluster.revision(&name) == Some(1));
     }
     cluster
 }
 
+/// Sorts the values and returns the one at `share`, from 0 to 1.
 fn percentile(values: &mut [f64], share: f64) -> f64 {
     values.sort_by(f64::total_cmp);
     values[((values.len() - 1) as f64 * share).round() as usize]
 }
 
-/// Time from the loss of the settings leader to the next accepted change, through an entry that lives.
+/// Time from the loss of the settings leader to the next accepted change, through another entry.
 fn failover() {
     for signal in ["KILL", "STOP"] {
         let mut times = Vec::new();
-        let mut cluster = eight(false, "");
+        let mut cluster = start_eight_entries(false, "");
         let mut revision = 1;
-        let mut lost = 0;
+        let mut lost_changes = 0;
         for round in 0..8 {
             let Some(leader) = cluster.leader_seen_by("m2", "settings") else {
                 continue;
@@ -109,13 +113,13 @@
             } else {
                 cluster.signal(&leader, "CONT");
             }
-            cluster.wait_until("the lost one is back", SOON, || {
+            cluster.wait_until("the lost entry is back", TIMEOUT, || {
                 cluster.revision(&leader) == Some(revision)
             });
-            lost += u64::from(cluster.revision("m2") < Some(revision));
+            lost_changes += u64::from(cluster.revision("m2") < Some(revision));
         }
         println!(
-            "SIG{signal} of the settings leader, {} times: next accepted change after p50 {:.0} ms, longest {:.0} ms; acknowledged changes lost: {lost}",
+            "SIG{signal} of the settings leader, {} times: next accepted change after p50 {:.0} ms, longest {:.0} ms; acknowledged changes lost: {lost_changes}",
             times.len(),
             percentile(&mut times, 0.5),
             percentile(&mut times, 1.0)
@@ -123,10 +127,10 @@
     }
 }
 
-/// Time from sending a change to its being in force on all eight entries.
+/// Time from sending a change until it is in force on all eight entries.
 fn in_force() {
     for delay_us in [0u64, 1_500] {
-        let cluster = eight(delay_us > 0, "");
+        let cluster = start_eight_entries(delay_us > 0, "");
         for link in cluster.links() {
             link.set_delay(Duration::from_micros(delay_us));
         }
@@ -143,7 +147,7 @@
             );
             assert_eq!(answer.code(), Some(0), "{}", answer.text());
             accepted.push(start.elapsed().as_secs_f64() * 1e3);
-            let slowest = thread::scope(|scope| {
+            let slowest_ms = thread::scope(|scope| {
                 let waits: Vec<_> = names
                     .iter()
                     .map(|name| {
@@ -159,7 +163,7 @@
                     .map(|wait| wait.join().unwrap_or(f64::NAN))
                     .fold(0.0, f64::max)
             });
-            everywhere.push(slowest);
+            everywhere.push(slowest_ms);
         }
         println!(
             "{:.1} ms one way between entries, 100 changes: accepted p50 {:.1} p99 {:.1} ms; in force on all eight p50 {:.1} p99 {:.1} ms",
@@ -172,18 +176,18 @@
     }
 }
 
-/// Accepted changes a second by operators of different teams, each after its own last one.
-fn changes_a_second(cluster: &Cluster, length: Duration) -> f64 {
-    let (until, count) = (AtomicBool::new(false), AtomicU64::new(0));
+/// Accepted changes per second by operators of different teams, each of which sends its next change after the last one's answer.
+fn changes_per_second(cluster: &Cluster, length: Duration) -> f64 {
+    let (stop, count) = (AtomicBool::new(false), AtomicU64::new(0));
     let base = cluster.revision("k1").unwrap_or(1);
     thread::scope(|scope| {
         for team in 0..OPERATORS {
-            let (until, count) = (&until, &count);
+            let (stop, count) = (&stop, &count);
             scope.spawn(move || {
                 let scope = serde_json::json!({ "team": format!("team{team}") });
                 let mut revision = base;
                 let mut number = 0u64;
-                while !until.load(Ordering::Relaxed) {
+                while !stop.load(Ordering::Relaxed) {
                     number += 1;
                     let yaml = format!(
                         "teams: {{team{team}: {{customers: {{c{team}: {{weight: {}}}}}}}}}",
@@ -207,30 +211,31 @@
             });
         }
         thread::sleep(length);
-        until.store(true, Ordering::Relaxed);
+        stop.store(true, Ordering::Relaxed);
     });
     count.load(Ordering::Relaxed) as f64 / length.as_secs_f64()
 }
 
+/// Rate of accepted changes with and without group sync.
 fn sync() {
     for group_sync in [true, false] {
-        let cluster = eight(
+        let cluster = start_eight_entries(
             false,
             &format!("group_sync: {group_sync}\nsnapshot_entries: 100000\n"),
         );
-        let rate = changes_a_second(&cluster, Duration::from_secs(5));
+        let rate = changes_per_second(&cluster, Duration::from_secs(5));
         println!(
             "group sync {group_sync}, {OPERATORS} operators: {rate:.0} accepted changes a second"
         );
     }
 }
 
-/// Time from the start of an entry to its having everything in force again.
+/// Time from the restart of an entry until it has the newest settings in force.
 fn restart() {
     for (wanted, snapshot) in [(1_000u64, 4_096u64), (10_000, 4_096), (10_000, 100_000)] {
-        let mut cluster = eight(false, &format!("snapshot_entries: {snapshot}\n"));
+        let mut cluster = start_eight_entries(false, &format!("snapshot_entries: {snapshot}\n"));
         while cluster.revision("k1") < Some(wanted) {
-            changes_a_second(&cluster, Duration::from_millis(500));
+            changes_per_second(&cluster, Duration::from_millis(500));
         }
         thread::sleep(Duration::from_millis(500));
         let newest = cluster.revision("k1");
@@ -238,7 +243,9 @@
             cluster.kill(name);
             let start = Instant::now();
             cluster.start(name);
-            cluster.wait_until("in force again", SOON, || cluster.revision(name) >= newest);
+            cluster.wait_until("in force again", TIMEOUT, || {
+                cluster.revision(name) >= newest
+            });
             println!(
                 "restart after {} changes, snapshot every {snapshot}, {kind}: in force after {:.0} ms",
                 newest.unwrap_or(0),
@@ -248,10 +255,10 @@
     }
 }
 
-/// Bytes and processor time of idle entries, without workers and with some.
+/// Network traffic, processor time and memory of idle entries, with different numbers of workers.
 fn idle() {
     for count in [0usize, 25, 50, 100] {
-        let cluster = eight(false, "");
+        let cluster = start_eight_entries(false, "");
         let _workers: Vec<Worker> = (0..count)
             .map(|n| {
                 let centre = ["kadaka", "mustamae", "ulemiste"][n % 3];
@@ -289,15 +296,15 @@
         let mean = |pick: fn(&(f64, f64, f64)) -> f64| {
             rows.iter().map(pick).sum::<f64>() / rows.len() as f64
         };
-        let most = |pick: fn(&(f64, f64, f64)) -> f64| rows.iter().map(pick).fold(0.0, f64::max);
+        let max = |pick: fn(&(f64, f64, f64)) -> f64| rows.iter().map(pick).fold(0.0, f64::max);
         println!(
             "idle, {count} workers: an entry sends {:.0} bytes a second to its peers (most {:.0}), uses {:.2} % of a core (most {:.2}) and {:.1} MiB (most {:.1})",
             mean(|row| row.0),
-            most(|row| row.0),
+            max(|row| row.0),
             mean(|row| row.1),
-            most(|row| row.1),
+            max(|row| row.1),
             mean(|row| row.2),
-            most(|row| row.2)
+            max(|row| row.2)
         );
     }
 }
--- a/crates/beechhollow/benches/path.rs
+++ b/crates/beechhollow/benches/path.rs
@@ -1,4 +1,4 @@
-//! What an entry adds to a short request, against calling the worker directly, in one run.
+//! Overhead of an entry on a short request, compared with calling the worker directly in the same run.
 //!
 //! `cargo bench -p beechhollow --bench path`.
 
@@ -20,29 +20,36 @@
 use std::time::Instant;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_beechhollow");
+/// Number of requests in a latency series, after 500 for warm-up.
 const SAMPLES: usize = 5_000;
+/// Number of concurrent callers; the rates are also taken with twice as many.
 const CALLERS: usize = 8;
-const LENGTH: Duration = Duration::from_secs(4);
+/// Duration of a rate series.
+const SERIES_DURATION: Duration = Duration::from_secs(4);
 
-fn caller(address: SocketAddr) -> TcpStream {
+/// Opens a caller's connection.
+fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).expect("a connection");
     stream.set_nodelay(true).expect("a socket option");
     stream
 }
 
+/// Sends a request and reads the answer, which must be a success.
 fn exchange(stream: &mut TcpStream, bytes: &[u8]) {
     stream.write_all(bytes).expect("the request is sent");
     let answer = http_raw::read_answer(stream).expect("a whole answer");
     assert_eq!(answer.status, 200, "{}", answer.text());
 }
 
-fn head(path: &str, extra: &str) -> Vec<u8> {
+/// A request with a body of 16 bytes and the header lines `extra`.
+fn request_bytes(path: &str, extra: &str) -> Vec<u8> {
     format!("POST {path} HTTP/1.1\r\nhost: x\r\n{extra}content-length: 16\r\n\r\n0123456789abcdef")
         .into_bytes()
 }
 
+/// Median and 99th percentile of the response time, in milliseconds.
 fn latencies(address: SocketAddr, bytes: &[u8]) -> (f64, f64) {
-    let mut stream = caller(address);
+    let mut stream = connect(address);
     let mut values = Vec::with_capacity(SAMPLES);
     for sample in 0..SAMPLES + 500 {
         let start = Instant::now();
@@ -55,24 +62,25 @@
     (values[SAMPLES / 2], values[SAMPLES * 99 / 100])
 }
 
+/// Requests per second of several callers.
 fn rate(addresses: &[SocketAddr], bytes: &[u8], callers: usize) -> f64 {
-    let (until, count) = (AtomicBool::new(false), AtomicU64::new(0));
+    let (stop, count) = (AtomicBool::new(false), AtomicU64::new(0));
     thread::scope(|scope| {
         for index in 0..callers {
-            let (until, count) = (&until, &count);
+            let (stop, count) = (&stop, &count);
             let address = addresses[index % addresses.len()];
             scope.spawn(move || {
-                let mut stream = caller(address);
-                while !until.load(Ordering::Relaxed) {
+                let mut stream = connect(address);
+                while !stop.load(Ordering::Relaxed) {
                     exchange(&mut stream, bytes);
                     count.fetch_add(1, Ordering::Relaxed);
                 }
             });
         }
-        thread::sleep(LENGTH);
-        until.store(true, Ordering::Relaxed);
+        thread::sleep(SERIES_DURATION);
+        stop.store(true, Ordering::Relaxed);
     });
-    count.load(Ordering::Relaxed) as f64 / LENGTH.as_secs_f64()
+    count.load(Ordering::Relaxed) as f64 / SERIES_DURATION.as_secs_f64()
 }
 
 fn main() {
@@ -80,7 +88,7 @@
     cluster.start_all();
     cluster.wait_ready();
     thread::sleep(Duration::from_secs(1));
-    let idle = cluster.pid("a1").map_or(0.0, resident_mib);
+    let idle_mib = cluster.pid("a1").map_or(0.0, resident_mib);
     let yaml = format!(
         "system: {{administrator_tokens_sha256: [{ADMINISTRATOR_SHA256}]}}\nteams: {{t: {{request_types: {{read: {{idempotent: true}}, book: {{}}}}, customers: {{c: {{}}}}}}}}\n"
     );
@@ -96,17 +104,17 @@
         })
         .collect();
     let address = cluster.http("a1");
-    let through = head("/v1/customers/c/requests/read", "");
-    let direct = head("/v1/run", "x-request-id: 1\r\n");
-    let booked = head("/v1/customers/c/requests/book", "");
+    let through_entry = request_bytes("/v1/customers/c/requests/read", "");
+    let direct = request_bytes("/v1/run", "x-request-id: 1\r\n");
+    let non_idempotent = request_bytes("/v1/customers/c/requests/book", "");
     cluster.wait_until("targets", Duration::from_secs(20), || {
         let slots = http_raw::get(address, "/v1/status").json()["slots"].as_u64();
         slots == Some(16)
     });
     let worker_addresses: Vec<SocketAddr> = workers.iter().map(Worker::address).collect();
     let (direct_p50, direct_p99) = latencies(worker_addresses[0], &direct);
-    let (entry_p50, entry_p99) = latencies(address, &through);
-    let (book_p50, book_p99) = latencies(address, &booked);
+    let (entry_p50, entry_p99) = latencies(address, &through_entry);
+    let (book_p50, book_p99) = latencies(address, &non_idempotent);
     println!(
         "one caller, ms: direct p50 {direct_p50:.3} p99 {direct_p99:.3}; through an entry p50 {entry_p50:.3} p99 {entry_p99:.3}; non-idempotent p50 {book_p50:.3} p99 {book_p99:.3}"
     );
@@ -118,12 +126,14 @@
     for callers in [CALLERS, CALLERS * 2] {
         let direct_one = rate(&worker_addresses[..1], &direct, callers);
         let direct_two = rate(&worker_addresses, &direct, callers);
-        let entry = rate(&[address], &through, callers);
+        let entry = rate(&[address], &through_entry, callers);
         println!(
             "{callers} callers, requests a second: one worker direct {direct_one:.0}, two workers direct {direct_two:.0}, through one entry {entry:.0} ({:.2} of one worker direct)",
             entry / direct_one
         );
     }
-    let loaded = cluster.pid("a1").map_or(0.0, resident_mib);
-    println!("resident memory of the entry: idle {idle:.1} MiB, after the load {loaded:.1} MiB");
+    let loaded_mib = cluster.pid("a1").map_or(0.0, resident_mib);
+    println!(
+        "resident memory of the entry: idle {idle_mib:.1} MiB, after the load {loaded_mib:.1} MiB"
+    );
 }
