--- a/crates/bh-workload/src/plan/collect.rs
+++ b/crates/bh-workload/src/plan/collect.rs
@@ -19,7 +19,7 @@
 
 /// Share of a job's value that does not grow with its work. Users value a job at 0.3 of the mean of its queue whatever its size.
 const FIXED_VALUE_SHARE: f64 = 0.3;
-/// Value of a job that can only end late, relative to one that is on time. Users credit between a fifth and a third.
+/// Value of a job that can only end late, relative to one that is on time. Users give late jobs between a fifth and a third of the credit.
 const LATE_VALUE: f64 = 0.25;
 /// Value of a job that ends too late for any credit. It is above zero so that the job still runs.
 const EXPIRED_VALUE: f64 = 0.01;
@@ -33,7 +33,7 @@
 /// A late job earns credit until this multiple of its objective.
 const MAX_LATE_FACTOR: u64 = 3;
 
-/// Facts about a job that all its steps share.
+/// Facts about a job that all its steps share. `mean_work` is the mean work of the active jobs of its queue.
 struct Context<'a> {
     id: JobId,
     job: &'a Job,
@@ -42,7 +42,7 @@
     mean_work: f64,
 }
 
-/// Returns the identifier of the step at position `index`. Run times learnt for the first occurrence also apply to later ones.
+/// Returns the identifier of the step at position `index`.
 fn step_at(id: JobId, occurrence: u32, index: usize) -> StepId {
     StepId {
         job: id,
@@ -54,6 +54,7 @@
 /// Returns the expected work of one occurrence of a job, in thousandths of core-milliseconds.
 pub fn job_work(id: JobId, job: &Job, runtimes: &Runtimes) -> f64 {
     let step_work = |(index, spec): (usize, &StepSpec)| {
+        // Run times that were learnt for the first occurrence also apply to later ones.
         let expected_ms = runtimes.expected_ms(&job.queue.name, step_at(id, 0, index), spec);
         // The conversion is precise to one part in 2^53, far finer than the estimates.
         #[expect(clippy::cast_precision_loss, reason = "an estimate")]
@@ -109,6 +110,7 @@
     units
 }
 
+/// Returns the mean work of the active jobs of each queue.
 fn mean_work(workload: &Workload, runtimes: &Runtimes) -> BTreeMap<Arc<str>, f64> {
     let mut sums: BTreeMap<Arc<str>, (f64, f64)> = BTreeMap::new();
     for (id, job) in workload.active_jobs() {
@@ -152,6 +154,7 @@
             let late_soon = wall_ms + expected_ms + margin_ms > ready_ms + allowed_ms;
             let size_factor =
                 (1.0 - FIXED_VALUE_SHARE) + FIXED_VALUE_SHARE * context.mean_work / own_work;
+            // 1 for the most urgent queues, whose priority is 0.
             let rank = f64::from(queue.priority + 1);
             let (indices, attempts) = waiting_tasks(progress, spec);
             if indices.is_empty() {
@@ -194,6 +197,7 @@
     floor_to_u64(scaled)
 }
 
+/// Returns the share of its full value that a job has when it ends at `end_ms`.
 pub(super) fn lateness_value(end_ms: u64, ready_ms: u64, allowed_ms: u64) -> f64 {
     if end_ms <= ready_ms + allowed_ms {
         1.0
--- a/crates/bh-workload/src/plan/disruption_budget.rs
+++ b/crates/bh-workload/src/plan/disruption_budget.rs
@@ -13,7 +13,7 @@
 /// Progress that a task of a service reports when it is ready to serve, in percent.
 const READY_PERCENT: u64 = 100;
 
-/// Decides which tasks of services may be stopped without exceeding the limits that their callers state.
+/// Decides which tasks of services may be stopped, so that no step has more unavailable tasks than the caller who submitted the job allows.
 pub struct DisruptionBudget<'a> {
     workload: &'a Workload,
     dispatcher: &'a Dispatcher,
@@ -39,11 +39,12 @@
 
     /// Returns whether a run may be stopped, and if so counts it as stopped.
     ///
-    /// In a step with a limit, a run that this leader has not seen ready may not be stopped: it may have been ready for long.
+    /// In a step with a limit, a run that this leader has not itself seen ready may not be stopped. The run may have been serving
+    /// for long: a new leader has not yet received reports of all runs.
     pub fn allow_stop(&mut self, run: RunId) -> bool {
         let step = run.task.step;
         let spec = self.workload.step_spec(step);
-        let Some(most) = spec.and_then(|spec| spec.most_unavailable) else {
+        let Some(max_unavailable) = spec.and_then(|spec| spec.most_unavailable) else {
             return true;
         };
         if !self.is_available(run) {
@@ -51,7 +52,7 @@
         }
         let left = match self.remaining.get(&step) {
             Some(left) => *left,
-            None => u64::from(most).saturating_sub(self.unavailable(step, spec)),
+            None => u64::from(max_unavailable).saturating_sub(self.unavailable(step, spec)),
         };
         self.remaining.insert(step, left.saturating_sub(1));
         left > 0
@@ -59,28 +60,29 @@
 
     /// Returns how many tasks of a step are not ready.
     fn unavailable(&self, step: StepId, spec: Option<&StepSpec>) -> u64 {
-        let at_work = self
+        let available = self
             .workload
             .workers()
             .flat_map(|worker| worker.runs.keys())
             .filter(|run| run.task.step == step && self.is_available(**run))
             .count();
         let all = spec.map_or(0, |spec| u64::from(spec.count));
-        all.saturating_sub(u64::try_from(at_work).unwrap_or(u64::MAX))
+        all.saturating_sub(u64::try_from(available).unwrap_or(u64::MAX))
     }
 
+    /// Returns whether this leader has seen the run ready and nothing stops it.
     fn is_available(&self, run: RunId) -> bool {
-        let at_work = |run_state: &RunState| {
+        let is_ready = |run_state: &RunState| {
             run_state.percent >= READY_PERCENT
                 && !run_state.stop_requested
                 && matches!(run_state.start, StartPhase::Confirmed { .. })
         };
-        let watched = self
+        let seen_ready = self
             .workload
             .workers()
             .filter(|worker| worker.runs.contains_key(&run))
             .filter_map(|worker| self.dispatcher.view(&worker.info.id)?.runs.get(&run))
-            .any(at_work);
-        watched && !self.stopping.iter().any(|(_, other)| *other == run)
+            .any(is_ready);
+        seen_ready && !self.stopping.iter().any(|(_, other)| *other == run)
     }
 }
--- a/crates/bh-workload/src/plan/pass.rs
+++ b/crates/bh-workload/src/plan/pass.rs
@@ -1,4 +1,4 @@
-//! One pass of the planner.
+//! One pass of the planner: the state from which one plan is made.
 
 use super::Placement;
 use super::Plan;
@@ -44,8 +44,8 @@
     pub(super) run_ends: BTreeMap<usize, Rc<[(u64, Resources)]>>,
     /// Placements that failed for lack of free capacity, by whether the unit may use the urgent headroom.
     pub(super) failed_placements: FailedSearches<bool>,
-    /// Preemptions that failed because stopping every run that yields would not free enough, by guarantee, service and priority of the
-    /// unit.
+    /// Preemptions that failed because stopping every run that may be stopped for the unit would not free enough, by whether the unit is
+    /// guaranteed, whether it belongs to a service, and its priority.
     pub(super) failed_preemptions: FailedSearches<(bool, bool, u32)>,
     /// Decisions made so far.
     pub plan: Plan,
@@ -142,7 +142,7 @@
 
     /// Asks the unit's adviser about more workers if the permitted ones have too little capacity.
     pub fn ask_adviser(&mut self, unit: &Unit) {
-        let Some(advice) = &unit.advised else {
+        let Some(timing) = &unit.advised else {
             return;
         };
         let unrestricted = Unit {
@@ -166,12 +166,13 @@
         let question =
             self.dispatcher
                 .permissions
-                .question(self.now_ms, unit.step, advice, candidates);
+                .question(self.now_ms, unit.step, timing, candidates);
         self.plan.questions.extend(question);
     }
 
     /// Finds workers for a whole gang. Returns `None` if the gang must wait.
     pub fn place_gang(&mut self, unit: &Unit, avoid: &BTreeSet<Incarnation>) -> Option<Placement> {
+        // A failed search rules out others only if they may use the same workers.
         let class = unit.may_use_headroom();
         if self.failed_placements.rules_out(&class, unit, unit.count()) {
             return None;
@@ -240,6 +241,7 @@
         let mut tasks = unit.indices.iter().zip(&unit.attempts);
         for (at, count) in placement {
             self.rooms[*at].has_recent_start = true;
+            // Nothing else may start beside a suspect task, so that a crash can be attributed.
             self.rooms[*at].usable &= !unit.is_suspect();
             self.rooms[*at].set_aside &= !unit.is_suspect();
             for _ in 0..*count {
--- a/crates/bh-workload/src/plan/room.rs
+++ b/crates/bh-workload/src/plan/room.rs
@@ -73,15 +73,15 @@
     pub runs: BTreeMap<StepId, u64>,
     /// Run time here relative to the fastest data centre, in percent.
     pub runtime_percent: u64,
-    /// Speed, in percent, at which tasks that use only idle processors run here.
+    /// Speed, in percent of the full speed, at which tasks that use only otherwise idle processor time run here.
     pub fill_percent: u64,
-    /// Whether the worker is kept for work of priority 0 and for gangs that must start soon to be on time.
+    /// Whether the worker is kept for work of priority 0 and for the other units that may use such workers, see [`Unit::may_use_headroom`].
     pub urgent_only: bool,
     /// Whether a task has just started here that may still crash the worker.
     pub has_recent_start: bool,
     /// Whether the worker has started recently, and therefore runs tasks slowly.
     pub cold: bool,
-    /// Whether the worker gets new work.
+    /// Whether the worker gets new work. A pass clears this when it starts a suspect task here.
     pub usable: bool,
     /// Why the worker got no new work when the pass began; `None` if it did.
     pub unusable: Option<UnusableReason>,
@@ -117,13 +117,13 @@
 }
 
 impl Room {
-    /// Creates the view of `worker` at `now_ms`.
+    /// Creates the view of `worker` at `now_ms`. With `ignores_set_aside`, a worker that is set aside for failures is usable.
     fn new(
         worker: &Worker,
         workload: &Workload,
         dispatcher: &Dispatcher,
         speeds: &Speeds,
-        (now_ms, ignore_set_aside): (u64, bool),
+        (now_ms, ignores_set_aside): (u64, bool),
     ) -> Self {
         let view = dispatcher.view(&worker.info.id);
         let recent = RecentStarts::new(worker, view, workload);
@@ -146,7 +146,7 @@
             Some(UnusableReason::Slow)
         } else {
             let is_aside =
-                |target: &Target| !ignore_set_aside && now_ms < target.set_aside_until_ms;
+                |target: &Target| !ignores_set_aside && now_ms < target.set_aside_until_ms;
             view.is_some_and(is_aside)
                 .then_some(UnusableReason::SetAside)
         };
@@ -189,10 +189,10 @@
         speeds: &Speeds,
         now_ms: u64,
     ) -> Vec<Room> {
-        let times = (now_ms, too_many_set_aside(workload, dispatcher, now_ms));
+        let context = (now_ms, too_many_set_aside(workload, dispatcher, now_ms));
         let workers = workload.workers();
         workers
-            .map(|worker| Room::new(worker, workload, dispatcher, speeds, times))
+            .map(|worker| Room::new(worker, workload, dispatcher, speeds, context))
             .collect()
     }
 
@@ -226,8 +226,8 @@
         self.available_after(&Resources::default())
     }
 
-    /// Returns the resources that would be available after runs that take `ended` have ended. On a worker that has shrunk, the first of them
-    /// free nothing.
+    /// Returns the resources that would be available after runs that take `ended` have ended. On a worker that has shrunk, the first of these
+    /// runs make nothing available, because the runs take more than the worker still has.
     pub fn available_after(&self, ended: &Resources) -> Resources {
         let mut gained = *ended;
         gained.subtract(&self.excess);
--- a/crates/bh-workload/src/plan/unit.rs
+++ b/crates/bh-workload/src/plan/unit.rs
@@ -15,7 +15,7 @@
     pub step: StepId,
     /// Indices of the waiting tasks; for a gang, of all its tasks.
     pub indices: Vec<u32>,
-    /// Numbers of the next runs, in the order of `indices`.
+    /// Number of each task's next run, in the order of `indices`.
     pub attempts: Vec<u32>,
     /// Specification of the step.
     pub spec: StepSpec,
@@ -36,15 +36,15 @@
     pub priority: u32,
     /// Whether the customer's guarantee covers the job.
     pub guaranteed: bool,
-    /// When the unit became ready, in milliseconds since 1970.
+    /// When the job was accepted or the occurrence was due, in milliseconds since 1970.
     pub ready_ms: u64,
-    /// Time by which the job is on time, in milliseconds since 1970.
+    /// Latest end with which the occurrence meets its completion objective, in milliseconds since 1970.
     pub due_ms: u64,
     /// Expected run time of a task, in milliseconds.
     pub expected_ms: u64,
     /// Expected run time, in milliseconds, if a unit that prefers one rack is spread over several.
     pub expected_spread_ms: u64,
-    /// Whether the completion objective leaves little time beside the run time itself.
+    /// Whether the completion objective leaves little time beyond the run time itself.
     pub tight_deadline: bool,
     /// Whether this is a gang that is on time if it starts now, but probably late if it keeps waiting.
     pub last_chance: bool,
@@ -52,12 +52,12 @@
     pub on_time: bool,
     /// Whether the unit has been stalled beside free capacity for so long that it starts on any eligible worker.
     pub relaxed: bool,
-    /// Value of the job relative to its work. Units with a larger value come first.
+    /// Value of the job relative to its work, reduced if the job is late or its priority low. Units with a larger value come first.
     pub value_density: f64,
 }
 
 impl Unit {
-    /// Returns whether the unit may use workers that are kept for work of priority 0.
+    /// Returns whether the unit may use workers that are kept for work of priority 0 (see [`super::Room::urgent_only`]).
     pub fn may_use_headroom(&self) -> bool {
         self.priority == 0 || self.last_chance || self.relaxed
     }
--- a/crates/bh-workload/src/plan/unusable_reason.rs
+++ b/crates/bh-workload/src/plan/unusable_reason.rs
@@ -15,15 +15,15 @@
     Evacuated,
     /// A task under which a worker has crashed before has just started on the worker.
     BesideSuspect,
-    /// The worker's VM is next for upkeep.
+    /// The worker's VM is next for upkeep, and the worker is emptied of runs first.
     Emptied,
     /// Runs on the worker take much longer than expected.
     Slow,
     /// The worker has not answered its latest order, or the core that carried an order to it was lost.
     Silent,
-    /// The leader has heard nothing from the worker, or nothing recent.
+    /// The leader has received nothing from the worker since its election, or nothing recent.
     Unheard,
-    /// The worker has not answered a probe since it started.
+    /// The worker answers, but this incarnation of it has not yet answered a probe of this leader.
     Unverified,
     /// Runs have failed or stalled on the worker, or the worker refused a start as unhealthy or for lack of capacity.
     SetAside,
--- a/crates/bh-workload/src/plan/wait_reason.rs
+++ b/crates/bh-workload/src/plan/wait_reason.rs
@@ -1,4 +1,4 @@
-//! Reasons why tasks wait.
+//! Reasons why tasks wait. The module head of [`super`] explains *room*, *kept room*, *apart* and *set aside*.
 
 use super::UnusableReason;
 use crate::dispatch::RunPhase;
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WaitReason {
-    /// The occurrence is not due yet.
+    /// The job has a schedule, and this occurrence (repetition) of it is not due yet.
     NotDue {
         /// When it is due, in milliseconds since 1970.
         due_ms: u64,
@@ -23,7 +23,7 @@
     },
     /// Earlier runs of the gang may still be running.
     EarlierRuns,
-    /// Runs of the tasks are recorded, but none is known to be running.
+    /// The start of the tasks is decided and their runs are recorded, but none is known to be running.
     Ordered {
         /// Phase of the run that has been in its phase for longest.
         phase: RunPhase,
@@ -35,17 +35,18 @@
         /// The data centres.
         data_centres: BTreeSet<Arc<str>>,
     },
-    /// No worker that is usable now may run the tasks, because of their label, their pool or the adviser.
+    /// No worker that is usable now may run the tasks, because of their label, their pool or the adviser, an external
+    /// service that says which workers may run a step.
     NoWorkerAllowed,
     /// The workers that may run the tasks are too small.
     NoWorkerLargeEnough,
     /// The adviser has not yet answered whether more workers may run the tasks.
     Advice,
-    /// There is enough room if workers that get no new work now are counted.
+    /// The tasks would fit if the workers that get no new work now were usable.
     WorkersUnusable {
-        /// Number of slots on such workers.
+        /// How many of the tasks fit on such workers.
         places: u64,
-        /// Why most of these slots can't be used.
+        /// Why most of these workers' free capacity can't be used.
         why: UnusableReason,
     },
     /// Other runs are being stopped to make room.
@@ -53,26 +54,28 @@
         /// Number of workers on which room is being made.
         workers: usize,
     },
-    /// There are fewer free slots than tasks.
+    /// Fewer tasks fit than wait.
     NoRoom {
         /// Number of tasks.
         tasks: u64,
-        /// Number of free slots.
+        /// How many of them fit.
         places: u64,
     },
-    /// There is room, but the last plan reserved or held it for other work.
+    /// There is room, but the last plan reserved it for units for which other runs are being stopped, or held it for gangs that do not fit
+    /// yet.
     RoomPromised {
-        /// Number of slots left.
+        /// How many of the tasks fit into what is left.
         places: u64,
         /// The first steps for which it was reserved or held, `JOB.OCCURRENCE.STEP`.
         to: Vec<String>,
     },
-    /// There is room, but the last plan kept it for work of priority 0.
+    /// There is room, but the last plan kept it for work of priority 0, the most urgent, that may arrive.
     RoomKept {
-        /// Number of slots left.
+        /// How many of the tasks fit into what is left.
         places: u64,
     },
-    /// A worker has crashed under one of the tasks. For a while they wait for workers on which nothing has just started.
+    /// A worker has crashed under one of the tasks. For a while the tasks wait for workers on which nothing has just started, so that another
+    /// crash can be attributed to them.
     Apart {
         /// Number of workers that crashed.
         crashes: u32,
@@ -90,7 +93,7 @@
     NotPlanned,
     /// The tasks are not done, but are recorded neither as running nor as waiting.
     Unexplained,
-    /// There are enough slots. Either more important work takes them, or the tasks start at the next plan.
+    /// All tasks fit, and no other reason applies. Either more important work takes the room, or the tasks start at the next plan.
     Placing,
 }
 
@@ -153,6 +156,7 @@
                 UnusableReason::Silent => "workers_silent",
                 UnusableReason::Unheard | UnusableReason::Unverified => "workers_unheard",
                 UnusableReason::SetAside | UnusableReason::Slow => "workers_set_aside",
+                // Workers to which the leader gives no new work on purpose.
                 UnusableReason::Draining
                 | UnusableReason::Replaced
                 | UnusableReason::Evacuated
--- a/crates/bh-workload/src/state/apply.rs
+++ b/crates/bh-workload/src/state/apply.rs
@@ -42,13 +42,14 @@
                 crash,
                 late_failures,
             } => {
+                // Whether the end of the run was recorded only as lost, and the worker may still report a failure.
                 let may_still_report = |run: &RunId| {
                     ends.iter().any(|end| {
                         let worker = self.workers.get(&end.worker);
                         end.run == *run && worker.is_some_and(|worker| worker.unheard.contains(run))
                     })
                 };
-                // An end that is recorded a second time is not counted again.
+                // A failure that is proposed a second time is not counted again: the first one removed the run from `unheard`.
                 let late_failures: Vec<RunId> =
                     late_failures.into_iter().filter(may_still_report).collect();
                 self.end_runs(ends, now_ms, crash);
@@ -112,8 +113,8 @@
         Reply::Done
     }
 
-    /// Gives up the jobs that have failed as often as the current rules allow, except for those that still have a run in progress. They may
-    /// not start again and would wait forever.
+    /// Gives up the jobs of which a waiting task or gang has failed as often as the current rules allow. It may not start again, so the job
+    /// would wait forever. A task or gang with a run in progress is not affected.
     fn give_up_exhausted_jobs(&mut self) {
         let mut exhausted = Vec::new();
         for (id, job) in self.active_jobs() {
@@ -240,15 +241,15 @@
         self.workers.insert(worker.info.id.clone(), worker);
     }
 
-    /// Number of earlier incarnations of the worker; its past starts are moved into this count. An incarnation that started before a recorded one is
-    /// known from a delayed heartbeat and does not get a higher count than that one.
+    /// Number of earlier incarnations of the worker. Removes the stored count of its removed incarnations, which the result includes. An
+    /// incarnation that started before a recorded one is known only from a delayed heartbeat and does not get a higher count than that one.
     fn restarts_of(&mut self, id: &Incarnation) -> u64 {
-        let gone = self.past_starts.remove(&id.id).unwrap_or_default().count;
+        let removed = self.past_starts.remove(&id.id).unwrap_or_default().count;
         let others = self.incarnations(id).map(|other| {
             let is_earlier = other.info.id < *id;
             other.restarts + u64::from(is_earlier)
         });
-        others.max().unwrap_or(0).max(gone)
+        others.max().unwrap_or(0).max(removed)
     }
 
     /// Counts the start of a removed worker, so that its next incarnation has a higher count.
@@ -271,6 +272,7 @@
         }
     }
 
+    /// Removes a worker that is gone, and records its runs as lost.
     pub(super) fn remove_worker(&mut self, id: &Incarnation) {
         let Some(worker) = self.workers.get(id) else {
             return;
--- a/crates/bh-workload/src/state/job.rs
+++ b/crates/bh-workload/src/state/job.rs
@@ -13,7 +13,7 @@
 use serde::Serialize;
 use std::sync::Arc;
 
-/// How a job ended.
+/// How a job ended. For a job that was given up, [`GiveUp`] says why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// All tasks are done.
@@ -56,7 +56,7 @@
     pub ended_ms: u64,
     /// Whether a task has ever started.
     pub started: bool,
-    /// Its steps, ordered by occurrence.
+    /// Its steps, ordered by occurrence (repetition of a scheduled job) and then by position.
     pub steps: Vec<Step>,
 }
 
@@ -93,6 +93,7 @@
         }
     }
 
+    /// Index of a step in `steps`.
     fn position(&self, id: StepId) -> Option<usize> {
         let step = usize::try_from(id.step).ok()?;
         let occurrence = usize::try_from(id.occurrence).ok()?;
@@ -114,7 +115,7 @@
         self.spec.steps.get(usize::try_from(id.step).ok()?)
     }
 
-    /// Whether all steps for which `id` waits are done.
+    /// Whether all steps of the same occurrence for which the step `id` waits are done.
     pub fn is_unblocked(&self, id: StepId) -> bool {
         self.step_spec(id).is_some_and(|spec| {
             spec.after.iter().all(|before| {
--- a/crates/bh-workload/src/state/mod.rs
+++ b/crates/bh-workload/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! The replicated record and the commands that change it.
+//! The replicated record, which holds rules, jobs, workers and runs, and the commands that change it.
 
 mod apply;
 mod command;
--- a/crates/bh-workload/src/state/task.rs
+++ b/crates/bh-workload/src/state/task.rs
@@ -8,10 +8,10 @@
 /// State of a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
-    /// No run of it is recorded as open.
+    /// No run of it is recorded as in progress.
     #[default]
     Waiting,
-    /// The run with this number is recorded and not known to have ended.
+    /// The run with this number is recorded and not known to have ended. It may not have started yet.
     Open(u32),
     /// Done.
     Done,
@@ -32,14 +32,14 @@
     pub attempt: u32,
     /// Number of runs that failed.
     pub failures: u32,
-    /// Number of workers that crashed while a run of it was in progress that had not been running for long. Left out if zero: few tasks
-    /// have any, and the record holds very many tasks.
+    /// Number of workers that crashed while a run of the task was in progress there, counting only runs that had not been running for long.
+    /// Left out if zero: few tasks have any, and the record holds very many tasks.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub crashes: u32,
     /// Number of those crashes that happened just after the start of the run.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub crashes_at_start: u32,
-    /// Number of workers that crashed when a run of it had been ordered and may have started.
+    /// Number of workers that crashed after a run of the task had been ordered there, where it is unknown whether the run had started.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub possible_crashes: u32,
     /// Its last checkpoint.
@@ -62,8 +62,9 @@
     /// The last attempt of the gang whose failure was reported after it had been recorded as lost.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub late_failed_attempt: u32,
-    /// Members of the gang's last attempt that ended because another member did, while other members are still open. Kept for later
-    /// leaders, to which these ends are not reported again. Members on workers that may start a run again after a restart are left out.
+    /// Members of the gang's last attempt that ended because another member had ended, while the runs of further members are still open.
+    /// Kept for later leaders, to which these ends are not reported again. Members on workers that may start a run again after a restart
+    /// are left out.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub broken: BTreeSet<u32>,
 }
@@ -112,7 +113,7 @@
             .any(|task| task.failures >= max_attempts)
     }
 
-    /// Whether every task of the gang has the run `attempt` open. A member that ends also ends the others.
+    /// Whether the run `attempt` of every task of the gang is open. When one member ends, the others are stopped.
     pub fn gang_is_whole(&self, attempt: u32) -> bool {
         self.tasks
             .iter()
