--- a/crates/bh-membership/src/lib.rs
+++ b/crates/bh-membership/src/lib.rs
@@ -1,5 +1,7 @@
 //! Membership of targets, and the leases by which entries own them.
 //!
+//! An *entry* is the process of a VM that takes callers' requests. A *target* is a worker as the entries see it.
+//!
 //! A target serves eight short requests at a time, from all entries together, and doesn't protect itself against more. So
 //! each target is owned by one entry at a time, under a lease that the leader of the data centre grants. The other
 //! entries forward requests to the owner. [`Registry`] is the leader's side and [`OwnedTargets`] the entry's.
--- a/crates/bh-net/src/lib.rs
+++ b/crates/bh-net/src/lib.rs
@@ -1,6 +1,9 @@
 //! The event loop, the clock, HTTP/1.1, and the authenticated link between entries.
 //!
 //! Everything runs on one thread; only disk syncs run on helper threads.
+//!
+//! An *entry* is the process of a VM that takes callers' requests. Cores, the processes
+//! that keep the replicated record of the workload, use the same link.
 
 pub mod clock;
 pub mod http_client;
--- a/crates/bh-net/src/link/channel.rs
+++ b/crates/bh-net/src/link/channel.rs
@@ -1,4 +1,4 @@
-//! The calling end of a link: queued frames, and calls without an answer yet.
+//! The calling end of a link: frames that wait to be sent, and calls without an answer yet.
 
 use super::CallError;
 use crate::runtime::within_ms;
@@ -13,10 +13,11 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
-/// Maximum number of queued frames. Further replication messages are dropped; the replication repeats them.
+/// Number of queued frames from which replication messages are dropped, since the replication sends them again. Other frames are always
+/// queued.
 const MAX_QUEUED_FRAMES: usize = 4_096;
 
-/// A link that can be opened again after it broke.
+/// The calling end of a link. It stays when the connection breaks, and can be opened again with the next connection.
 pub struct Channel {
     queue: RefCell<Option<unbounded::Tx<Frame>>>,
     queued_frames: Cell<usize>,
@@ -31,7 +32,7 @@
 }
 
 impl Channel {
-    /// Creates a link that is not open.
+    /// Creates the calling end of a link that is not open.
     pub fn new() -> Self {
         Self {
             queue: RefCell::new(None),
--- a/crates/bh-protocol/src/lib.rs
+++ b/crates/bh-protocol/src/lib.rs
@@ -1,6 +1,9 @@
 //! Names, shapes, messages and result codes shared by every part of beechhollow.
 //!
 //! This crate depends on no other crate of the project.
+//!
+//! An *entry* is the process of a VM that takes callers' requests. A *core* is a process that keeps the replicated record of the workload and
+//! may lead. A *carrier* is a core that passes the leader's orders on to a worker. A *target* is a worker as the entries see it.
 
 pub mod code;
 pub mod failure;
--- a/crates/bh-protocol/src/wire/peer.rs
+++ b/crates/bh-protocol/src/wire/peer.rs
@@ -40,7 +40,7 @@
     Formation = 4,
     /// A call for the leader of the workload; body: the call as JSON.
     Workload = 5,
-    /// Send an order to a worker for the leader; body: a [`super::CarryRequest`].
+    /// Send an order to a worker for the leader, as its carrier; body: a [`super::CarryRequest`].
     Carry = 6,
     /// Heartbeats of workers, relayed to the leader; body: [`super::RelayedHeartbeats`].
     Signs = 7,
--- a/crates/bh-protocol/src/wire/raft.rs
+++ b/crates/bh-protocol/src/wire/raft.rs
@@ -46,7 +46,7 @@
     AppendReply = 5,
     /// Sends a complete snapshot.
     Snapshot = 6,
-    /// Asks to receive the log as an observer.
+    /// Asks to receive the log. Observers send it, and voters that know of no leader.
     Observe = 7,
 }
 
--- a/crates/bh-report/src/lib.rs
+++ b/crates/bh-report/src/lib.rs
@@ -1,5 +1,8 @@
 //! The service-level report: durable counters, error-budget burn over several windows, a picture of it, and why jobs
 //! were late.
+//!
+//! An *entry* is the process of a VM that takes callers' requests; a *core* is a process that keeps the replicated record of the workload and may
+//! lead.
 
 mod burn;
 mod counters;
--- a/crates/bh-router/src/decision.rs
+++ b/crates/bh-router/src/decision.rs
@@ -6,7 +6,7 @@
 /// One output of the router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Send the request to a target, on which a slot is already taken.
+    /// Send the request to a target. The router has already counted one of the target's slots as taken by the request.
     Send {
         /// Id of the request.
         id: u64,
@@ -17,7 +17,7 @@
         /// Timeout of the attempt, in milliseconds.
         timeout_ms: u64,
     },
-    /// Forward the request to another entry that reports a free slot.
+    /// Forward the request to another entry, the process of another VM that takes callers' requests. That entry reports a free slot.
     Forward {
         /// Id of the request.
         id: u64,
@@ -44,7 +44,7 @@
     Lost,
     /// No connection could be opened.
     NotConnected,
-    /// Nothing was sent, for a reason on this entry's side.
+    /// Nothing was sent, for a reason on this entry's side. The slot that was taken for the attempt stayed unused.
     Unused,
 }
 
--- a/crates/bh-router/src/lib.rs
+++ b/crates/bh-router/src/lib.rs
@@ -3,6 +3,9 @@
 //!
 //! [`Router`] is pure decision code: it takes the current time and events and returns [`Decision`]s. [`Ledger`] is the
 //! replicated record.
+//!
+//! An *entry* is the process of a VM that takes callers' requests; each entry has a router. A *target* is a process that runs the requests,
+//! several at a time, each in one of its *slots*.
 
 mod decision;
 mod health;
--- a/crates/bh-scheduler/src/inventory.rs
+++ b/crates/bh-scheduler/src/inventory.rs
@@ -20,9 +20,10 @@
     pub incarnation: u64,
     /// Accelerators of the worker.
     pub capacity: u32,
-    /// Accelerators given to jobs. They exceed `capacity` while a reclaim waits for borrowers to stop.
+    /// Accelerators given to jobs. While a reclaim waits for borrowers to stop, those of the guaranteed job and of the borrowers are both
+    /// counted, so the sum can exceed `capacity`.
     pub used: u32,
-    /// Accelerators bound to guarantees, whether in use or not.
+    /// Accelerators bound to guarantees, that is, kept for a customer's guaranteed jobs, whether in use or not.
     pub bound: u32,
     /// Bound accelerators that the guaranteed customer uses.
     pub bound_used: u32,
@@ -40,12 +41,12 @@
         self.capacity.saturating_sub(self.used)
     }
 
-    /// Whether new tasks may be placed on the worker.
+    /// Whether new tasks may be placed on the worker. It is set aside for a while after jobs have failed on it.
     pub fn admits(&self, now_ms: u64) -> bool {
         self.alive && !self.leaving && !self.health.is_set_aside(now_ms)
     }
 
-    /// Accelerators that are not bound to a guarantee yet and may be.
+    /// Accelerators that can still be bound to a guarantee.
     pub fn bindable(&self) -> u32 {
         if self.alive && !self.leaving {
             self.capacity.saturating_sub(self.bound)
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Free accelerators that are not bound to an unused guarantee.
+    /// Free accelerators that a job may take without borrowing, since they are not needed for the unused part of a guarantee.
     pub fn free_unbound(&self) -> u32 {
         let unused_bound = self.bound - self.bound_used;
         self.free()
--- a/crates/bh-scheduler/src/job.rs
+++ b/crates/bh-scheduler/src/job.rs
@@ -12,7 +12,7 @@
 /// What happens to a job when all tasks of its attempt have stopped.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum AfterStop {
-    /// Return the job to the queue.
+    /// Record that the attempt has ended, and return the job to the queue.
     Requeue { reason: String },
     /// End the job. A cancellation is in the table already; any other phase is recorded then.
     End { phase: Phase, reason: String },
@@ -64,6 +64,7 @@
     pub spec: Spec,
     pub submitted_ms: u64,
     pub state: State,
+    /// Number of the current attempt, which the workers' answers repeat.
     pub epoch: u64,
     /// Worker of each task in the current attempt.
     pub places: Vec<WorkerId>,
@@ -80,6 +81,7 @@
     pub not_before_ms: u64,
     pub started_ms: u64,
     pub after_stop: Option<AfterStop>,
+    /// Why the job does not run yet, as shown to its caller; empty once all its tasks run.
     pub reason: String,
 }
 
--- a/crates/bh-scheduler/src/job_table.rs
+++ b/crates/bh-scheduler/src/job_table.rs
@@ -21,7 +21,7 @@
     Submit {
         /// What the job asks for.
         spec: Spec,
-        /// Wall clock of the entry that accepted the job, in milliseconds since 1970.
+        /// Wall clock of the entry (the process that takes callers' requests) that accepted the job, in milliseconds since 1970.
         submitted_wall_ms: u64,
     },
     /// Record the decision to start. From then on every task is told to start, by this leader or the next one.
--- a/crates/bh-scheduler/src/lib.rs
+++ b/crates/bh-scheduler/src/lib.rs
@@ -2,6 +2,9 @@
 //!
 //! [`Scheduler`] runs on the leader of a data centre's group. It takes the current time and an [`Event`] and returns
 //! [`Action`]s. [`JobTable`] is the replicated table of jobs, which outlives any leader.
+//!
+//! A *guarantee* promises a customer that a number of jobs of a shape can always run. Accelerators on specific workers are *bound* to it; other
+//! jobs may use them meanwhile as *borrowers*, and a *reclaim* stops these. A worker is *set aside* for a while after jobs have failed on it.
 
 mod action;
 mod event;
--- a/crates/bh-scheduler/src/scheduler/gang.rs
+++ b/crates/bh-scheduler/src/scheduler/gang.rs
@@ -1,4 +1,7 @@
 //! Starts gangs: prepares all workers, records the decision to start, then starts all tasks.
+//!
+//! `number` is the number of a job. The epoch numbers the attempts to start jobs; an answer that names another epoch than the job's current one
+//! belongs to an earlier attempt and is ignored.
 
 use super::Scheduler;
 use crate::action::Action;
@@ -8,7 +11,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Backoff after the first attempt that didn't start. It doubles with each further one.
+/// Backoff after a start that could not be recorded. After a worker's refusal it is doubled once for each failure of the job so far.
 const FIRST_BACKOFF_MS: u64 = 100;
 /// Upper limit of the backoff.
 const MAX_BACKOFF_MS: u64 = 10_000;
@@ -32,6 +35,7 @@
         });
     }
 
+    /// Handles the workers' answers to the prepare orders: records the start, or retries later if a worker refused.
     pub(super) fn prepared(
         &mut self,
         now_ms: u64,
@@ -71,6 +75,7 @@
         }
     }
 
+    /// Starts the tasks once the decision is recorded. `accepted` is false if it could not be recorded; the job is then retried later.
     pub(super) fn start_recorded(&mut self, now_ms: u64, number: u64, epoch: u64, accepted: bool) {
         let lease_ms = self.lease_ms;
         let Some(job) = self.jobs.get_mut(&number) else {
@@ -105,6 +110,7 @@
         });
     }
 
+    /// Handles the workers' answers to the start orders.
     pub(super) fn start_sent(
         &mut self,
         now_ms: u64,
--- a/crates/bh-settings/src/entry.rs
+++ b/crates/bh-settings/src/entry.rs
@@ -1,4 +1,4 @@
-//! Configuration file of one entry: its name, addresses, peers and limits.
+//! Configuration file of one entry, the process of a VM that takes callers' requests: its name, addresses, peers and limits.
 
 use crate::Problem;
 use crate::document::Document;
@@ -20,14 +20,14 @@
 /// Minimum election timeout, as a number of heartbeats.
 const MIN_HEARTBEATS_PER_ELECTION: u64 = 4;
 
-/// One entry VM of the system.
+/// One entry VM: a VM that runs an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryVm {
     /// Name of the VM.
     pub name: Arc<str>,
     /// Data centre of the VM.
     pub data_centre: Arc<str>,
-    /// Listening address for callers, targets and operators.
+    /// Listening address for callers, operators and targets, the workers that run requests and tasks.
     pub http_address: SocketAddr,
     /// Listening address for the other entries.
     pub peer_address: SocketAddr,
@@ -147,6 +147,7 @@
     }
 }
 
+/// Reads the whole file. Problems are collected by the section's reader; `finish` adds one for each key that was not read.
 fn read_config(mut root: Section<'_>) -> Option<EntryConfig> {
     let name = root.name("name");
     let entries = read_entries(&mut root);
--- a/crates/bh-settings/src/lib.rs
+++ b/crates/bh-settings/src/lib.rs
@@ -2,6 +2,9 @@
 //!
 //! Operators configure the whole system by changing this tree. Each team owns the subtree under its name. The
 //! replicated [`Machine`] decides which of two concurrent changes wins.
+//!
+//! An *entry* is the process of a VM that takes callers' requests. The VMs of some entries also vote in the replicated groups. A *target* is a
+//! worker as the entries see it: it runs requests and tasks.
 
 pub mod check;
 pub mod diff;
--- a/crates/bh-settings/src/tree/team.rs
+++ b/crates/bh-settings/src/tree/team.rs
@@ -22,13 +22,13 @@
     /// SHA-256 digests of the tokens that allow sending work; if empty, no token is needed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub caller_tokens_sha256: Vec<Arc<str>>,
-    /// Job shapes by name.
+    /// Job shapes by name: how many tasks and accelerators a job has, and how close together they are placed.
     #[serde(default)]
     pub shapes: BTreeMap<Arc<str>, Shape>,
-    /// Request types by name.
+    /// Kinds of requests and jobs by name, each with its priority, limits and objective.
     #[serde(default)]
     pub request_types: BTreeMap<Arc<str>, RequestType>,
-    /// Customers by name.
+    /// Customers for whom the team runs work, by name, each with its share, quota and guarantees.
     #[serde(default)]
     pub customers: BTreeMap<Arc<str>, Customer>,
 }
@@ -45,11 +45,12 @@
             customers: read_named(&mut section, "customers", Customer::read),
         };
         team.check_references(&section);
+        // Reports the keys that were not read.
         section.finish();
         team
     }
 
-    /// Reports guarantees of shapes that the team does not define.
+    /// Reports guarantees of shapes that the team does not define. A guarantee keeps capacity for a customer's jobs of one shape.
     fn check_references(&self, section: &Section<'_>) {
         for (name, customer) in &self.customers {
             for guarantee in &customer.guarantees {
--- a/crates/bh-testkit/src/lib.rs
+++ b/crates/bh-testkit/src/lib.rs
@@ -1,5 +1,7 @@
 //! Test support: a stand-in worker with fault injection, entries as real processes, a link that can be cut, and checkers
 //! of histories.
+//!
+//! An *entry* is the process of a VM that takes callers' requests.
 
 pub mod cluster;
 pub mod history;
