--- a/crates/bh-control/src/core/advice.rs
+++ b/crates/bh-control/src/core/advice.rs
@@ -1,4 +1,4 @@
-//! Asks the external adviser which workers may run a step.
+//! Asks the adviser, an external service, which workers may run a step. A permission is the adviser's answer that a worker may run the step.
 
 use super::core_node::CoreNode;
 use super::leadership::Leadership;
@@ -9,8 +9,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Asks the adviser the first of `questions`, unless a question is already in progress. Without an adviser the question counts as
-/// unanswered.
+/// Asks the adviser the first of `questions`, unless a question is already in progress. The next plan raises the others again if they are still
+/// needed. If the core's configuration has no address of an adviser, the question counts as unanswered.
 pub(super) fn ask(
     core: &Rc<CoreNode>,
     leadership: &mut Leadership,
@@ -33,6 +33,7 @@
     monoio::spawn(exchange(core.clone(), leadership.term, address, question));
 }
 
+/// Sends one question in the deployment's wire format. Notes the answer and makes a new plan due, if this core still leads in `term`.
 async fn exchange(core: Rc<CoreNode>, term: u64, address: SocketAddr, question: Question) {
     let request = (core.dialect.write_question)(&question, address);
     core.metrics.count("questions", 1);
--- a/crates/bh-control/src/core/answer_call.rs
+++ b/crates/bh-control/src/core/answer_call.rs
@@ -37,6 +37,7 @@
             place,
             spec: Ok(spec),
         } => {
+            // Here and below, a time of 0 is replaced when the command is proposed.
             let command = Command::Accept {
                 place,
                 spec,
@@ -99,12 +100,12 @@
     }
 }
 
-/// Handles a worker's announcement that it ends now. The worker is removed once it is certain that it has ended, and asked until then; no
-/// leader gives it new work.
+/// Handles a worker's announcement that it ends now. The worker is removed from the record once it has certainly ended. Until then it is
+/// probed, and recorded as draining, so that no leader gives it new work.
 async fn leave(core: &Rc<CoreNode>, worker: &Incarnation) -> Answer {
     let term = core.group.status().term;
     let now_ms = core.clock.now_ms();
-    let (worker, gone) = {
+    let (worker, removal) = {
         let workload = core.group.machine.read();
         let mut held = core.leadership.borrow_mut();
         let Some(leadership) = held.as_mut() else {
@@ -114,14 +115,14 @@
             leadership.dispatcher.check_incarnations(worker, &workload);
             return Answer::Done;
         };
-        let gone = leadership
+        let removal = leadership
             .dispatcher
             .note_announced_end(now_ms, &worker, &workload);
-        (worker, gone)
+        (worker, removal)
     };
-    if let Some(gone) = gone {
-        log_departures(core, term, &gone, Detection::Leave);
-        return change(core, gone).await;
+    if let Some(removal) = removal {
+        log_departures(core, term, &removal, Detection::Leave);
+        return change(core, removal).await;
     }
     log::info!(worker = worker.to_string(), term; "worker leaves with open runs");
     change(
@@ -131,8 +132,8 @@
     .await
 }
 
-/// The recorded incarnation that a leave call refers to; `worker` itself if none is recorded. A call without a start time refers to the draining
-/// incarnation only: it may be a delayed call from an earlier incarnation while a later one is still working.
+/// The recorded incarnation that a leave call refers to; `worker` itself if no incarnation of it is recorded. A call without a start time
+/// refers to the draining incarnation only: it may be a delayed call from an earlier incarnation while a later one is still working.
 fn leaving_incarnation(workload: &Workload, worker: &Incarnation) -> Option<Incarnation> {
     let lacks_start_time =
         |other: &Worker| worker.started_ms.is_none() && other.info.id.started_ms.is_some();
@@ -164,7 +165,7 @@
     }
 }
 
-/// Without rules nothing is known about queues; the queue may exist a moment later, so the call can be retried.
+/// Answer for a refusal. Without rules nothing is known about queues; the queue may exist a moment later, so the call can be retried.
 fn refused(refusal: Refusal) -> Answer {
     match refusal {
         Refusal::NoRules => unavailable(),
@@ -172,6 +173,7 @@
     }
 }
 
+/// Waits until reads on this core are certain to see every change that was committed before; fails if that takes too long or this core no longer leads.
 async fn confirm_state(core: &Rc<CoreNode>) -> Result<(), Answer> {
     core.group
         .read(READ_TIMEOUT_MS)
@@ -179,6 +181,7 @@
         .map_err(|_| Answer::NotLeader)
 }
 
+/// Records a change in the replicated state and answers the call with the result.
 pub(super) async fn change(core: &Rc<CoreNode>, command: Command) -> Answer {
     let reply = propose(core, command).await;
     core.wake();
@@ -189,6 +192,7 @@
     }
 }
 
+/// Answer for a proposal that failed. Without a quorum nothing was recorded, so another core may be asked; else the change may be recorded.
 fn failed(failure: &Failure) -> Answer {
     match failure.code {
         Code::NoQuorum => Answer::NotLeader,
@@ -196,6 +200,7 @@
     }
 }
 
+/// Reads the state of a job, or the number of pending jobs if the path names only a queue.
 fn read_state(core: &Rc<CoreNode>, place: &Place) -> Answer {
     let workload = core.group.machine.read();
     let found = match workload.find(place) {
--- a/crates/bh-control/src/core/carry.rs
+++ b/crates/bh-control/src/core/carry.rs
@@ -1,4 +1,4 @@
-//! Orders that the leader sends to workers through other cores, their carriers.
+//! Orders that the leader sends to workers through other cores, the workers' carriers.
 //!
 //! A leader that talked to every worker of a large fleet itself would need more connections than a small VM has descriptors, and would
 //! spend its processor time on HTTP while the other cores are idle. So the cores share the workers. Only the leader decides, records and
@@ -35,16 +35,16 @@
 /// processor.
 const RELAY_OVERHEAD_MS: u64 = 150;
 
-/// Result of sending an order.
+/// Result of sending an order, as the leader knows it.
 pub(super) enum SendOutcome {
     /// The worker answered.
     Answered {
         /// Its answer.
         response: Response<Bytes>,
-        /// Whether an earlier attempt to send the order had no answer.
+        /// Whether the order was sent before without an answer. The worker may have carried it out then.
         repeated: bool,
     },
-    /// Nothing listens at the worker's address.
+    /// The last attempt found that nothing listens at the worker's address.
     NotListening {
         /// Whether an earlier attempt to send the order may have reached the worker.
         repeated: bool,
@@ -77,13 +77,13 @@
         core.metrics.count("orders_carried", 1);
         match send_over(&carrier, &carry).await {
             // The carrier refused, so nothing was sent: it knows of a later term, or considers the order delayed because a clock had
-            // stopped.
+            // stopped. The order is sent directly below.
             Ok(reply) if reply.outcome() == CarryOutcome::NotCarried => {
                 core.metrics.count("orders_refused_by_carriers", 1);
             }
             Ok(reply) => return outcome_of(reply),
             Err(CallError::Lost) => return SendOutcome::CarrierLost("no answer".to_owned()),
-            // Nothing has left this core yet.
+            // Nothing has left this core yet. The order is sent directly below.
             Err(CallError::NotSent) => {}
         }
     }
@@ -97,7 +97,7 @@
     }
 }
 
-/// The other core that talks to a recorded worker, if there is one.
+/// The link to the carrier of a recorded worker; `None` if this core talks to the worker itself or has no link to the carrier.
 fn carrier_of(core: &Rc<CoreNode>, worker: &Incarnation) -> Option<Rc<Peer>> {
     let workload = core.group.machine.read();
     let carrier = core.carrier_of(&workload.worker(worker)?.info)?;
@@ -117,6 +117,7 @@
     })
 }
 
+/// The headers of an order, for a carry request.
 fn headers(request: &Request<Bytes>) -> Vec<Header> {
     let headers = request.headers().iter().map(|(name, value)| Header {
         name: name.to_string(),
@@ -125,6 +126,7 @@
     headers.collect()
 }
 
+/// What a carrier's reply says about the order.
 fn outcome_of(reply: CarryReply) -> SendOutcome {
     let why = || String::from_utf8_lossy(&reply.body).into_owned();
     match reply.outcome() {
@@ -158,10 +160,14 @@
     reply.encode_to_vec()
 }
 
+/// Sends the order to the worker, unless its leader is no longer current or the order was delayed.
 async fn carry_decoded(core: &Rc<CoreNode>, carry: CarryRequest) -> CarryReply {
-    let known = core.group.status().term;
-    if carry.term < known {
-        return not_carried(format!("term {} is over, this is {known}", carry.term));
+    let current_term = core.group.status().term;
+    if carry.term < current_term {
+        return not_carried(format!(
+            "term {} is over, this is {current_term}",
+            carry.term
+        ));
     }
     // An order that was delayed, because this VM or the link was paused, has already been given up by its sender.
     let late_ms =
@@ -199,6 +205,7 @@
     }
 }
 
+/// Refuses to carry an order: nothing was sent to the worker.
 fn not_carried(why: String) -> CarryReply {
     log::info!("order not carried: {why}");
     CarryReply {
@@ -210,6 +217,7 @@
     }
 }
 
+/// The order as the leader wrote it; `None` if the carry request is malformed.
 fn request(carry: CarryRequest) -> Option<Request<Bytes>> {
     let mut request = Request::new(Bytes::from(carry.body));
     *request.method_mut() = Method::from_bytes(carry.method.as_bytes()).ok()?;
--- a/crates/bh-control/src/core/inherited_runs.rs
+++ b/crates/bh-control/src/core/inherited_runs.rs
@@ -26,12 +26,13 @@
         }
     }
 
-    /// Number of runs that are not settled yet.
+    /// Number of runs that have neither ended nor been confirmed.
     pub fn count(&self) -> usize {
         self.runs.len()
     }
 
-    /// Removes the runs that have ended or are confirmed. If none is left then, returns one of those that were just removed.
+    /// Removes the runs that have ended or are confirmed. If this removes the last ones, returns one of them, so that a log line can name an
+    /// example of what the leader waited for.
     pub fn remove_settled(
         &mut self,
         workload: &Workload,
@@ -42,9 +43,7 @@
             let is_recorded = workload
                 .worker(worker)
                 .is_some_and(|worker| worker.runs.contains_key(run));
-            let run_state = dispatcher
-                .view(worker)
-                .and_then(|target| target.runs.get(run));
+            let run_state = dispatcher.view(worker).and_then(|view| view.runs.get(run));
             is_recorded && !run_state.is_some_and(RunState::is_confirmed)
         });
         self.runs.is_empty().then_some(last)
--- a/crates/bh-control/src/core/leadership.rs
+++ b/crates/bh-control/src/core/leadership.rs
@@ -1,4 +1,4 @@
-//! State of a core while it leads.
+//! State of a core while it leads. A core is a process that keeps the replicated state; one of them leads.
 
 use super::inherited_runs::InheritedRuns;
 use super::runnable_tracker::RunnableTracker;
@@ -19,7 +19,7 @@
     pub dispatcher: Dispatcher,
     /// Plans starts and stops of runs.
     pub planner: Planner,
-    /// Whether the last planned starts are still being recorded.
+    /// The recording of the last planned starts in the replicated state. No plan is made until it has ended.
     pub starts_record: StartsRecord,
     /// Whether something has changed since the last plan.
     pub plan_due: bool,
@@ -33,11 +33,11 @@
     pub last_inherited_check_ms: u64,
     /// How long runnable work has waited, and which jobs are stalled.
     pub runnable: RunnableTracker,
-    /// Earliest time of the next survey, on the process's clock in milliseconds.
+    /// Earliest time of the next survey of waiting work, for metrics and log lines about stalled jobs, on the process's clock in milliseconds.
     pub next_survey_ms: u64,
     /// When all workers were last checked for due orders, on the process's clock in milliseconds.
     pub last_sweep_ms: u64,
-    /// When runs were last checked for being overdue, on the process's clock in milliseconds.
+    /// When runs were last checked for being overdue, that is, stalled or much slower than expected, on the process's clock in milliseconds.
     pub last_overdue_check_ms: u64,
     /// Highest heartbeat sequence number received from each worker.
     pub heartbeat_sequences: BTreeMap<Incarnation, u64>,
--- a/crates/bh-control/src/core/mod.rs
+++ b/crates/bh-control/src/core/mod.rs
@@ -1,4 +1,4 @@
-//! Cores: the replicated state and its leader.
+//! Cores: the processes that keep the replicated state, and what the one that leads does.
 
 mod advice;
 mod answer_call;
--- a/crates/bh-control/src/core/planning.rs
+++ b/crates/bh-control/src/core/planning.rs
@@ -14,9 +14,11 @@
 use bh_workload::state::Workload;
 use std::rc::Rc;
 
-/// Maximum time between plans, in milliseconds: waiting limits expire and start times are reached without any other event.
+/// Maximum time between plans, in milliseconds. Waiting limits expire and start times are reached without an event that makes a plan due.
 const MAX_PLAN_INTERVAL_MS: u64 = 200;
-/// Makes a plan if one is due, records the runs to start and stops the runs that are to make room.
+
+/// Makes a plan if one is due, records the runs to start, and stops the runs that the plan evicts to free
+/// capacity for others.
 pub(super) fn plan(core: &Rc<CoreNode>) {
     let now_ms = core.clock.now_ms();
     let mut held = core.leadership.borrow_mut();
@@ -93,7 +95,7 @@
     });
 }
 
-/// Stops runs that cannot finish before their worker leaves.
+/// Stops runs that would be cut short: they cannot end before their worker leaves.
 fn stop_runs_cut_short(
     core: &CoreNode,
     leadership: &mut Leadership,
--- a/crates/bh-control/src/lib.rs
+++ b/crates/bh-control/src/lib.rs
@@ -1,4 +1,11 @@
 //! The processes of a deployment: entries, which accept callers' connections, and cores, which replicate the state and elect a leader.
+//!
+//! - An *entry* is the process of a VM that takes callers' requests. It decides nothing and forwards each call to the leader.
+//! - A *core* is a process that keeps the replicated record of rules, jobs, workers and runs. One core leads: it plans runs and gives workers
+//!   their orders.
+//! - A *carrier* is a core that passes the leader's orders on to a worker. In a large fleet the cores share the workers that way.
+//! - The *adviser* is an external service that says which workers may run a step of a job.
+//! - A *dialect* translates calls, answers and orders to and from the wire format of a deployment.
 
 pub mod calls;
 pub mod config;
