--- a/crates/bh-consensus/src/replica.rs
+++ b/crates/bh-consensus/src/replica.rs
@@ -58,6 +58,7 @@
             }
         }
         let commit = log.snapshot_index;
+        // The voters as of the end of the log.
         let voters = Voters::new(log.voters_at(u64::MAX));
         let rng_state = config.seed ^ config.id.rotate_left(17) | 1;
         let mut replica = Self {
@@ -137,8 +138,8 @@
         self.log.snapshot_index
     }
 
-    /// Whether this replica has at some time since it started known everything that was committed by then. The log alone doesn't show
-    /// which of its entries are committed: the replica learns that from a leader that has committed an entry of its own term.
+    /// Whether this replica, at some time since its start, has known of every entry that was committed at that time. The log alone doesn't
+    /// show which of its entries are committed: the replica learns that from a leader that has committed an entry of its own term.
     pub fn has_caught_up(&self) -> bool {
         self.caught_up
     }
@@ -177,7 +178,7 @@
             .map(|contact_ms| now_ms.saturating_sub(contact_ms))
     }
 
-    /// Latest time at which a majority of the voters, this one included, certainly knew of no later leader; `None` if this replica doesn't lead.
+    /// Latest time at which it is certain that a majority of the voters, this one included, knew of no later leader; `None` unless it leads.
     ///
     /// An answer counts from the time at which the message that it answers was sent. After a pause of this VM the replica may read an answer
     /// long after it was given, and another leader may have been elected in between.
@@ -214,7 +215,7 @@
         self.is_voter() && self.leader.is_some()
     }
 
-    /// Announces this replica to every VM, so that the leader sends it the log. Only a leader reacts.
+    /// Announces this replica to every VM by an `Observe` message, so that the leader sends it the log. Only a leader reacts.
     fn announce(&mut self, now_ms: u64) {
         self.next_announce_ms = now_ms + self.config.heartbeat_ms * ANNOUNCE_INTERVAL_HEARTBEATS;
         let body = RaftBody {
@@ -228,8 +229,8 @@
     }
 
     fn receive(&mut self, now_ms: u64, message: RaftMessage) {
-        // A message to a former identity of this VM. This replica has none of that replica's votes and acknowledgements, so it must not
-        // answer in its place.
+        // The message is for an earlier replica of this VM, which had another id. This replica has none of that replica's votes and
+        // acknowledgements, so it must not answer in its place.
         if message.to != 0 && message.to != self.config.id {
             return;
         }
--- a/crates/bh-consensus/tests/lagging.rs
+++ b/crates/bh-consensus/tests/lagging.rs
@@ -6,17 +6,19 @@
 use support::HEARTBEAT_MS;
 use support::InjectedBugs;
 
+/// Rounds without a limit on deliveries; in each, time advances by one tick and all messages are delivered.
 const ROUNDS: usize = 200;
 /// Commands proposed while the follower is partitioned: several batches.
 const MISSED_COMMANDS: usize = 3_000;
-/// Turns after the partition has healed.
+/// Turns after the partition has healed. In each, one command is proposed, time advances by a quarter of a heartbeat, and only
+/// [`MESSAGES_PER_TURN`] messages are delivered.
 const TURNS: usize = 300;
 /// Messages that all links together deliver in one turn. A leader that resends what is already in flight produces more than this in each turn.
 const MESSAGES_PER_TURN: usize = 6;
 
-/// A follower returns thousands of entries behind, over a slow link, and rejects every message that was sent before its first answer. A leader
-/// that responds to each rejection with another batch sends the same entries hundreds of times: they pile up in its memory, saturate the
-/// link, and the follower never catches up.
+/// A follower returns thousands of entries behind, over a slow link. The leader does not know where the follower's log ends until the follower
+/// answers, so the follower rejects every batch that was sent before its first answer arrives. A leader that responds to each rejection with
+/// another batch sends the same entries hundreds of times: they pile up in its memory, saturate the link, and the follower never catches up.
 #[test]
 fn a_follower_far_behind_is_sent_about_what_it_lacks() {
     let mut group = Group::new(3, InjectedBugs::default());
@@ -41,7 +43,8 @@
     let sent = group.sent_entries - before;
     group.check_end();
     assert_eq!(group.problems, Vec::<String>::new());
-    // The entries that the two followers lacked, and as many again for batches that were sent twice.
+    // The returning follower lacked the missed commands, and both followers lacked the one of each turn. As many again are allowed for batches
+    // that were sent twice.
     let lacked = MISSED_COMMANDS + 2 * TURNS;
     assert!(
         sent <= 2 * lacked,
--- a/crates/bh-group/src/driver.rs
+++ b/crates/bh-group/src/driver.rs
@@ -80,7 +80,8 @@
 }
 
 impl<S> Driver<S> {
-    /// A driver for the replica that `config` describes, with its journal and what that held, and the handle to the driver.
+    /// Creates the driver of the replica that `config` describes, and the handle to the driver. `storage` is the replica's journal with the
+    /// state that was recovered from it, or `None` for a replica without a disk.
     ///
     /// # Errors
     ///
--- a/crates/bh-group/src/lib.rs
+++ b/crates/bh-group/src/lib.rs
@@ -1,4 +1,6 @@
 //! Runs one replica of a replicated log as a task: batches of inputs, disk syncs, proposals and reads.
+//!
+//! A [`Driver`] is that task. The rest of the process uses the replica through a handle, [`Group`].
 
 mod driver;
 mod formation;
--- a/crates/bh-node/src/http_api/status.rs
+++ b/crates/bh-node/src/http_api/status.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/status`: the state of this entry.
+//! `GET /v1/status`: the state of this entry, the process of a VM that takes callers' requests.
 
 use super::answer;
 use crate::group::Group;
@@ -41,7 +41,7 @@
     pub data_centre: Arc<str>,
     /// Whether the link is open.
     pub linked: bool,
-    /// Free slots in the entry's latest heartbeat.
+    /// Free slots according to the entry's latest heartbeat.
     pub free_slots: u32,
 }
 
@@ -56,9 +56,9 @@
     pub in_progress: u32,
     /// Requests that wait for a slot.
     pub queued: usize,
-    /// Free slots on the targets that the entry owns.
+    /// Free slots on the usable targets (workers) that the entry owns under a lease, less one for each queued request.
     pub free_slots: u32,
-    /// All slots on the targets that the entry owns.
+    /// All slots on the targets that the entry owns, free or not.
     pub slots: u32,
     /// Bytes sent to other entries since the process started.
     pub link_bytes: u64,
@@ -71,7 +71,8 @@
 pub(super) fn serve(node: &Rc<Node>) -> Response<Bytes> {
     let now_ms = node.clock.now_ms();
     let router = node.router.borrow();
-    let groups = std::iter::once(&node.settings).chain(node.jobs.values().map(|jobs| &jobs.group));
+    let groups =
+        std::iter::once(&node.settings).chain(node.jobs.values().map(|local| &local.group));
     let status = EntryStatus {
         in_force: node.in_force(),
         ready: node.is_ready(),
--- a/crates/bh-node/src/node/calls.rs
+++ b/crates/bh-node/src/node/calls.rs
@@ -1,4 +1,6 @@
-//! Calls to the leader of a group, on this or another entry, and calls of other entries to this one.
+//! Calls to the leader of a replication group, on this or another entry, and calls of other entries to this one.
+//!
+//! An entry is the process of a VM that takes callers' requests; entries also replicate the groups and lead them.
 
 use super::Node;
 use crate::group::Formation;
@@ -17,12 +19,13 @@
 use serde::de::DeserializeOwned;
 use std::rc::Rc;
 
-/// Head of a call that was forwarded once already; it is not forwarded again.
+/// Value of `head` in a call that another entry has forwarded already. Such a call is not forwarded again.
 const ALREADY_FORWARDED: &str = "passed-on";
 /// Time between attempts to reach a leader, in milliseconds.
 const RETRY_INTERVAL_MS: u64 = 30;
 /// Shortest time left for which another attempt is made, in milliseconds. An attempt that times out before a refusal can
-/// come back counts as possibly recorded: a change that nobody recorded would be answered "unknown" instead of "not run".
+/// come back counts as possibly recorded. Then a change that nobody recorded would be answered "unknown" instead of
+/// "not run".
 const MIN_ATTEMPT_MS: u64 = 300;
 /// Longest wait for one attempt, in milliseconds.
 const ATTEMPT_TIMEOUT_MS: u64 = 1_500;
@@ -45,6 +48,7 @@
 }
 
 impl Node {
+    /// The replication group of this name, if this entry votes in it or observes it.
     fn group(&self, name: &str) -> Option<&Group> {
         if *self.settings.name == *name {
             return Some(&self.settings);
@@ -81,7 +85,8 @@
 
     /// Replicates `command` in `group`, whichever entry leads it, and returns the state machine's answer.
     ///
-    /// A command may be proposed more than once: it names its change, job or attempt, by which the state machine recognizes a repetition.
+    /// A command may be proposed more than once. It contains the identity of its change, job or attempt, by which the state machine recognizes
+    /// the repetition.
     ///
     /// # Errors
     ///
@@ -297,7 +302,7 @@
     }
 }
 
-/// Returns the label and body of a successful reply, or its failure.
+/// Returns the label and body of a successful reply, or its failure. On success the label describes the answer, otherwise the failure.
 pub(crate) fn into_result(reply: RpcReply) -> Result<(String, Vec<u8>), Failure> {
     match Code::from_number(reply.code) {
         Some(Code::Done) => Ok((reply.label, reply.body)),
--- a/crates/bh-node/src/requests/execute.rs
+++ b/crates/bh-node/src/requests/execute.rs
@@ -1,4 +1,7 @@
 //! Executes the router's decisions about one request until the request has its final answer.
+//!
+//! For a non-idempotent request, a *begin* is recorded in the replicated ledger before the request is sent: a record that it may run from now
+//! on. The final answer is stored there too, or the begin is withdrawn if the request has certainly not run.
 
 use super::attempt;
 use super::final_answer::FinalAnswer;
@@ -38,7 +41,8 @@
     AwaitDecision(oneshot::Receiver<Decision>),
 }
 
-/// Runs the request and returns its final answer. `forwarded` is true when another entry forwarded it to this one.
+/// Runs the request and returns its final answer. `forwarded` is true when another entry, the process of another VM that takes callers'
+/// requests, forwarded it to this one.
 pub async fn execute(node: &Rc<Node>, request: ShortRequest, forwarded: bool) -> FinalAnswer {
     let now_ms = node.clock.now_ms();
     let id = node.next_request_number();
@@ -128,8 +132,8 @@
 
     async fn forward(&mut self, entry: &Arc<str>) -> StepOutcome {
         if let Some(recorded) = self.recorded.take() {
-            // The begin was recorded for a target that accepted no connection. The other entry records a begin of its own: if it found this one,
-            // the request would stay in progress for ever.
+            // The begin was recorded for a target that accepted no connection. The other entry records a begin of its own. If it found this one, it
+            // would take it for a duplicate that is still running, and the request would stay in progress for ever.
             ledger::withdraw_now(&self.node, recorded, self.left_ms()).await;
         }
         match forward::forward_request(&self.node, &self.request, entry, self.left_ms()).await {
@@ -177,6 +181,7 @@
         )
         .await;
         let took_ms = self.node.clock.now_ms().saturating_sub(start_ms);
+        // An attempt whose target answered with a failure is not logged here.
         if matches!(outcome, AttemptOutcome::Lost | AttemptOutcome::NotConnected) {
             log::info!(request = self.id, target_name = &**target, outcome = format!("{outcome:?}"), took_ms = took_ms; "attempt failed");
         }
--- a/crates/bh-node/src/requests/short_request.rs
+++ b/crates/bh-node/src/requests/short_request.rs
@@ -1,4 +1,4 @@
-//! A short request with the settings that apply to it.
+//! A short request with the settings that apply to it. Unlike a job, a short request is answered on the caller's connection.
 
 use bytes::Bytes;
 use serde::Deserialize;
