--- a/crates/beechctl/src/main.rs
+++ b/crates/beechctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line for operators and callers of beechhollow.
+//! The command line for operators and callers of beechhollow. It talks to an entry, the process of a VM that takes callers' requests.
 
 mod client;
 mod commands;
--- a/crates/bh-control/src/core/carry.rs
+++ b/crates/bh-control/src/core/carry.rs
@@ -162,12 +162,10 @@
 
 /// Sends the order to the worker, unless its leader is no longer current or the order was delayed.
 async fn carry_decoded(core: &Rc<CoreNode>, carry: CarryRequest) -> CarryReply {
-    let current_term = core.group.status().term;
-    if carry.term < current_term {
-        return not_carried(format!(
-            "term {} is over, this is {current_term}",
-            carry.term
-        ));
+    // The latest term that this core knows of.
+    let known = core.group.status().term;
+    if carry.term < known {
+        return not_carried(format!("term {} is over, this is {known}", carry.term));
     }
     // An order that was delayed, because this VM or the link was paused, has already been given up by its sender.
     let late_ms =
--- a/crates/bh-control/src/core/worker_calls.rs
+++ b/crates/bh-control/src/core/worker_calls.rs
@@ -91,7 +91,7 @@
 
     /// Sends a request and waits for the whole answer, for `limit_ms` at most.
     ///
-    /// A kept connection that turns out closed is replaced at once, and the request sent again; [`Answered::repeated`] says so, since the first
+    /// A kept connection that turns out closed is replaced at once, and the request sent again; `Answered::repeated` says so, since the first
     /// send may have been carried out. After a silent one all kept
     /// connections to the worker are dropped, since whatever lost track of one has likely lost the others too.
     ///
--- a/crates/bh-scheduler/src/scheduler/gang.rs
+++ b/crates/bh-scheduler/src/scheduler/gang.rs
@@ -1,7 +1,7 @@
 //! Starts gangs: prepares all workers, records the decision to start, then starts all tasks.
 //!
 //! `number` is the number of a job. The epoch numbers the attempts to start jobs; an answer that names another epoch than the job's current one
-//! belongs to an earlier attempt and is ignored.
+//! belongs to an earlier attempt and is ignored. The last argument of `stop` tells whether the tasks get time for a checkpoint.
 
 use super::Scheduler;
 use crate::action::Action;
@@ -147,6 +147,7 @@
         }
         let epoch = job.epoch;
         let run_time_ms = now_ms.saturating_sub(job.started_ms);
+        // Expected run times are learnt by shape.
         self.runtimes.add(&job.spec.shape_name, run_time_ms);
         let places: BTreeSet<u32> = job.places.iter().copied().collect();
         for id in places {
--- a/crates/bh-workload/src/plan/wait_explainer.rs
+++ b/crates/bh-workload/src/plan/wait_explainer.rs
@@ -36,7 +36,7 @@
     rooms.iter().map(|room| room.places(unit, avoid)).sum()
 }
 
-/// Returns how many slots a unit needs for any of it to start: a gang needs all of them, other tasks start one by one.
+/// Returns how many of the unit's tasks must fit for any of them to start: all of a gang, and one of other tasks.
 fn min_places(unit: &Unit) -> u64 {
     if unit.spec.gang { unit.count() } else { 1 }
 }
--- a/crates/bh-workload/src/plan/wait_reason.rs
+++ b/crates/bh-workload/src/plan/wait_reason.rs
@@ -42,11 +42,11 @@
     NoWorkerLargeEnough,
     /// The adviser has not yet answered whether more workers may run the tasks.
     Advice,
-    /// The tasks would fit if the workers that get no new work now were usable.
+    /// There would be room for all the tasks if the workers that get no new work for a time were usable.
     WorkersUnusable {
         /// How many of the tasks fit on such workers.
         places: u64,
-        /// Why most of these workers' free capacity can't be used.
+        /// The reason that concerns the most of these tasks.
         why: UnusableReason,
     },
     /// Other runs are being stopped to make room.
@@ -54,7 +54,7 @@
         /// Number of workers on which room is being made.
         workers: usize,
     },
-    /// Fewer tasks fit than wait.
+    /// There is room for fewer tasks than wait.
     NoRoom {
         /// Number of tasks.
         tasks: u64,
@@ -93,7 +93,7 @@
     NotPlanned,
     /// The tasks are not done, but are recorded neither as running nor as waiting.
     Unexplained,
-    /// All tasks fit, and no other reason applies. Either more important work takes the room, or the tasks start at the next plan.
+    /// There is room for all the tasks, and no other reason applies. Either more important work takes the room, or the tasks start at the next plan.
     Placing,
 }
 
