--- a/crates/beechctl/src/main.rs
+++ b/crates/beechctl/src/main.rs
@@ -1,4 +1,4 @@
-//! Command-line client for operators and callers of beechhollow.
+//! Command-line client for operators and callers of beechhollow. It talks to an entry, the process of a VM that takes callers' requests.
 
 mod client;
 mod commands;
--- a/crates/bh-report/src/lib.rs
+++ b/crates/bh-report/src/lib.rs
@@ -1,5 +1,8 @@
 //! Service-level reports: request counters, error-budget burn over several windows, fragmentation of the accelerators,
 //! their HTML pages, and the causes of late jobs.
+//!
+//! An *entry* is the process of a VM that takes callers' requests; a *core* is a process that keeps the replicated record of the workload and may
+//! lead.
 
 mod burn;
 mod counters;
