--- a/crates/beechhollow/tests/runs_once.rs
+++ b/crates/beechhollow/tests/runs_once.rs
@@ -573,9 +573,10 @@
 }
 
 /// Guards against running a task twice at once, and after its last allowed failure. A worker carries out a start, but the kept-alive connection breaks
-/// before the answer. The core sends the start again over a new connection, and the worker, busy by then, refuses it. The refusal was taken to mean
-/// that the run never started, so the task started elsewhere at once, and the failure of the first run was not counted. The worker's own list of runs
-/// shows the fault: the second to fourth run started beside the first, in ten of ten executions.
+/// before the answer. The core sends the start again over a new connection, and the worker, busy by then, refuses it. Of an order that was sent twice
+/// only the second answer was known, so the refusal was taken to mean that the run never started: the task started elsewhere at once, and the failure
+/// of the first run was not counted. The worker's own list of runs shows the fault: the second to fourth run started beside the first, in ten of ten
+/// executions.
 #[test]
 fn a_start_that_is_refused_when_it_comes_again_may_have_begun() {
     let (simulation, core) = run_scenario("repeated-starts", broken_connections);
--- a/crates/bh-report/src/late/cause.rs
+++ b/crates/bh-report/src/late/cause.rs
@@ -17,7 +17,7 @@
     RoomMade,
     /// The job waited for free capacity.
     WaitedForRoom,
-    /// An attempt was preempted by guaranteed work.
+    /// An attempt was preempted to make room for other work: guaranteed work, a service that lacks a task, or urgent work.
     Displaced,
     /// An attempt ended because its worker was lost or its lease expired.
     WorkerLost,
--- a/crates/bh-testkit/src/link.rs
+++ b/crates/bh-testkit/src/link.rs
@@ -81,8 +81,8 @@
         self.control.silent_before.store(next, Ordering::SeqCst);
     }
 
-    /// Closes the open connections with odd numbers, or those with even numbers. Bytes not yet forwarded
-    /// are lost. New connections work.
+    /// Closes the open connections with odd numbers, or those with even numbers. Bytes already forwarded stay
+    /// delivered, so an order may have been carried out; bytes not yet forwarded are lost. New connections work.
     pub fn close_open_connections(&self, odd: bool) {
         let below = if odd {
             &self.control.closed_odd_below
--- a/crates/bh-workload/tests/guarantees.rs
+++ b/crates/bh-workload/tests/guarantees.rs
@@ -107,7 +107,7 @@
     assert_eq!(stopped, BTreeSet::from([saving]));
 }
 
-/// Guards against stopping work that a guarantee covers for other guaranteed work.
+/// Guards against stopping work that a guarantee covers for other guaranteed work: each customer's share is its own.
 #[test]
 fn work_within_the_guarantee_is_not_stopped() {
     let mut site = Site::new(2, 2);
@@ -168,8 +168,8 @@
     }
 }
 
-/// Guards against stopping borrowers only for gangs. One of four guaranteed tasks that are no gang can start at once. Without stops, the others
-/// would start only when other work ends, seconds after their deadline.
+/// Guards against stopping borrowers only for gangs: the same time limit holds for guaranteed work that is no gang. One of four such tasks can
+/// start at once. Without stops, the others would start only when other work ends, seconds after their deadline.
 #[test]
 fn borrowers_are_stopped_for_guaranteed_tasks_that_are_no_gang() {
     let mut site = lending_site(2, 2);
--- a/crates/bh-workload/tests/leaving_workers.rs
+++ b/crates/bh-workload/tests/leaving_workers.rs
@@ -26,8 +26,8 @@
     }
 }
 
-/// A site on which a step runs on workers of four; one of these workers has announced that it leaves in `leaves_in_ms`. Returns that worker and its
-/// run.
+/// A site of four workers, on one or two of which a step runs. One of those that run it has announced that it leaves in `leaves_in_ms`. Returns
+/// that worker and its run.
 fn site_with_leaving_worker(spec: StepSpec, leaves_in_ms: u64) -> (Site, Incarnation, RunId) {
     let mut site = Site::new(4, 2);
     site.advance(60_000);
