--- a/crates/beechctl/src/commands/core_evacuate.rs
+++ b/crates/beechctl/src/commands/core_evacuate.rs
@@ -1,4 +1,5 @@
-//! `beechctl core evacuate` and `beechctl core end-evacuation`: start and end the evacuation of a data centre.
+//! `beechctl core evacuate` and `beechctl core end-evacuation`: start and end the evacuation of a data centre. An
+//! entry, the process of a VM that takes callers' requests, passes the call on to the leading core.
 
 use super::arguments::text as argument;
 use crate::client::Client;
@@ -49,11 +50,11 @@
     let path = format!("/v1/evacuations/{}", argument(matches, "DATA_CENTRE"));
     let response = client.call(method, &path, Bytes::new(), &[]).await?;
     let status: EvacuationStatus = parse(response.body())?;
-    output.show(&status, text);
+    output.show(&status, describe);
     Ok(0)
 }
 
-fn text(status: &EvacuationStatus) -> String {
+fn describe(status: &EvacuationStatus) -> String {
     let name = &status.data_centre;
     if status.is_evacuated {
         format!("nothing more begins in {name}; `beechctl core status` tells what still runs there")
--- a/crates/beechhollow/src/process.rs
+++ b/crates/beechhollow/src/process.rs
@@ -1,4 +1,4 @@
-//! Code shared by the subcommands that run a process.
+//! Code shared by the subcommands that run an entry or a core until it is told to stop.
 
 use crate::check_config::print_failure;
 use bh_net::runtime;
@@ -26,7 +26,7 @@
         .map_or("", String::as_str)
 }
 
-/// Runs `main` on the event loop until it ends, and returns the exit status.
+/// Runs `main` on the event loop until it ends, and returns the exit status. A failure is printed and determines the status.
 pub fn run_to_end(
     disk_threads: usize,
     main: impl Future<Output = Result<(), Failure>>,
--- a/crates/bh-router/src/decision.rs
+++ b/crates/bh-router/src/decision.rs
@@ -17,7 +17,7 @@
         /// Timeout of the attempt, in milliseconds.
         timeout_ms: u64,
     },
-    /// Forward the request to another entry, the process of another VM that takes callers' requests. That entry reports a free slot.
+    /// Forward the request to another entry that reports a free slot. An entry is the process of a VM that takes callers' requests.
     Forward {
         /// Id of the request.
         id: u64,
--- a/crates/bh-scheduler/src/inventory.rs
+++ b/crates/bh-scheduler/src/inventory.rs
@@ -1,4 +1,7 @@
 //! Workers and racks of a data centre, with their used accelerators and those bound to guarantees.
+//!
+//! Other jobs may borrow bound accelerators that the guaranteed customer does not use. A reclaim stops these borrowers when the customer needs
+//! the accelerators.
 
 use crate::health::Health;
 use std::collections::BTreeMap;
@@ -20,8 +23,8 @@
     pub incarnation: u64,
     /// Accelerators of the worker.
     pub capacity: u32,
-    /// Accelerators given to jobs. While a reclaim waits for borrowers to stop, those of the guaranteed job and of the borrowers are both
-    /// counted, so the sum can exceed `capacity`.
+    /// Accelerators given to jobs. While a reclaim waits for borrowers to stop, the same accelerators count twice, for the guaranteed job and
+    /// for the borrowers, so the sum can exceed `capacity`.
     pub used: u32,
     /// Accelerators bound to guarantees, that is, kept for a customer's guaranteed jobs, whether in use or not.
     pub bound: u32,
@@ -251,10 +254,12 @@
         self.workers[index(id)].bound -= count;
     }
 
+    /// Counts `count` bound accelerators as used by the guaranteed customer, in addition to [`Inventory::allocate`].
     pub(crate) fn use_bound(&mut self, id: WorkerId, count: u32) {
         self.workers[index(id)].bound_used += count;
     }
 
+    /// Counts `count` bound accelerators as no longer used by the guaranteed customer, in addition to [`Inventory::release`].
     pub(crate) fn release_bound(&mut self, id: WorkerId, count: u32) {
         self.workers[index(id)].bound_used -= count;
     }
--- a/crates/bh-scheduler/src/scheduler/gang.rs
+++ b/crates/bh-scheduler/src/scheduler/gang.rs
@@ -1,7 +1,9 @@
 //! Starts gangs: prepares all workers, records the decision to start, then starts all tasks.
 //!
 //! `number` is the number of a job. The epoch numbers the attempts to start jobs; an answer that names another epoch than the job's current one
-//! belongs to an earlier attempt and is ignored. The last argument of `stop` tells whether the tasks get time for a checkpoint.
+//! belongs to an earlier attempt and is ignored. `refused` has the workers that refused an order or did not answer it.
+//! `AfterStop::Retry` places a job again without a record of the attempt, `AfterStop::Requeue` records that the attempt has ended. The last
+//! argument of `stop` tells whether the tasks get time for a checkpoint. `Job::places` has the index of a worker for each task.
 
 use super::Scheduler;
 use crate::action::Action;
@@ -11,7 +13,8 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Backoff after a start that could not be recorded. After a worker's refusal it is doubled once for each failure of the job so far.
+/// Backoff after a start that could not be recorded. After a worker's refusal it is doubled once for each failure of the job so far, the refusal
+/// included.
 const FIRST_BACKOFF_MS: u64 = 100;
 /// Upper limit of the backoff.
 const MAX_BACKOFF_MS: u64 = 10_000;
@@ -110,7 +113,7 @@
         });
     }
 
-    /// Handles the workers' answers to the start orders.
+    /// Handles the workers' answers to the start orders, once all have been sent and have been answered or timed out.
     pub(super) fn start_sent(
         &mut self,
         now_ms: u64,
@@ -147,7 +150,7 @@
         }
         let epoch = job.epoch;
         let run_time_ms = now_ms.saturating_sub(job.started_ms);
-        // Expected run times are learnt by shape.
+        // The expected run time of later jobs of the same shape follows from those that have ended.
         self.runtimes.add(&job.spec.shape_name, run_time_ms);
         let places: BTreeSet<u32> = job.places.iter().copied().collect();
         for id in places {
--- a/crates/bh-workload/src/dispatch/fill_pace.rs
+++ b/crates/bh-workload/src/dispatch/fill_pace.rs
@@ -2,23 +2,23 @@
 
 use super::pace::FULL_PERCENT;
 
-/// Response time from which a service counts as too slow, in percent of its bound. It is below 100 because the reported figure is rough and
-/// a change of speed takes effect half a second later.
+/// Response time from which a service counts as too slow, in percent of its bound. It is below 100 because the response
+/// time that workers report is rough and a change of speed takes effect half a second later.
 const SLOW_DOWN_FROM_PERCENT: u64 = 90;
 /// Response time below which fill tasks are sped up again, in percent of the bound.
 const SPEED_UP_TO_PERCENT: u64 = 70;
-/// Divisor of the speed each time a service is too slow. Three cuts in a row, within two seconds, nearly stop the fill tasks; a service may
-/// be too slow for about four seconds.
+/// Divisor of the speed each time a service is too slow. Three cuts in a row, within two seconds, pause the fill tasks; a
+/// service is allowed to be too slow for about four seconds.
 const SLOW_DOWN_DIVISOR: u64 = 3;
 /// Speed below which fill tasks are paused, in percent of full speed.
 const PAUSE_BELOW_PERCENT: u64 = 8;
 /// Increase of the speed in one step, in percent of full speed.
 const SPEED_UP_STEP_PERCENT: u64 = 10;
-/// Minimum time between two changes, in milliseconds: the reported figure covers half a second.
+/// Minimum time between two changes, in milliseconds: the reported response time covers half a second.
 const MIN_CHANGE_INTERVAL_MS: u64 = 500;
 /// Time for which a speed that made a service too slow is not tried again, in milliseconds. The interference changes within seconds.
 const CEILING_TTL_MS: u64 = 5_000;
-/// Speed with which a new leader starts, in percent: the speed that the previous leader had found is lost.
+/// Speed that a new leader sets first for the fill tasks of each worker, in percent: the speed that the previous leader had found is lost.
 const TAKEOVER_PERCENT: u64 = 50;
 
 /// The speed of fill tasks on one worker.
@@ -84,8 +84,8 @@
 
     fn increased(&self, now_ms: u64) -> u64 {
         match self.ceiling {
-            Some((percent, until_ms)) if now_ms < until_ms => {
-                self.percent + percent.saturating_sub(self.percent) / 2
+            Some((ceiling_percent, until_ms)) if now_ms < until_ms => {
+                self.percent + ceiling_percent.saturating_sub(self.percent) / 2
             }
             _ => (self.percent + SPEED_UP_STEP_PERCENT).min(FULL_PERCENT),
         }
--- a/crates/bh-workload/src/dispatch/pace.rs
+++ b/crates/bh-workload/src/dispatch/pace.rs
@@ -1,9 +1,9 @@
-//! The speed of one run.
+//! The speed of one run, which pace orders to its worker change.
 
 /// Full speed in percent; every run starts with it.
 pub const FULL_PERCENT: u64 = 100;
-/// Delay before a pace order without an answer is sent again, in milliseconds: much shorter than the time for which a service may exceed
-/// its response time.
+/// Delay before a pace order without an answer is sent again, in milliseconds: much shorter than the time for which a service is
+/// allowed to exceed the bound on its response time.
 const RETRY_MS: u64 = 300;
 
 /// The share of its full speed at which a run should work, and the share that its worker confirmed.
@@ -13,7 +13,9 @@
     pub wanted_percent: u64,
     /// The share that the worker confirmed, in percent; `None` if it is unknown, as for a run that an earlier leader may have slowed down.
     confirmed_percent: Option<u64>,
+    /// Whether a pace order is in flight.
     in_flight: bool,
+    /// No order is sent before this time, on the leader's clock in milliseconds.
     retry_ms: u64,
 }
 
@@ -40,11 +42,12 @@
         self.in_flight = true;
     }
 
-    /// Notes the answer to an order for `percent`. An order without an answer may have been carried out, or may still be.
-    pub fn note_answer(&mut self, now_ms: u64, percent: u64, done: bool) {
+    /// Notes that the worker has confirmed an order for `percent`, or has refused it or not answered. An order without an answer may have
+    /// been carried out, or may be carried out later, so the speed is unknown then.
+    pub fn note_answer(&mut self, now_ms: u64, percent: u64, is_confirmed: bool) {
         self.in_flight = false;
-        self.confirmed_percent = done.then_some(percent);
-        if !done {
+        self.confirmed_percent = is_confirmed.then_some(percent);
+        if !is_confirmed {
             self.retry_ms = now_ms + RETRY_MS;
         }
     }
--- a/crates/bh-workload/src/job/resources.rs
+++ b/crates/bh-workload/src/job/resources.rs
@@ -8,7 +8,7 @@
 pub struct Resources {
     /// Processor cores, in thousandths of a core.
     pub cpu_millis: u64,
-    /// Memory in MiB, as callers and workers state it.
+    /// Memory in MiB (not in MB, despite the name), as callers and workers state it.
     pub memory_mb: u64,
     /// Number of accelerators.
     pub accelerators: u64,
@@ -52,6 +52,6 @@
     }
 }
 
-/// Number of cores that one accelerator is worth when amounts of work are compared. The users of the system value accelerators at
-/// this rate.
+/// Number of cores that one accelerator is worth when amounts of work are compared: the rate at which the users of the system
+/// value accelerators.
 pub const CORES_PER_ACCELERATOR: u64 = 8;
--- a/crates/bh-workload/src/plan/disruption_budget.rs
+++ b/crates/bh-workload/src/plan/disruption_budget.rs
@@ -1,4 +1,5 @@
-//! Limits on how many tasks of a service are unavailable at the same time.
+//! Limits on how many tasks of a service are unavailable at the same time. Such a limit holds for a step, which is a number of
+//! equal tasks of a job.
 
 use crate::dispatch::Dispatcher;
 use crate::dispatch::RunState;
@@ -17,6 +18,7 @@
 pub struct DisruptionBudget<'a> {
     workload: &'a Workload,
     dispatcher: &'a Dispatcher,
+    /// Runs that the caller has already decided to stop, with their workers.
     stopping: &'a [(Incarnation, RunId)],
     /// Number of tasks that may still be stopped, by step.
     remaining: BTreeMap<StepId, u64>,
@@ -39,8 +41,8 @@
 
     /// Returns whether a run may be stopped, and if so counts it as stopped.
     ///
-    /// In a step with a limit, a run that this leader has not itself seen ready may not be stopped. The run may have been serving
-    /// for long: a new leader has not yet received reports of all runs.
+    /// In a step with a limit, a run that this leader has not itself seen ready may not be stopped. Such a run may well be ready: a new
+    /// leader has not yet received reports of all runs.
     pub fn allow_stop(&mut self, run: RunId) -> bool {
         let step = run.task.step;
         let spec = self.workload.step_spec(step);
@@ -70,7 +72,8 @@
         all.saturating_sub(u64::try_from(available).unwrap_or(u64::MAX))
     }
 
-    /// Returns whether this leader has seen the run ready and nothing stops it.
+    /// Returns whether the worker has confirmed the start of the run and reported it ready to this leader, and the run is neither being stopped
+    /// nor in `stopping`.
     fn is_available(&self, run: RunId) -> bool {
         let is_ready = |run_state: &RunState| {
             run_state.percent >= READY_PERCENT
--- a/crates/bh-workload/src/plan/mod.rs
+++ b/crates/bh-workload/src/plan/mod.rs
@@ -3,6 +3,7 @@
 //! A few terms are also the names of metrics and of reasons that operators see:
 //!
 //! - *Room* is the free capacity of a worker.
+//! - A *unit* is the waiting tasks of one step: all tasks of a gang, or tasks that are placed one by one.
 //! - A worker is *set aside* for a while after runs have failed, stalled or been very slow on it, or after it has refused a start as
 //!   unhealthy or for lack of capacity.
 //! - A worker is *cold* for a while after it has started, and runs tasks more slowly during that time.
--- a/crates/bh-workload/src/plan/unusable_reason.rs
+++ b/crates/bh-workload/src/plan/unusable_reason.rs
@@ -1,4 +1,4 @@
-//! Reasons why a worker gets no new work.
+//! Reasons why a worker gets no new work. An incarnation is a worker from one start of its process to the next.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -13,7 +13,7 @@
     Replaced,
     /// The worker's data centre is being evacuated.
     Evacuated,
-    /// A task under which a worker has crashed before has just started on the worker.
+    /// A suspect has just started on the worker: a task during an earlier run of which a worker crashed.
     BesideSuspect,
     /// The worker's VM is next for upkeep, and the worker is emptied of runs first.
     Emptied,
--- a/crates/bh-workload/src/plan/wait_reason.rs
+++ b/crates/bh-workload/src/plan/wait_reason.rs
@@ -1,4 +1,5 @@
-//! Reasons why tasks wait. The module head of [`super`] explains *room*, *kept room*, *apart* and *set aside*.
+//! Reasons why tasks wait. The module head of [`super`] explains *room*, *kept room*, *apart* and *set aside*; [`RunPhase`] and
+//! [`UnusableReason`] explain their variants. A *unit* is the waiting tasks of one step.
 
 use super::UnusableReason;
 use crate::dispatch::RunPhase;
@@ -35,8 +36,8 @@
         /// The data centres.
         data_centres: BTreeSet<Arc<str>>,
     },
-    /// No worker that is usable now may run the tasks, because of their label, their pool or the adviser, an external
-    /// service that says which workers may run a step.
+    /// No worker that is usable now may run the tasks, because of the label that the tasks require, the pool of their queue, or the
+    /// adviser, an external service that says which workers may run a step.
     NoWorkerAllowed,
     /// The workers that may run the tasks are too small.
     NoWorkerLargeEnough,
@@ -74,8 +75,8 @@
         /// How many of the tasks fit into what is left.
         places: u64,
     },
-    /// A worker has crashed under one of the tasks. For a while the tasks wait for workers on which nothing has just started, so that another
-    /// crash can be attributed to them.
+    /// A worker has crashed while it ran one of the tasks. For a while the tasks start only on workers on which nothing has just started:
+    /// if such a worker crashes too, the tasks are known to be the cause.
     Apart {
         /// Number of workers that crashed.
         crashes: u32,
--- a/crates/bh-workload/src/state/worker.rs
+++ b/crates/bh-workload/src/state/worker.rs
@@ -1,4 +1,4 @@
-//! A worker incarnation in the record.
+//! A worker incarnation in the record, which is the replicated state.
 
 use crate::job::Resources;
 use crate::job::RunId;
@@ -59,8 +59,8 @@
 pub struct Worker {
     /// Its details.
     pub info: WorkerInfo,
-    /// Arrival number: workers are numbered in the order in which they were recorded. If two are recorded on one VM, the later one runs
-    /// there.
+    /// Arrival number: workers are numbered in the order in which they were recorded. If two are recorded on one VM, the one with
+    /// the higher number is the one that runs there now.
     #[serde(default)]
     pub arrival: u64,
     /// Number of earlier incarnations of the worker, as far as recorded.
@@ -71,8 +71,8 @@
     /// Runs that are recorded there and not known to have ended, with the resources that each takes.
     #[serde(with = "crate::pairs")]
     pub runs: BTreeMap<RunId, Resources>,
-    /// Gang members that are recorded as lost although the worker runs and its lease had not expired. The worker may still report to the
-    /// leader that they failed.
+    /// Lost runs whose real ends the leader has not heard: gang members that are recorded as lost although the worker runs and its lease had
+    /// not expired. The worker may still report to the leader that they failed.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub unheard: BTreeSet<RunId>,
 }
@@ -96,7 +96,8 @@
         u64::try_from(count).unwrap_or(u64::MAX)
     }
 
-    /// Resources that recorded runs take beyond the capacity of the worker, which may have decreased since they started.
+    /// Resources that recorded runs take beyond the capacity of the worker, which may have decreased since they started;
+    /// zero for a resource of which the runs take no more than the capacity.
     pub fn excess(&self) -> Resources {
         let mut excess = Resources::default();
         for needs in self.runs.values() {
