--- a/crates/beechhollow/tests/support/mod.rs
+++ b/crates/beechhollow/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! Helpers shared by the tests of whole clusters.
+//! Helpers shared by the tests of whole clusters. An entry is the process of a VM that takes callers' requests; a core is a process that keeps
+//! the replicated record and may lead.
 #![allow(
     dead_code,
     unused_imports,
--- a/crates/bh-workload/tests/delays/mod.rs
+++ b/crates/bh-workload/tests/delays/mod.rs
@@ -1,5 +1,6 @@
-//! Simulates a site where records, orders and answers take time: workers in memory, a log that commits late, and leaders that stall or are
-//! replaced.
+//! Simulates a site, which is the cores and all workers that they control, where records, orders and answers take time: workers in memory, a
+//! log that commits late, and leaders that stall or are replaced. A core is a process that keeps the replicated record and may lead; a carrier
+//! is the core that passes the leader's orders to a worker.
 
 mod coverage;
 mod event;
--- a/crates/bh-workload/tests/delays/network.rs
+++ b/crates/bh-workload/tests/delays/network.rs
@@ -1,4 +1,4 @@
-//! Delivery of orders to workers and of their answers.
+//! Delivery of orders to workers and of their answers, on the simulated site. The module head of [`super`] says what a core and a carrier are.
 
 use super::event::Event;
 use super::faults::Fault;
@@ -21,7 +21,7 @@
 /// Longest duration of such a run, in milliseconds.
 const MAX_LONG_RUN_MS: u64 = 16_000;
 
-/// A probe that waits at its worker for an end.
+/// A probe whose answer the worker holds back until one of its runs ends or the wait is over.
 pub struct WaitingProbe {
     pub call: u64,
     pub order: Order,
@@ -37,7 +37,7 @@
     NoAnswer,
     /// The worker executes it, and the connection breaks.
     ConnectionBreaks,
-    /// The worker is busy and denies it.
+    /// The worker is busy and denies it as [`Denial::Unhealthy`].
     Busy,
     /// The worker has no free capacity and denies it.
     NoCapacity,
@@ -127,7 +127,8 @@
         );
     }
 
-    /// The core that carried an order is lost with it: after sending the order, before that, or it is suspended and sends the order later.
+    /// The core that carries an order for the leader is lost: after it has sent the order or before that, or it is suspended and sends the order
+    /// later. The leader only learns that the carrier was lost.
     fn lose_carrier(&mut self, call: u64, order: Order) {
         const MAX_DETECTION_MS: u64 = 500;
         const MAX_SUSPENSION_MS: u64 = 10_000;
@@ -160,8 +161,8 @@
         self.push(at_ms, read);
     }
 
-    /// The connection breaks, and the order is sent again over another: the leader gets the answer to the second copy, and knows that there
-    /// was a first.
+    /// The connection breaks, and the order is sent again over another. The leader gets the answer to the second copy, and is told that the
+    /// order was repeated.
     fn send_twice(&mut self, call: u64, order: Order, at_ms: u64) {
         const PROMPT_PERCENT: u64 = 70;
         const BUSY_PERCENT: u64 = 50;
@@ -250,7 +251,7 @@
         self.return_answer(call, order, delivery, answer);
     }
 
-    /// Denies a start for want of capacity: the worker takes over the lease and the fencing token, and nothing else.
+    /// Denies a start for want of capacity: the worker only adopts the lease and the fencing token of the order.
     fn deny_for_capacity(&mut self, index: usize, order: &Order) -> Answer {
         let OrderBody::Start {
             run,
@@ -278,7 +279,7 @@
         }
     }
 
-    /// A worker executes an order; checks what it starts and forgets.
+    /// A worker executes an order. Checks the run that it starts, and the ends that it forgets because the order acknowledges them as recorded.
     fn execute(&mut self, index: usize, order: &Order) -> Answer {
         let now_ms = self.now_ms;
         let is_restarted = self.workers[index].id != order.to.worker;
@@ -304,7 +305,8 @@
             && is_restarted
             && is_first
         {
-            // The worker has no fencing token yet; the leader stops the run once it is reported.
+            // The order was for an earlier incarnation. This one has no fencing token yet by which to refuse it; the leader stops the run once it is
+            // reported, so the run may overlap another one of its task.
             self.misdelivered_runs.insert(run);
             if let Some(state) = self.workers[index].runs.get_mut(&run) {
                 state.done_ms = None;
@@ -371,6 +373,7 @@
     /// Acknowledges the ends that a probe's cursor has reached, and checks that they are recorded.
     fn acknowledge_ends(&mut self, index: usize, recorded_to: u64) {
         let now_ms = self.now_ms;
+        // The number of leases of the worker that have run out.
         let (id, lapses) = (self.workers[index].id.clone(), self.workers[index].lapses);
         let acknowledged = self.listed_ends[index]
             .iter()
@@ -409,6 +412,7 @@
             _ => None,
         });
         let at_ms = self.now_ms + self.transit_ms(late);
+        // The fencing token of an order is the term of its leader, before restarts of the worker are added.
         let term = order.token;
         self.push(at_ms, Event::AnswerArrives { call, term, answer });
     }
--- a/crates/bh-workload/tests/fleet_counts.rs
+++ b/crates/bh-workload/tests/fleet_counts.rs
@@ -1,4 +1,5 @@
 //! Tests of the counts of workers and recorded runs by condition.
+
 mod support;
 
 use bh_workload::dispatch::Answer;
@@ -11,9 +12,10 @@
     FleetCounts::new(site.now_ms, &site.workload, &site.dispatcher)
 }
 
-/// Guards against a run that its worker no longer reports being taken for one that is running.
+/// Guards against counting a run as running although its worker no longer reports it.
 #[test]
 fn a_run_is_counted_as_unconfirmed_then_unreported() {
+    // One worker, in a rack of its own, and one task with one accelerator.
     let mut site = Site::new(1, 1);
     let job = site.submit(0, "other", vec![step(1, 1)]);
     site.plan_and_start();
@@ -28,6 +30,7 @@
     assert_eq!(counts(&site), FleetCounts::default());
     site.advance(100);
     let orders = site.orders();
+    // The second argument has the runs that the worker leaves out of its report.
     let answer_without_run = site.probe_answer(&worker, &[run]);
     for order in &orders {
         site.dispatcher
--- a/crates/bh-workload/tests/fuzz_delays.rs
+++ b/crates/bh-workload/tests/fuzz_delays.rs
@@ -1,6 +1,7 @@
 //! Fuzz tests of orders to workers where everything takes time: records that commit late or are lost with their leader, orders and answers
 //! that are delayed or read late, orders that are resent without the leader's knowledge, and leaders that stall. The checks use what the
-//! workers started and ended, not the record.
+//! workers started and ended, not the record. The head of `delays` says what a site, a core and a carrier are; [`Fault`] describes each fault,
+//! [`ProtocolFault`] each way in which a worker breaks the protocol.
 #![expect(
     clippy::unwrap_used,
     reason = "a test that meets the unexpected shall end"
@@ -38,7 +39,7 @@
 
 const SEED: u64 = 20_261_203;
 const CASES: u32 = 300;
-/// Number of other cases for each case with a series of leader losses, which takes this much longer.
+/// Divisor of the number of cases that have a series of leader losses: such a case takes this many times longer than another.
 const CASES_PER_SERIES: u32 = 20;
 
 /// Configuration for CI, unless `PROPTEST_CASES` or `PROPTEST_RNG_SEED` override it.
@@ -189,7 +190,7 @@
     panic!("{cases} cases break a rule; the first, shrunk:\n{finding}\n{case:?}\n{trace}");
 }
 
-/// A task runs once at a time, not again after it was done, and no more often than it may fail, and every job ends.
+/// A task runs once at a time, not again after it was done, and not again after its maximum number of failures, and every job ends.
 #[rstest]
 fn fuzz_delays_break_no_guarantee(
     #[values(
@@ -212,8 +213,8 @@
     assert_group_keeps(group, rule);
 }
 
-/// A job of which nothing runs, though its turn has come and there is free capacity for it twice over, starts promptly once nothing
-/// disturbs the site, whichever core leads. The check uses the state of the workers, not what the leader knows.
+/// A job of which nothing runs, though it is runnable and there is free capacity for it twice over, starts promptly once nothing disturbs the
+/// site, whichever core leads. The check uses the state of the workers, not what the leader knows.
 #[rstest]
 fn fuzz_delays_stall_no_job(
     #[values(Group::LeaderLosses, Group::LeaderLossesLargeFleet)] group: Group,
@@ -239,7 +240,8 @@
     assert_group_keeps(group, rule);
 }
 
-/// Checks that the series cover their conditions: leaders that are lost while gangs are broken, and jobs that are stalled beside free
+/// Checks that the series cover their conditions: leaders that are lost while gangs are broken (some of their
+/// members run, others have ended), and jobs that are stalled beside free
 /// capacity.
 #[rstest]
 fn leader_losses_cover_broken_gangs_and_stalls(
@@ -256,14 +258,14 @@
         all.push(coverage);
         stall_durations.extend(durations);
     }
-    for (what, of) in [
+    for (what, duration_of) in [
         (
             "total",
             StallDuration::total_ms as fn(&StallDuration) -> u64,
         ),
         ("undisturbed", StallDuration::undisturbed_ms),
     ] {
-        let mut times_ms: Vec<u64> = stall_durations.iter().map(of).collect();
+        let mut times_ms: Vec<u64> = stall_durations.iter().map(duration_of).collect();
         times_ms.sort_unstable();
         let longer = [1, 500, 1_000, 2_000, 3_000].map(|ms| {
             let longer = times_ms.iter().filter(|time_ms| **time_ms >= ms).count();
@@ -294,7 +296,7 @@
     }
 }
 
-/// A case found by earlier runs, with these faults.
+/// A case found by earlier runs, with these faults and the time at which each starts, in milliseconds.
 fn regression_case(
     seed: u64,
     (max_commit_ms, failing_percent): (u64, u64),
@@ -319,9 +321,9 @@
     }
 }
 
-/// A worker's lease has run out while nothing was received from it, and recording that takes over three seconds. The leader must not take
-/// it as not recorded: it would send the start again to the worker, which answers by then, and start the task elsewhere once the record is
-/// committed.
+/// A worker's lease has run out while nothing was received from it, so the leader presumes its run to have ended, and committing this end takes
+/// over three seconds. If the leader took the end as not recorded meanwhile, it would send the start again to the worker, which answers by
+/// then, and start the task elsewhere once the end is committed.
 #[test]
 fn a_run_given_up_is_not_restarted_while_that_is_recorded() {
     let duration_ms = 4_356;
@@ -363,8 +365,8 @@
     assert_case_keeps(&case, Rule::OneAtOnce);
 }
 
-/// A gang fails twice, and both failures are acknowledged. The leader presumed the first run to have ended before its worker said how, and
-/// was replaced before the worker did; the gang must not start a third time.
+/// A gang fails twice, and both failures are acknowledged. The leader presumed the first run to have ended before its worker reported that it
+/// had failed, and was replaced before that report; the gang must not start a third time.
 #[test]
 fn a_gang_failure_unknown_to_its_leader_counts_under_the_next() {
     let faults = vec![
@@ -434,7 +436,7 @@
     assert_case_keeps(&case, Rule::NoStartAfterMaxFailures);
 }
 
-/// A task that is not a gang is given up. It must not be sent again while that is being recorded, and then run beside the start that
+/// The run of a task that is not in a gang is presumed to have ended, because the lease of its worker has run out. The run must not be sent again while that is being recorded, and then run beside the start that
 /// follows the commit.
 #[test]
 fn a_task_given_up_is_not_restarted_while_that_is_recorded() {
@@ -547,6 +549,7 @@
         };
         let breaks = |finding: &Finding| finding.rule == rule;
         if findings(&case).iter().any(breaks) {
+            // The runner stops at the first case that fails, that is, in which the fault shows.
             return Err(TestCaseError::fail("noticed"));
         }
         Ok(())
--- a/crates/bh-workload/tests/limits_on_workers.rs
+++ b/crates/bh-workload/tests/limits_on_workers.rs
@@ -11,7 +11,7 @@
 use support::Site;
 use support::step;
 
-/// Returns the number of open runs on each worker.
+/// Returns the number of open runs, which have started and not ended, on each worker.
 fn runs_by_worker(site: &Site) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for (worker, _) in site.open_runs() {
@@ -24,11 +24,13 @@
 /// and another takes its slot while the rest still run: if tasks of earlier plans did not count, one worker would get three.
 #[test]
 fn tasks_placed_earlier_count_against_most_per_worker() {
+    // Three workers with eight accelerators each, all in one rack.
     let mut site = Site::new(3, 8);
     // After this time no capacity is kept for urgent work.
     site.advance(60_000);
     let limited = StepSpec {
         most_per_worker: Some(2),
+        // Nine tasks with one accelerator each.
         ..step(9, 1)
     };
     site.submit(2, "other", vec![limited]);
@@ -43,8 +45,8 @@
     assert!(runs_by_worker(&site).values().all(|count| *count <= 2));
 }
 
-/// Guards against a plan made from outdated state: another command may be applied before its starts. The record refuses a start that would put one
-/// task too many of the step on a worker.
+/// Guards against a plan made from outdated state: another command may be applied before its starts. The record, which is the
+/// replicated state, refuses a start that would put one task too many of the step on a worker: its reply lists the steps with refused starts.
 #[test]
 fn the_record_refuses_one_task_too_many_on_a_worker() {
     let mut site = Site::new(1, 8);
--- a/crates/bh-workload/tests/support/mod.rs
+++ b/crates/bh-workload/tests/support/mod.rs
@@ -1,4 +1,7 @@
-//! A small site in memory: the record, the leader's dispatcher and planner, and workers that carry out their orders.
+//! A small site in memory: the record, which is the replicated state, the leader's dispatcher and planner, and workers that carry out their
+//! orders. An open run is one whose start is recorded and whose end is not.
+//!
+//! [`Site::plan_and_start`] records starts, [`Site::send_starts`] then sends the start orders to the workers.
 #![expect(
     clippy::unwrap_used,
     reason = "a test that meets the unexpected shall end"
@@ -189,6 +192,7 @@
         self.heartbeats();
     }
 
+    /// Submits a job to the queue of `priority`, where 0 is the most urgent, for one of the customers of [`rules`].
     pub fn submit(&mut self, priority: u32, customer: &str, steps: Vec<StepSpec>) -> JobId {
         let id = JobId(self.next_job);
         self.next_job += 1;
@@ -225,7 +229,7 @@
         )
     }
 
-    /// Makes a plan and records its starts.
+    /// Makes a plan and records its starts, without sending the start orders.
     pub fn plan_and_start(&mut self) -> Plan {
         let plan = self.plan();
         let reply = self.workload.apply(Command::Starts(plan.starts.clone()));
@@ -382,7 +386,7 @@
         }
     }
 
-    /// The orders to a worker that are due get `answer`; the commands that follow from it are recorded.
+    /// All orders to a worker that are due get `answer`, once the next probe is due if there are none yet; the commands that follow from it are recorded.
     pub fn answer_for(&mut self, worker: &Incarnation, answer: &Answer) {
         /// Time between two probes of a worker, in milliseconds.
         const NEXT_PROBE_MS: u64 = 400;
--- a/crates/bh-workload/tests/support/stalled_steps.rs
+++ b/crates/bh-workload/tests/support/stalled_steps.rs
@@ -1,4 +1,4 @@
-//! Finds jobs that are stalled although there is capacity for them.
+//! Finds jobs that are stalled, that is, have nothing running, although there is capacity for them.
 
 use super::live_worker::LiveWorker;
 use bh_workload::job::JobId;
@@ -15,7 +15,8 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Minimum number of slots for a stall, as a multiple of the tasks that must start together.
+/// Number of free slots from which a step counts as stalled, as a multiple of the tasks that must start together. A slot is capacity for one
+/// task of the step.
 const TIMES_SLOTS: u64 = 2;
 /// Share of a pool's accelerators in use from which its jobs don't count as stalled, in percent.
 const BUSY_PERCENT: u64 = 50;
@@ -32,9 +33,9 @@
     pub slower: bool,
 }
 
-/// Returns the runnable steps of jobs of which nothing runs on `workers`, if there is capacity for the step twice over and less than half of its
-/// pool is in use. Returns at most one step of each job. Pools, rules and progress come from the record, the running tasks from the workers
-/// themselves.
+/// Looks at jobs of which no task runs on `workers` and whose pool is less than half in use. Returns the first runnable step of each such job for
+/// which there is capacity twice over. Pools, rules and progress come from the record, which is the replicated state, the running tasks from
+/// the workers themselves.
 pub fn stalled_steps(workload: &Workload, workers: &[LiveWorker]) -> Vec<StalledStep> {
     let running: BTreeSet<JobId> = workers
         .iter()
@@ -45,14 +46,14 @@
         .iter()
         .map(|worker| free_resources(workload, worker))
         .collect();
-    let mut is_idle: BTreeMap<Arc<str>, bool> = BTreeMap::new();
+    let mut idle_pools: BTreeMap<Arc<str>, bool> = BTreeMap::new();
     let mut found = Vec::new();
     for (id, job) in workload.active_jobs() {
         if running.contains(&id) {
             continue;
         }
         let pool = &workload.queue_of(job).pool;
-        let is_idle = *is_idle
+        let is_idle = *idle_pools
             .entry(pool.clone())
             .or_insert_with(|| pool_is_idle(pool, workers, &free));
         if is_idle {
@@ -74,6 +75,7 @@
     let mut stalled = specs.filter_map(|(spec, position)| {
         let step = StepId {
             job: id,
+            // Only the first repetition of a scheduled job is looked at.
             occurrence: 0,
             step: position,
         };
@@ -135,8 +137,8 @@
 
 /// Returns whether less than `BUSY_PERCENT` of the pool's accelerators are in use.
 fn pool_is_idle(pool: &Arc<str>, workers: &[LiveWorker], free: &[Resources]) -> bool {
-    let own = workers.iter().zip(free);
-    let own = own.filter(|(worker, _)| worker.info.pool == *pool);
+    let with_free = workers.iter().zip(free);
+    let own = with_free.filter(|(worker, _)| worker.info.pool == *pool);
     let (all, free) = own.fold((0, 0), |(all, total_free), (worker, free)| {
         (
             all + worker.info.capacity.accelerators,
--- a/crates/bh-workload/tests/waiting_gangs.rs
+++ b/crates/bh-workload/tests/waiting_gangs.rs
@@ -1,4 +1,5 @@
-//! Gangs that are stalled beside capacity kept for urgent work.
+//! Gangs that are stalled although there is enough capacity, because some of it is kept free for urgent work (priority 0) or because they
+//! wait for a single rack.
 
 mod support;
 
@@ -9,8 +10,10 @@
 
 /// Longest time for which a job may be stalled beside capacity for it twice over while less than half of its pool is in use, in milliseconds.
 const STALL_LIMIT_MS: u64 = 3_000;
+/// Time between two plans, in milliseconds.
 const TURN_MS: u64 = 200;
-/// Longer than the time within which a gang of these tests is on time, in milliseconds.
+/// Longer than the time within which a gang of these tests must be done to be on time, in milliseconds: a gang that has waited this long is
+/// late.
 const LATE_MS: u64 = 60_000;
 
 /// A site of ten racks of four workers. Small tasks run on 18 workers, so 22 workers are free and 18 of 320 accelerators are in use.
@@ -88,8 +91,8 @@
     assert!(waited_ms <= STALL_LIMIT_MS, "stalled for {waited_ms} ms");
 }
 
-/// Guards against a gang that waits for a single rack that long runs never leave, while there is capacity for it twice over on several
-/// racks. It may be spread only during a short time, in which there may be no leader.
+/// Guards against a gang that waits for a single rack although each rack has long runs, while there is capacity for it twice over on several
+/// racks. The planner spreads the gang only shortly before it would be late even if spread, and there may be no leader at that time.
 #[test]
 fn a_gang_is_not_stalled_for_a_rack() {
     let mut site = Site::new(48, 12);
