--- a/crates/bh-workload/src/dispatch/answers.rs
+++ b/crates/bh-workload/src/dispatch/answers.rs
@@ -73,6 +73,7 @@
         }
         Answer::Denied { denial, .. } => {
             run_state.was_unconfirmed = run_state.may_have_started();
+            // If no earlier send can have been carried out, the run never started, and its end is recorded.
             let was_unconfirmed = run_state.was_unconfirmed;
             run_state.start = StartPhase::Unsure {
                 retry_ms: now_ms + RETRY_MS,
@@ -145,6 +146,7 @@
             checkpoint: ended.checkpoint.clone().or(last_checkpoint),
         });
     }
+    // If more ends follow, a run that this report lacks may be among them.
     if !report.more {
         ends.extend(ends_of_missing_runs(order, target, worker, report));
     }
@@ -159,6 +161,7 @@
     target.recording_to = Some(last_number);
     Some(Command::Ends {
         ends,
+        // The caller fills in the time.
         now_ms: 0,
         crash: None,
         late_failures,
@@ -167,7 +170,7 @@
 
 /// Reported failures of runs that are recorded as lost. They count like any other failure: otherwise a gang that always fails would be
 /// started once too often. A failure does not count if the lease has expired since, because the run then counts as lost with it, for the
-/// worker too. Before its first grant a leader does not know whether the lease has expired.
+/// worker too. Before its first grant a leader does not know whether the lease has expired, and counts the failure.
 fn late_failures(target: &mut Target, report: &Report) -> Vec<RunId> {
     let failed = |run: &RunId| {
         let mut ended = report.ended.iter();
--- a/crates/bh-workload/src/dispatch/order.rs
+++ b/crates/bh-workload/src/dispatch/order.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 /// Delay before an order without an answer is sent again, in milliseconds: longer than a slow answer takes, and much shorter than the
-/// bounds on stops and gang starts.
+/// times within which runs must stop and gangs must start.
 pub(super) const RETRY_MS: u64 = 300;
 
 /// Time to wait for the answer to an order, in milliseconds, in addition to the wait that a probe asks for. A worker answers in a few
@@ -41,7 +41,7 @@
 
 impl Order {
     /// Fencing token sent to the worker: increases with the leader's term and with each restart of the worker. A restarted worker has no stored
-    /// token; its first order makes it refuse delayed orders for the previous incarnation.
+    /// token; the higher token of its first order makes it refuse delayed orders for the previous incarnation.
     pub fn fencing_token(&self) -> u64 {
         self.token + self.to.restarts
     }
@@ -68,7 +68,7 @@
         lease_until_ms: u64,
         /// Checkpoint to resume from.
         checkpoint: Option<Arc<str>>,
-        /// The adviser's permission.
+        /// The permission of the adviser, an external service that says which workers may run a step.
         permission: Option<Arc<str>>,
     },
     /// Stop a run.
@@ -112,7 +112,7 @@
     Fenced,
     /// This run or a later run of the same task has ended there or was stopped.
     Outdated,
-    /// The order arrived after its lease had expired.
+    /// The order arrived after the end of the lease that it carries.
     Late,
     /// It has not enough free capacity.
     NoRoom,
@@ -152,9 +152,9 @@
     },
     /// Nothing listens at the address, and the order was not sent: the process has ended, for good or until it starts again.
     NotListening,
-    /// No complete answer: the order may have been carried out, or may still be.
+    /// No complete answer: the order may have been carried out, or may be carried out later.
     Lost,
-    /// The core that carried the order was lost. The order may have been carried out, but nothing follows about the worker.
+    /// The core that passed the order on to the worker was lost. The order may have been carried out, but nothing follows about the worker.
     CarrierLost,
 }
 
--- a/crates/bh-workload/src/dispatch/run_phase.rs
+++ b/crates/bh-workload/src/dispatch/run_phase.rs
@@ -42,11 +42,13 @@
         let target = dispatcher.view(worker);
         let run_state = target.and_then(|target| target.runs.get(&run));
         let (Some(target), Some(run_state)) = (target, run_state) else {
+            // The dispatcher does not know the run yet.
             return (RunPhase::Unsent, now_ms);
         };
         let is_listed = run_state.last_reported_ms == Some(target.reported_ms);
         let reported_since = |at_ms: u64| target.reported_ms >= at_ms;
         let confirmed_ms = run_state.confirmed_ms();
+        // The newest report does not list the run as running, and the ends in it are being recorded, probably that of the run among them.
         let is_end_in_flight =
             target.recording_to.is_some() && !is_listed && confirmed_ms.is_some_and(reported_since);
         if run_state.recording_end || is_end_in_flight {
--- a/crates/bh-workload/src/dispatch/run_state.rs
+++ b/crates/bh-workload/src/dispatch/run_state.rs
@@ -10,7 +10,7 @@
     Unsent,
     /// It is in flight.
     InFlight,
-    /// Unconfirmed: it may have been carried out, or may still be. It is sent again from `retry_ms` on.
+    /// Unconfirmed: it may have been carried out, or may be carried out later. It is sent again from `retry_ms` on.
     Unsure {
         /// On the leader's clock, in milliseconds.
         retry_ms: u64,
--- a/crates/bh-workload/src/dispatch/target.rs
+++ b/crates/bh-workload/src/dispatch/target.rs
@@ -1,4 +1,5 @@
-//! The leader's view of one worker: what is known of it beyond the record.
+//! The leader's view of one worker: what is known of it beyond the record, which is the replicated state. *It* is the worker. A core is a
+//! process that keeps the record and may lead; a carrier is a core that passes the leader's orders to a worker.
 
 use super::FillPace;
 use super::Order;
@@ -40,11 +41,13 @@
     /// When the record last held the worker's current details, on the leader's clock in milliseconds: at its last heartbeat, or at the
     /// election if the previous leader had received one.
     pub info_ms: Option<u64>,
-    /// Until when it is slow after its start, as it last reported, on the leader's clock in milliseconds.
+    /// Until when it is cold, that is, slow after its start, as it last reported, on the leader's clock in milliseconds.
     pub cold_until_ms: u64,
-    /// Until when it certainly runs while it is leaving, as it last reported, on the leader's clock in milliseconds.
+    /// Until when it certainly keeps running, as it last reported when it was draining, on the leader's clock in milliseconds; `None` if it
+    /// has not reported such a time.
     pub runs_until_ms: Option<u64>,
-    /// Whether it announced that it ends now. Its runs go on until it does, for seconds if it gets no acknowledgement.
+    /// Whether it announced that its process is about to end. Its runs go on until the process ends, for seconds if the announcement is not
+    /// acknowledged.
     pub announced_end: bool,
     /// Since when orders to it have had no answer, on the leader's clock in milliseconds; `None` if it answers.
     pub silent_since_ms: Option<u64>,
@@ -67,7 +70,7 @@
     pub report_requested_ms: u64,
     /// Earliest time of the next probe, on the leader's clock in milliseconds.
     pub next_probe_ms: u64,
-    /// Highest number of a reported end that is recorded.
+    /// Highest number of a reported end that is recorded; the worker numbers the ends of its runs.
     pub recorded_to: u64,
     /// Highest number of an end that the worker knows to be recorded.
     pub acknowledged_to: u64,
@@ -75,17 +78,17 @@
     pub recording_to: Option<u64>,
     /// Its runs: the recorded ones, and others that it reports.
     pub runs: BTreeMap<RunId, RunState>,
-    /// Runs that were ended because its lease had expired without a report, until the worker is heard again. Whether the worker crashed
-    /// shows later, if at all.
+    /// Runs whose ends the leader recorded or is recording because its lease had expired without a report, until the worker is heard again.
+    /// Whether the worker crashed shows later, if at all.
     pub expired_runs: BTreeMap<RunId, RunState>,
     /// Gang runs that are recorded as lost although the worker had not reported their end and its lease had not expired. The worker may
     /// still report that they failed.
     pub presumed_lost: BTreeSet<RunId>,
     /// Those of `presumed_lost` for which the expiry of the lease is being recorded.
     pub presumed_lost_expiring: BTreeSet<RunId>,
-    /// Probes still to be sent to find out whether it has crashed, since another worker reports the same address.
+    /// Number of probes still to be sent to find out whether it has crashed, because another worker reports the same address.
     pub required_probes: u32,
-    /// When its end was last passed on to be recorded, on the leader's clock in milliseconds.
+    /// When the end of this incarnation was last passed on to be recorded, on the leader's clock in milliseconds.
     pub gone_noted_ms: Option<u64>,
     /// Whether the leader has seen it in the record. Its first heartbeat arrives before it is recorded.
     pub is_recorded: bool,
@@ -254,13 +257,13 @@
     pub fn note_gone(&mut self, now_ms: u64) -> bool {
         /// Delay before the end is recorded again if it is still not in the record, in milliseconds.
         const RECORD_AGAIN_MS: u64 = 1_000;
-        let known = self
+        let was_noted_lately = self
             .gone_noted_ms
             .is_some_and(|at_ms| now_ms < at_ms + RECORD_AGAIN_MS);
-        if !known {
+        if !was_noted_lately {
             self.gone_noted_ms = Some(now_ms);
         }
-        !known
+        !was_noted_lately
     }
 
     /// Whether the worker has runs or must be probed.
@@ -269,8 +272,8 @@
     }
 
     /// Grants a lease from `now_ms` on; returns its end on the worker's clock. While the worker does not answer, the lease is not extended:
-    /// the worker may receive orders although its answers are lost, and its lease would never expire. For the same reason the lease is not
-    /// extended after a carrier was lost until the first answer through another one.
+    /// the worker may receive orders although its answers are lost, and a lease that each order extends would never expire. For the same
+    /// reason the lease is not extended from the loss of a carrier until the first answer through another one.
     pub fn grant(&mut self, now_ms: u64, timing: &Timing) -> Option<u64> {
         if self.is_silent() || self.carrier_lost {
             return (self.granted_until_ms > 0).then_some(self.granted_until_ms);
--- a/crates/bh-workload/src/upkeep/wave_scheduler.rs
+++ b/crates/bh-workload/src/upkeep/wave_scheduler.rs
@@ -1,4 +1,7 @@
 //! Decides which VM of a wave is next and when its upkeep is ordered.
+//!
+//! A wave is a set of VMs whose upkeep should have ended by some time. A VM is down during its upkeep, and only some VMs of a wave may be down at
+//! the same time.
 
 use super::Emptying;
 use super::UpkeepAnswer;
@@ -51,11 +54,15 @@
 /// Schedules all waves. Its state is lost when the leader changes, and is rebuilt from the record.
 #[derive(Clone, Debug)]
 pub struct WaveScheduler {
+    /// Name of the leading core.
     holder: Arc<str>,
+    /// Fencing token of the orders: the leader's term.
     token: u64,
+    /// Time that the upkeep of a VM takes, in milliseconds.
     upkeep_ms: u64,
     /// No order is sent before this time, on the leader's clock in milliseconds.
     no_orders_until_ms: u64,
+    /// VMs that are being emptied of runs before their upkeep.
     emptying: BTreeMap<Arc<str>, Emptying>,
     /// Orders by wave and VM.
     orders: BTreeMap<(u64, Arc<str>), OrderPhase>,
@@ -65,8 +72,8 @@
 
 impl WaveScheduler {
     /// Creates the scheduler of the core `holder`, which was elected at `now_ms` with `token`. The former leader may still believe that it
-    /// leads for as long as the lease of VM orders lasts. No order is sent before the end of that time, so that two cores never send orders
-    /// in turns.
+    /// leads for as long as the lease of VM orders lasts. No order is sent before the end of that time, so that the orders of two cores
+    /// are never mixed.
     pub fn new(holder: Arc<str>, token: u64, now_ms: u64, timing: &Timing) -> Self {
         Self {
             holder,
@@ -79,7 +86,7 @@
         }
     }
 
-    /// Workers that get no new work because their VMs are next, or because the order that ends them is in flight.
+    /// Workers that get no new work because their VMs are next, or because the upkeep of their VMs, which ends them, is recorded as ordered.
     pub fn emptied_workers(&self, workload: &Workload) -> BTreeSet<Incarnation> {
         let emptied = self.emptying.keys().filter_map(|vm| workload.worker_on(vm));
         let ended = workload.waves().flat_map(|(_, wave)| wave.ended_workers());
@@ -117,15 +124,20 @@
         let down_count = wave
             .vms
             .values()
-            .filter(|u| matches!(u, VmUpkeep::Ordered { .. }))
+            .filter(|upkeep| matches!(upkeep, VmUpkeep::Ordered { .. }))
+            .count();
+        let emptying_count = self
+            .emptying
+            .values()
+            .filter(|emptying| emptying.wave == id)
             .count();
-        let emptying_count = self.emptying.values().filter(|e| e.wave == id).count();
         let mut waiting: Vec<(u64, &Arc<str>)> = wave
             .waiting()
             .filter(|vm| !self.emptying.contains_key(*vm))
             .map(|vm| (workload.worker_on(vm).map_or(0, load), vm))
             .collect();
         waiting.sort();
+        // Each round empties as many VMs as may be down at the same time, and gets an equal share of the time until the wave is due.
         let rounds = (waiting.len() + emptying_count).div_ceil(most).max(1);
         let left_ms = wave.due_ms.saturating_sub(wall_ms) / u64::try_from(rounds).unwrap_or(1);
         let wait_ms = left_ms.saturating_sub(VM_OVERHEAD_MS);
--- a/crates/bh-workload/tests/fuzz_delays.rs
+++ b/crates/bh-workload/tests/fuzz_delays.rs
@@ -436,8 +436,8 @@
     assert_case_keeps(&case, Rule::NoStartAfterMaxFailures);
 }
 
-/// The run of a task that is not in a gang is presumed to have ended, because the lease of its worker has run out. The run must not be sent again while that is being recorded, and then run beside the start that
-/// follows the commit.
+/// The run of a task that is not in a gang is presumed to have ended, because the lease of its worker has run out. The run must not be sent again
+/// while that is being recorded, and then run beside the start that follows the commit.
 #[test]
 fn a_task_given_up_is_not_restarted_while_that_is_recorded() {
     let disconnect = Fault::Disconnect {
--- a/crates/bh-workload/tests/support/mod.rs
+++ b/crates/bh-workload/tests/support/mod.rs
@@ -386,7 +386,8 @@
         }
     }
 
-    /// All orders to a worker that are due get `answer`, once the next probe is due if there are none yet; the commands that follow from it are recorded.
+    /// All orders to a worker that are due get `answer`, once the next probe is due if there are none yet; the commands that follow from it are
+    /// recorded.
     pub fn answer_for(&mut self, worker: &Incarnation, answer: &Answer) {
         /// Time between two probes of a worker, in milliseconds.
         const NEXT_PROBE_MS: u64 = 400;
--- a/crates/bh-workload/tests/waiting_gangs.rs
+++ b/crates/bh-workload/tests/waiting_gangs.rs
@@ -92,7 +92,8 @@
 }
 
 /// Guards against a gang that waits for a single rack although each rack has long runs, while there is capacity for it twice over on several
-/// racks. The planner spreads the gang only shortly before it would be late even if spread, and there may be no leader at that time.
+/// racks. Before the gang has waited its full time for a rack, the planner spreads it only shortly before it would be late even if spread, and
+/// there may be no leader at that time.
 #[test]
 fn a_gang_is_not_stalled_for_a_rack() {
     let mut site = Site::new(48, 12);
