--- a/crates/beechctl/src/commands/core_evacuate.rs
+++ b/crates/beechctl/src/commands/core_evacuate.rs
@@ -1,5 +1,5 @@
-//! `beechctl core evacuate` and `beechctl core end-evacuation`: start and end the evacuation of a data centre. An
-//! entry, the process of a VM that takes callers' requests, passes the call on to the leading core.
+//! `beechctl core evacuate` and `beechctl core end-evacuation`: start and end the evacuation of a data centre. A core is a
+//! process that keeps the replicated record and may lead; for these commands `--entry` names the operators' address of a core.
 
 use super::arguments::text as argument;
 use crate::client::Client;
--- a/crates/beechhollow/tests/soak.rs
+++ b/crates/beechhollow/tests/soak.rs
@@ -14,11 +14,11 @@
 /// Descriptor limit that is too low for a leader to connect to the soak's four workers itself.
 const FEW_DESCRIPTORS: usize = 40;
 
-/// Callers submit and cancel jobs and an operator changes the rules, while cores and entries are killed, paused for a while, stalled in
-/// series of short pauses, stopped, cut off from the network and emptied of their data, and workers crash, fall silent, fail runs, break
-/// connections, refuse orders and answer late. No task runs twice or after its last allowed
-/// failure, no refused job runs, rules never go back to an older version, and every accepted job ends. The same must hold if cores have so few descriptors that each connects to some of the workers only and passes the leader's orders on to them: then
-/// the core that passes an order on may be lost as well as the leader.
+/// Callers submit and cancel jobs and an operator changes the rules, while cores and entries are killed, paused for a while, stalled in series of
+/// short pauses, stopped, cut off from the network and emptied of their data, and workers crash, fall silent, fail runs, break connections, refuse
+/// orders and answer late. No task runs twice or after its last allowed failure, no refused job runs, rules never go back to an older version, and
+/// every accepted job ends. The same must hold if cores have so few descriptors that each connects to some of the workers only and passes the
+/// leader's orders on to them: then the core that passes an order on may be lost as well as the leader.
 #[rstest]
 #[case(11, None)]
 #[case(12, None)]
@@ -28,8 +28,8 @@
     run_and_check(seed, options(descriptors, FaultKinds::All));
 }
 
-/// Workers carry out orders, close the connection without an answer and refuse the repeated order. While a run that the first order may have
-/// started is not known to have ended, its task must not start elsewhere. This failed when only the refusal of the second order was taken into account.
+/// Workers carry out orders, close the connection without an answer and refuse the repeated order. While a run that the first order may have started
+/// is not known to have ended, its task must not start elsewhere. This failed when only the refusal of the second order was taken into account.
 #[rstest]
 #[case(22, None)]
 #[case(33, Some(FEW_DESCRIPTORS))]
@@ -40,8 +40,8 @@
     run_and_check(seed, options(descriptors, FaultKinds::RefusalsOnly));
 }
 
-/// Gangs and steps with many tasks, while one leader after the other is killed, paused, cut off, stopped or emptied of its data. Guards against accepted jobs that
-/// have nothing running for 3 s, although the group is stable again and has free capacity for them.
+/// Gangs and steps with many tasks, while one leader after the other is killed, paused, cut off, stopped or emptied of its data. Guards against
+/// accepted jobs that have nothing running for 3 s, although the group is stable again and has free capacity for them.
 #[test]
 fn no_job_stands_still_after_leaders_are_lost() {
     let options = Options {
--- a/crates/bh-scheduler/src/scheduler/gang.rs
+++ b/crates/bh-scheduler/src/scheduler/gang.rs
@@ -1,9 +1,9 @@
 //! Starts gangs: prepares all workers, records the decision to start, then starts all tasks.
 //!
 //! `number` is the number of a job. The epoch numbers the attempts to start jobs; an answer that names another epoch than the job's current one
-//! belongs to an earlier attempt and is ignored. `refused` has the workers that refused an order or did not answer it.
-//! `AfterStop::Retry` places a job again without a record of the attempt, `AfterStop::Requeue` records that the attempt has ended. The last
-//! argument of `stop` tells whether the tasks get time for a checkpoint. `Job::places` has the index of a worker for each task.
+//! belongs to an earlier attempt and is ignored. `refused` has the workers that refused an order or did not answer it. `AfterStop::Retry` returns a
+//! job to the queue without a record of the attempt, `AfterStop::Requeue` also records that the attempt has ended. The last argument of `stop` tells
+//! whether the tasks get time for a checkpoint. `Job::places` has the index of a worker for each task.
 
 use super::Scheduler;
 use crate::action::Action;
