--- a/crates/bh-workload/tests/delays/faults.rs
+++ b/crates/bh-workload/tests/delays/faults.rs
@@ -40,7 +40,7 @@
     ResentOrders { percent: u64, duration_ms: u64 },
     /// The cores that carry a share of orders, in percent, are lost: the order is executed at once, seconds later, or never.
     LostCarriers { percent: u64, duration_ms: u64 },
-    /// The leader gets no processor time: between two turns, or between its decision and the sending of its orders.
+    /// The leader gets no processor time: between two turns of its loop, or between its decision and the sending of its orders.
     Stall { duration_ms: u64, in_turn: bool },
     /// No proposal is committed.
     StuckRecords { duration_ms: u64 },
--- a/crates/bh-workload/tests/delays/mod.rs
+++ b/crates/bh-workload/tests/delays/mod.rs
@@ -1,6 +1,9 @@
 //! Simulates a site, which is the cores and all workers that they control, where records, orders and answers take time: workers in memory, a
 //! log that commits late, and leaders that stall or are replaced. A core is a process that keeps the replicated record and may lead; a carrier
 //! is the core that passes the leader's orders to a worker.
+//!
+//! *Stall* has two meanings: a leader stalls while it gets no processor time, and a job is stalled while nothing of it runs although there is
+//! capacity for it.
 
 mod coverage;
 mod event;
--- a/crates/bh-workload/tests/delays/network.rs
+++ b/crates/bh-workload/tests/delays/network.rs
@@ -211,6 +211,7 @@
         self.coverage.denied_orders +=
             usize::from(matches!(delivery, Delivery::Busy | Delivery::NoCapacity));
         let answer = match delivery {
+            // Some denials lack the worker's clock.
             Delivery::Busy => Answer::Denied {
                 clock_ms: self.chance(50).then_some(clock_ms).flatten(),
                 denial: Denial::Unhealthy,
--- a/crates/bh-workload/tests/support/mod.rs
+++ b/crates/bh-workload/tests/support/mod.rs
@@ -123,7 +123,7 @@
     }
 }
 
-/// A step of `count` tasks with `accelerators` accelerators each.
+/// A step of `count` tasks with `accelerators` accelerators each. `declared_ms` is the run time of a task that the caller declares.
 pub fn step(count: u32, accelerators: u64) -> StepSpec {
     StepSpec {
         count,
